--- a/src/core/attempt-results.ts
+++ b/src/core/attempt-results.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import type { Cluster, Hold, Job, Machine } from "./cluster.js";
 import type { JobSpec } from "./records.js";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 /** A job that failed on so many machines, and completed nowhere, is probably at fault itself. */
 const SUSPECT_AFTER = 3;
@@ -17,7 +17,7 @@
 const PROVEN_AFTER = Duration.seconds(10);
 
 const isUnproven = (hold: Hold, now: Instant): boolean =>
-  hold.state === "ordered" || hold.state === "fetching" || !passed(now, hold.since, PROVEN_AFTER);
+  hold.state === "ordered" || hold.state === "fetching" || !hasElapsed(now, hold.since, PROVEN_AFTER);
 
 /** Whether some task of the job runs, and has run for a while. */
 const isProven = (job: Job, now: Instant): boolean => {
--- a/src/core/command-sender.ts
+++ b/src/core/command-sender.ts
@@ -9,8 +9,8 @@
 import type { CommandBatch } from "./command-batch.js";
 import type { Order } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { termOf, tokenOf } from "./term.js";
-import { type Instant, passed, plus } from "./time.js";
+import { termNumberOf, fencingTokenOf } from "./term.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 const ASK_AGAIN = Duration.seconds(1);
 /** Behind a cut there may be hundreds that can't answer: after a few questions each is asked less often. */
@@ -41,7 +41,7 @@
   private readonly askAfter: Duration.Duration;
 
   constructor(private readonly scope: SchedulerContext) {
-    const interval = Duration.times(scope.options.spans.reportEvery, 1.25);
+    const interval = Duration.times(scope.options.timings.heartbeatInterval, 1.25);
     this.askAfter = Duration.sum(interval, Duration.millis(500));
   }
 
@@ -63,7 +63,7 @@
     const { cluster, term } = this.scope;
     for (const hold of cluster.doubts) {
       const machine = machineOf(cluster, hold);
-      if (hold.doubt !== null && hold.doubt >= tokenOf(term.token, machine.step)) machine.step++;
+      if (hold.doubt !== null && hold.doubt >= fencingTokenOf(term.token, machine.step)) machine.step++;
     }
   }
 
@@ -93,7 +93,7 @@
       via: machine.unanswered % 2 === 1 ? this.otherWay(machine) : this.usualWay(machine),
       addr: machine.addr,
       session: Math.max(1, machine.session),
-      token: tokenOf(this.scope.term.token, machine.step),
+      token: fencingTokenOf(this.scope.term.token, machine.step),
       orders,
     });
     return true;
@@ -150,7 +150,7 @@
   }
 
   private isSilent(machine: Machine, now: Instant): boolean {
-    return machine.heard === null || passed(now, machine.heard, this.askAfter);
+    return machine.heard === null || hasElapsed(now, machine.heard, this.askAfter);
   }
 
   private mayAsk(machine: Machine, now: Instant): boolean {
@@ -158,7 +158,7 @@
     if (machine.inFlight || machine.releasing !== null) return false;
     const isOften = machine.unanswered < ASKED_OFTEN || !this.isSilent(machine, now);
     const pause = isOften ? ASK_AGAIN : ASK_SELDOM;
-    return machine.probedAt === null || passed(now, machine.probedAt, pause);
+    return machine.probedAt === null || hasElapsed(now, machine.probedAt, pause);
   }
 
   /** What became of a batch; also of one that was not sent. */
@@ -169,7 +169,7 @@
     const { outcome, token } = result;
     // a node whose queue is full, or that may not send now, won't send a moment later
     if (outcome === "barred" && token !== NOT_SENT) this.blockedUntil.set(machine, plus(now, BLOCKED_FOR));
-    else if (termOf(token) === this.scope.term.token) machine.inFlight = false;
+    else if (termNumberOf(token) === this.scope.term.token) machine.inFlight = false;
     cluster.attention.add(machine);
     cluster.chances++;
     const isAnswer = outcome === "done" || outcome === "rejected";
--- a/src/core/finish-store.ts
+++ b/src/core/finish-store.ts
@@ -6,7 +6,7 @@
 import type { StoredFinishes } from "./member-news.js";
 import { type Range, RangeSet, windows } from "./ranges.js";
 import { keys } from "./records.js";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 const GIVE_UP_AFTER = Duration.seconds(30);
 /** A write that the state service refuses as it is gives way to other jobs' for so long. */
@@ -106,10 +106,10 @@
     for (const job of [...others, ...refused]) {
       const f = this.finishes.get(job)!;
       if (room <= 0 || (f.refused && out.length > 0)) break;
-      if (f.writing || f.since === null || !passed(now, f.since, this.gather)) continue;
+      if (f.writing || f.since === null || !hasElapsed(now, f.since, this.gather)) continue;
       if (f.refused) room = 1;
       if (!isOpen(job)) {
-        if (passed(now, f.since, GIVE_UP_AFTER)) this.jobOver(job);
+        if (hasElapsed(now, f.since, GIVE_UP_AFTER)) this.jobOver(job);
         continue;
       }
       const puts: Writing["puts"] = [];
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -1,6 +1,6 @@
 /** How many machines, of which type, where, and of which kind. */
 import * as Duration from "effect/Duration";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 import { allowsType, allowsZone } from "./admission.js";
 import type { Cluster, Job, Machine } from "./cluster.js";
 import { occupies } from "./cluster.js";
@@ -85,7 +85,7 @@
         m.confirmed &&
         m.releasing === null &&
         !m.failed &&
-        !passed(now, m.created, Duration.times(type.boot, 2));
+        !hasElapsed(now, m.created, Duration.times(type.boot, 2));
       if (!isUsable(m) && !booting) continue;
       const room = booting ? { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb } : freeRoom(m);
       const short: Room = { cpus: 0, gpus: 0, memoryGb: 0 };
@@ -145,7 +145,7 @@
   /** Work that is likely to arrive within `warmFor`, from what arrived lately. */
   private expected(now: Instant): { spec: JobSpec; tasks: number }[] {
     const window = Duration.seconds(45);
-    this.arrivals = this.arrivals.filter((a) => !passed(now, a.at, window));
+    this.arrivals = this.arrivals.filter((a) => !hasElapsed(now, a.at, window));
     const byClass = new Map<string, { spec: JobSpec; tasks: number }>();
     for (const { job } of this.arrivals) {
       const { spec, rank } = job;
@@ -201,7 +201,8 @@
     const patience = (m: Machine): Duration.Duration =>
       Duration.times(types.get(m.type)?.boot ?? Duration.zero, this.options.idleBoots);
     for (const m of cluster.machines.values())
-      if (m.idleSince !== null && m.releasing === null && passed(now, m.idleSince, patience(m))) idle.push(m);
+      if (m.idleSince !== null && m.releasing === null && hasElapsed(now, m.idleSince, patience(m)))
+        idle.push(m);
     if (idle.length === 0) return [];
     const rooms = [...cluster.machines.values()].filter(isUsable).map((m) => ({ m, room: freeRoom(m) }));
     const needed = new Set<string>();
--- a/src/core/job-queue.ts
+++ b/src/core/job-queue.ts
@@ -9,7 +9,7 @@
 import { fitsGuarantee, type Usage } from "./quota.js";
 import { RANK } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 /** A job that waited this long without a single start goes before others of its rank, and with those above. */
 const LONG_WAIT = Duration.seconds(100);
@@ -40,7 +40,7 @@
 
 /** Whether a job above the lowest rank has waited long for its first start. */
 const isStarved = (job: Job, now: Instant): boolean =>
-  job.rank > RANK.low && !hasStarted(job, now) && passed(now, job.seen, STARVED_AFTER);
+  job.rank > RANK.low && !hasStarted(job, now) && hasElapsed(now, job.seen, STARVED_AFTER);
 
 /** Sorts the cluster's waiting jobs; a look at each of them, and no more. */
 export class JobQueue {
@@ -76,7 +76,7 @@
 
   /** Whether the job waited so long for its first start that one task of it goes before all others. */
   isOverdue(job: Job, now: Instant): boolean {
-    return passed(now, job.seen, OVERDUE_AFTER) && !hasStarted(job, now);
+    return hasElapsed(now, job.seen, OVERDUE_AFTER) && !hasStarted(job, now);
   }
 
   /** Started now it can just be done by its deadline: waiting behind what has no deadline would be for nothing. */
@@ -87,7 +87,7 @@
   }
 
   private rankNow(job: Job, now: Instant): number {
-    const isLongWaiting = !hasStarted(job, now) && passed(now, job.seen, LONG_WAIT);
+    const isLongWaiting = !hasStarted(job, now) && hasElapsed(now, job.seen, LONG_WAIT);
     return job.rank + (isLongWaiting || this.isUrgent(job, now) ? 1 : 0);
   }
 
--- a/src/core/lease-expiry.ts
+++ b/src/core/lease-expiry.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import { type Machine, occupies, removeHold, setMachine } from "./cluster.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, passed, plus, stretched } from "./time.js";
+import { type Instant, hasElapsed, plus, withClockDrift } from "./time.js";
 
 /** What a member vouches for: when it last answered each worker, as of an instant of the leader's clock. */
 interface Vouch {
@@ -68,7 +68,7 @@
     const silent = new Set<Machine>();
     for (const m of cluster.unconfirmed) if (m.heard === null) silent.add(m);
     for (const m of cluster.hearing) {
-      if (!passed(now, m.heard!, options.spans.workerLease)) break;
+      if (!hasElapsed(now, m.heard!, options.timings.workerLease)) break;
       silent.add(m);
     }
     for (const m of silent) {
@@ -82,13 +82,13 @@
   }
 
   private isOver(m: Machine): boolean {
-    const { spans } = this.scope.options;
-    let last = plus(this.scope.termBegan, spans.fence);
+    const { timings } = this.scope.options;
+    let last = plus(this.scope.termBegan, timings.fencingWindow);
     for (const vouch of this.vouches.values()) {
       const at = vouch.answered.get(m.id);
       if (at !== undefined && at > last) last = at;
     }
-    const over = plus(last, Duration.sum(stretched(spans.workerLease), Duration.seconds(1)));
+    const over = plus(last, Duration.sum(withClockDrift(timings.workerLease), Duration.seconds(1)));
     for (const vouch of this.vouches.values()) if (vouch.asOf === null || vouch.asOf < over) return false;
     return true;
   }
--- a/src/core/machine-returns.ts
+++ b/src/core/machine-returns.ts
@@ -6,7 +6,7 @@
 import type { LeaseExpiry } from "./lease-expiry.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { movable } from "./reconciler.js";
-import { type Instant, minus, passed, plus } from "./time.js";
+import { type Instant, minus, hasElapsed, plus } from "./time.js";
 
 /** The cloud's answer to a release, and the start elsewhere. */
 const RELEASE_TAKES = Duration.seconds(3);
@@ -46,7 +46,7 @@
     private readonly scope: SchedulerContext,
     private readonly proof: LeaseExpiry,
   ) {
-    this.almostALease = Duration.subtract(scope.options.spans.workerLease, RELEASE_TAKES);
+    this.almostALease = Duration.subtract(scope.options.timings.workerLease, RELEASE_TAKES);
     this.movesOn = Duration.min(this.almostALease, scope.reconnectWithin);
   }
 
@@ -57,7 +57,7 @@
     const silence = this.silence(now);
     const repeatAfter = this.repeatAfter();
     for (const m of cluster.machines.values()) {
-      if (m.releasing !== null && !passed(now, m.releasing, repeatAfter)) continue;
+      if (m.releasing !== null && !hasElapsed(now, m.releasing, repeatAfter)) continue;
       const why = this.reason(m, now, silence);
       if (why !== null) (out.get(why) ?? out.set(why, []).get(why)!).push(m.id);
     }
@@ -75,7 +75,7 @@
     const { cluster } = this.scope;
     let silent = 0;
     for (const m of cluster.hearing) {
-      if (!passed(now, m.heard!, this.scope.fresh)) break;
+      if (!hasElapsed(now, m.heard!, this.scope.fresh)) break;
       silent++;
     }
     let unrenewed = 0;
@@ -93,33 +93,36 @@
     if (m.heard === null) {
       if (m.confirmed) {
         const boot = this.scope.typeByName.get(m.type)?.boot ?? Duration.seconds(60);
-        return passed(now, m.created, Duration.times(boot, BOOT_PATIENCE)) ? "never came up" : null;
+        return hasElapsed(now, m.created, Duration.times(boot, BOOT_PATIENCE)) ? "never came up" : null;
       }
       // until it is gone, nothing that it may hold can start
-      const { reportEvery } = options.spans;
+      const { heartbeatInterval } = options.timings;
       if (few(silence.unheard, cluster.machines.size)) {
         const some = silence.unheard > Math.max(2, cluster.machines.size * SOME);
         const patience = Duration.sum(
-          some ? this.movesOn : reportEvery,
-          m.unanswered >= 3 ? Duration.zero : reportEvery,
+          some ? this.movesOn : heartbeatInterval,
+          m.unanswered >= 3 ? Duration.zero : heartbeatInterval,
         );
-        return passed(now, termBegan, patience) ? "silent since take-over" : null;
+        return hasElapsed(now, termBegan, patience) ? "silent since take-over" : null;
       }
       // a zone whose members went before this leader began: its machines' leases have run since then at the latest
       const lost = this.scope.zones.lostSince(m.zone);
       const over =
         lost === null
-          ? plus(termBegan, Duration.min(Duration.times(reportEvery, 5), this.almostALease))
-          : minus(plus(lost, this.almostALease), Duration.sum(options.spans.ttl, reportEvery));
-      return now >= over && passed(now, termBegan, Duration.times(reportEvery, 2))
+          ? plus(termBegan, Duration.min(Duration.times(heartbeatInterval, 5), this.almostALease))
+          : minus(
+              plus(lost, this.almostALease),
+              Duration.sum(options.timings.memberLease, heartbeatInterval),
+            );
+      return now >= over && hasElapsed(now, termBegan, Duration.times(heartbeatInterval, 2))
         ? "silent since take-over"
         : null;
     }
-    if (passed(now, m.heard, fresh)) {
+    if (hasElapsed(now, m.heard, fresh)) {
       const silentFor = now - m.heard;
       // a part whose member is silent too, or left, looks like a cut, not like a dead machine
       const word = m.via === null ? null : this.proof.lastNews(m.via);
-      const cut = word === null || passed(now, word, Duration.seconds(4));
+      const cut = word === null || hasElapsed(now, word, Duration.seconds(4));
       const soon = Duration.toMillis(fresh) + 1000;
       // behind a cut its tasks go on until its lease ends; nothing is won by ending them much sooner, but once the lease
       // is over they are down until they start elsewhere. Where its member's news go on and direct questions stay
@@ -135,13 +138,13 @@
       return silentFor >= patience && now - termBegan >= settled ? "silent" : null;
     }
     // nothing is won by ending its tasks much sooner than its lease does; a release lets them start elsewhere then
-    const unrenewed = m.renewed !== null && passed(now, m.renewed, this.almostALease);
-    if (unrenewed && passed(now, termBegan, this.almostALease) && few(silence.unrenewed, silence.heard))
+    const unrenewed = m.renewed !== null && hasElapsed(now, m.renewed, this.almostALease);
+    if (unrenewed && hasElapsed(now, termBegan, this.almostALease) && few(silence.unrenewed, silence.heard))
       return "reaches no controller";
     // its reports arrive, but nothing that we say does: a release is what it needs, and the proof that it is over
     if (m.mute !== null && m.unanswered >= DEAF_AFTER && few(silence.mute, silence.heard)) {
       const since = Math.max(m.mute, termBegan) as Instant;
-      if (passed(now, since, Duration.times(options.spans.reportEvery, 2))) return "doesn't hear";
+      if (hasElapsed(now, since, Duration.times(options.timings.heartbeatInterval, 2))) return "doesn't hear";
     }
     if (m.draining && m.holds.size === 0 && !m.inFlight) return "drained";
     if (m.setAside !== null && ![...m.holds.values()].some(occupies)) return m.slow ? "slow" : "fails tasks";
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,6 +1,6 @@
 /** Which machine a task goes to, and what may be stopped to make room. */
 import * as Duration from "effect/Duration";
-import { type Instant, passed } from "./time.js";
+import { type Instant, hasElapsed } from "./time.js";
 import { allowsZone } from "./admission.js";
 import { type Cluster, type Hold, type Job, type Machine, occupies, rankOf } from "./cluster.js";
 import type { JobSpec } from "./records.js";
@@ -72,7 +72,7 @@
   m.addr !== null &&
   m.unanswered < MUTE_AFTER &&
   m.heard !== null &&
-  !passed(now, m.heard, freshFor);
+  !hasElapsed(now, m.heard, freshFor);
 
 /** Zones of the tasks that are, or may be, on machines: `together` and `apart` look at these. */
 const zonesInUse = (cluster: Cluster, job: Job): Map<string, number> => {
@@ -106,7 +106,7 @@
   span: Duration.Duration,
 ): boolean => {
   const at = memory.get(m.id);
-  return at !== undefined && !passed(now, at, span);
+  return at !== undefined && !hasElapsed(now, at, span);
 };
 
 /** How many replicas of a class one machine should hold, so that its loss costs a small part of them. */
--- a/src/core/placer.ts
+++ b/src/core/placer.ts
@@ -12,7 +12,7 @@
 import type { SchedulerContext } from "./scheduler-context.js";
 import { TaskStarter } from "./task-starter.js";
 import { stopGang } from "./reconciler.js";
-import { type Instant, passed } from "./time.js";
+import { type Instant, hasElapsed } from "./time.js";
 
 /** Smaller jobs would take all room that gets free: after this long a gang holds up those of its rank and below. */
 const GANG_PATIENCE = Duration.seconds(15);
@@ -64,7 +64,7 @@
     const { cluster } = this.scope;
     if (cluster.waiting.size === 0) return false;
     const isUnchanged = this.triedChances === cluster.chances;
-    if (isUnchanged && this.triedAt !== null && !passed(now, this.triedAt, TRY_AGAIN)) return false;
+    if (isUnchanged && this.triedAt !== null && !hasElapsed(now, this.triedAt, TRY_AGAIN)) return false;
     this.triedChances = cluster.chances;
     this.triedAt = now;
     return true;
@@ -167,7 +167,7 @@
   private placeGangOrWait(job: Job, team: Team, round: PlacementRound): void {
     const isPlaced = this.placeGang(job, team, round);
     if (isPlaced) round.startsLeft -= job.spec.tasks;
-    else if (passed(round.now, job.seen, GANG_PATIENCE) && this.couldHold(job, round.now))
+    else if (hasElapsed(round.now, job.seen, GANG_PATIENCE) && this.couldHold(job, round.now))
       round.gangRank = job.rank;
   }
 
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -9,7 +9,7 @@
 import type { PlacementRound } from "./placement-round.js";
 import { type JobSpec, RANK } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 /** Machines on which something was started lately, where stopping costs the least. */
 const MAX_RECENT_MACHINES = 64;
@@ -25,7 +25,7 @@
 const losesWork = (hold: KnownHold, now: Instant): boolean =>
   Duration.toMillis(hold.spec.checkpoint) === 0 &&
   hold.state === "running" &&
-  passed(now, hold.since, CHEAP_LOSS);
+  hasElapsed(now, hold.since, CHEAP_LOSS);
 
 const describe = (holds: readonly Hold[]): string =>
   holds.map((hold) => `${hold.job}/${hold.index}`).join(" ");
@@ -64,7 +64,7 @@
     if (this.stopFor(job, this.recentMachines(now), round)) return true;
     this.pausedUntil.set(id, plus(now, SEARCH_AGAIN));
     // nothing that started lately will do: now and then all machines are searched
-    if (this.searchedAllAt !== null && !passed(now, this.searchedAllAt, SEARCH_AGAIN)) return false;
+    if (this.searchedAllAt !== null && !hasElapsed(now, this.searchedAllAt, SEARCH_AGAIN)) return false;
     this.searchedAllAt = now;
     const all = [...this.scope.cluster.hearing].filter((machine) => this.scope.isReady(machine, now));
     if (this.stopFor(job, all, round)) return true;
--- a/src/core/ranges.ts
+++ b/src/core/ranges.ts
@@ -2,7 +2,7 @@
 export type Range = readonly [from: number, to: number];
 
 export class RangeSet {
-  private spans: [number, number][] = [];
+  private segments: [number, number][] = [];
   size = 0;
 
   static of(ranges: Iterable<Range>): RangeSet {
@@ -14,53 +14,53 @@
   /** Index of the first span that ends after `n`. */
   private find(n: number): number {
     let low = 0;
-    let high = this.spans.length;
+    let high = this.segments.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (this.spans[middle]![1] > n) high = middle;
+      if (this.segments[middle]![1] > n) high = middle;
       else low = middle + 1;
     }
     return low;
   }
 
   has(n: number): boolean {
-    const span = this.spans[this.find(n)];
+    const span = this.segments[this.find(n)];
     return span !== undefined && span[0] <= n;
   }
 
   add(from: number, to = from + 1): void {
     if (from >= to) return;
     let first = this.find(from);
-    if (first > 0 && this.spans[first - 1]![1] === from) first--;
+    if (first > 0 && this.segments[first - 1]![1] === from) first--;
     let last = first;
     let low = from;
     let high = to;
-    while (last < this.spans.length && this.spans[last]![0] <= to) {
-      const span = this.spans[last]!;
+    while (last < this.segments.length && this.segments[last]![0] <= to) {
+      const span = this.segments[last]!;
       low = Math.min(low, span[0]);
       high = Math.max(high, span[1]);
       this.size -= span[1] - span[0];
       last++;
     }
-    this.spans.splice(first, last - first, [low, high]);
+    this.segments.splice(first, last - first, [low, high]);
     this.size += high - low;
   }
 
   delete(n: number): void {
     const at = this.find(n);
-    const span = this.spans[at];
+    const span = this.segments[at];
     if (span === undefined || span[0] > n) return;
     const rest: [number, number][] = [];
     if (span[0] < n) rest.push([span[0], n]);
     if (n + 1 < span[1]) rest.push([n + 1, span[1]]);
-    this.spans.splice(at, 1, ...rest);
+    this.segments.splice(at, 1, ...rest);
     this.size--;
   }
 
   /** Up to `most` of the smallest numbers in the set. */
   take(most: number): number[] {
     const out: number[] = [];
-    for (const [from, to] of this.spans)
+    for (const [from, to] of this.segments)
       for (let n = from; n < to; n++) {
         if (out.length >= most) return out;
         out.push(n);
@@ -69,11 +69,13 @@
   }
 
   covers(count: number): boolean {
-    return count === 0 || (this.spans.length > 0 && this.spans[0]![0] <= 0 && this.spans[0]![1] >= count);
+    return (
+      count === 0 || (this.segments.length > 0 && this.segments[0]![0] <= 0 && this.segments[0]![1] >= count)
+    );
   }
 
   ranges(): Range[] {
-    return this.spans.map(([from, to]) => [from, to] as const);
+    return this.segments.map(([from, to]) => [from, to] as const);
   }
 }
 
--- a/src/core/rate-limit-selector.ts
+++ b/src/core/rate-limit-selector.ts
@@ -4,7 +4,7 @@
  * and then given up again, each time for longer when the next refusal follows soon.
  */
 import * as Duration from "effect/Duration";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 export interface Rate {
   readonly rps: number;
@@ -38,7 +38,7 @@
   /** The service said 429; whether to requests or to changes isn't known, so both go down. */
   refused(now: Instant): void {
     if (this.lower === this.today || this.at(now) === this.lower) return;
-    const soon = this.loweredUntil !== null && !passed(now, this.loweredUntil, SOON);
+    const soon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, SOON);
     this.span = soon ? Duration.min(LONGEST, Duration.times(this.span, 2)) : FIRST;
     this.loweredUntil = plus(now, this.span);
   }
--- a/src/core/rate-limiter.ts
+++ b/src/core/rate-limiter.ts
@@ -1,6 +1,6 @@
 /** A node's share of a rate that all nodes have together: a token bucket without a clock of its own. */
 import * as Duration from "effect/Duration";
-import { type Instant, passed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 /** For how long after a refusal also the urgent keep to the rate, and how long each may wait for its turn. */
 const PACED_FOR = Duration.seconds(2);
@@ -47,14 +47,14 @@
    * trying again, would only be refused again. null: too many wait, so it isn't worth being sent.
    */
   turn(now: Instant, n: number, longest = LONGEST_TURN): Duration.Duration | null {
-    const recent = (at: Instant | null): boolean => at !== null && !passed(now, at, PACED_FOR);
+    const recent = (at: Instant | null): boolean => at !== null && !hasElapsed(now, at, PACED_FOR);
     // also while others wait: they would all go together
     if (!recent(this.refusedAt) && !recent(this.nextTurn)) {
       this.nextTurn = null;
       return Duration.zero;
     }
     const at = this.nextTurn === null || this.nextTurn < now ? now : this.nextTurn;
-    if (passed(at, now, longest)) return null;
+    if (hasElapsed(at, now, longest)) return null;
     this.nextTurn = plus(at, Duration.millis((n / this.perSecond / PACE) * 1000));
     return Duration.millis(at - now);
   }
--- a/src/core/reconciler.ts
+++ b/src/core/reconciler.ts
@@ -4,7 +4,7 @@
 import type { CommandBatch } from "./command-batch.js";
 import { choose } from "./placement.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, passed } from "./time.js";
+import { type Instant, hasElapsed } from "./time.js";
 
 /** An exited task takes no room: forgetting it waits this long for other orders to the same machine. */
 const FORGET_AFTER = Duration.seconds(2);
@@ -16,7 +16,7 @@
   h.state === "running" &&
   !h.stopping &&
   h.doubt === null &&
-  passed(now, h.since, Duration.seconds(35));
+  hasElapsed(now, h.since, Duration.seconds(35));
 
 export class Reconciler {
   constructor(private readonly scope: SchedulerContext) {}
@@ -43,7 +43,7 @@
       if (hold.state === "exited") {
         // a finish is reaped only once stored; nothing is reaped while its start may yet be executed again
         if (hold.doubt === null && (job === undefined || hold.why !== "done" || hold.stored)) {
-          outbox.forget(hold, passed(now, hold.since, FORGET_AFTER));
+          outbox.forget(hold, hasElapsed(now, hold.since, FORGET_AFTER));
           more = true;
         }
         continue;
@@ -54,7 +54,7 @@
         continue;
       }
       if (job === undefined || job.done.has(hold.index) || this.hasTwin(hold)) {
-        if (!hold.stopping || passed(now, hold.since, STOP_AGAIN_AFTER)) outbox.stop(hold, 0);
+        if (!hold.stopping || hasElapsed(now, hold.since, STOP_AGAIN_AFTER)) outbox.stop(hold, 0);
         more = true;
       }
     }
--- a/src/core/report-intake.ts
+++ b/src/core/report-intake.ts
@@ -20,8 +20,8 @@
 import type { SlowMachineDetector } from "./slow-machine-detector.js";
 import type { TaskReport, WorkerReport } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { termOf } from "./term.js";
-import { type Instant, passed, plus } from "./time.js";
+import { termNumberOf } from "./term.js";
+import { type Instant, hasElapsed, plus } from "./time.js";
 
 /** Reports that come later than so many intervals after the last one say nothing about when tasks began and ended. */
 const IN_TIME = 1.5;
@@ -36,7 +36,7 @@
 
   /** `at`: when a member took the report; `via`: which one. */
   take(report: WorkerReport, via: string, now: Instant, at: Instant): void {
-    const current = termOf(report.token) >= this.scope.term.token;
+    const current = termNumberOf(report.token) >= this.scope.term.token;
     const machine = this.machineOf(report, current, now);
     if (machine === null || notOlder(machine, report)) return;
     const newSession = report.session > machine.session && machine.session > 0;
@@ -64,8 +64,10 @@
 
   /** After a gap (an outage, a take-over) it isn't known when its tasks began and ended. */
   private isInTime(machine: Machine, at: Instant): boolean {
-    const { reportEvery } = this.scope.options.spans;
-    return machine.heard !== null && !passed(at, machine.heard, Duration.times(reportEvery, IN_TIME));
+    const { heartbeatInterval } = this.scope.options.timings;
+    return (
+      machine.heard !== null && !hasElapsed(at, machine.heard, Duration.times(heartbeatInterval, IN_TIME))
+    );
   }
 
   private update(machine: Machine, report: WorkerReport, via: string, at: Instant): void {
--- a/src/core/scheduler-context.ts
+++ b/src/core/scheduler-context.ts
@@ -5,8 +5,8 @@
 import { usable } from "./placement.js";
 import type { Usage } from "./quota.js";
 import type { MachineType, Team, TermRecord } from "./records.js";
-import type { Spans } from "./term.js";
-import { type Instant, passed } from "./time.js";
+import type { LeaseTimings } from "./term.js";
+import { type Instant, hasElapsed } from "./time.js";
 import { ZoneWatch } from "./zones.js";
 
 /** After this long a worker gives a report up. */
@@ -15,7 +15,7 @@
 const MOVE_MARGIN = Duration.seconds(3);
 
 export interface SchedulerOptions {
-  readonly spans: Spans;
+  readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
   /** How soon users expect tasks of a class to start, from the platform's objectives. */
@@ -49,9 +49,9 @@
     readonly since: number,
     readonly zones = new ZoneWatch(),
   ) {
-    this.fresh = Duration.sum(Duration.times(options.spans.reportEvery, 1.25), Duration.millis(1500));
+    this.fresh = Duration.sum(Duration.times(options.timings.heartbeatInterval, 1.25), Duration.millis(1500));
     this.reconnectWithin = Duration.sum(
-      Duration.times(options.spans.reportEvery, 1.25),
+      Duration.times(options.timings.heartbeatInterval, 1.25),
       Duration.sum(REPORT_TIMEOUT, MOVE_MARGIN),
     );
   }
@@ -88,7 +88,7 @@
    * controller. Its room is about to be there again, so no other machine is rented in its place.
    */
   isReconnecting(machine: Machine, now: Instant): boolean {
-    if (passed(now, this.termBegan, this.reconnectWithin)) return false;
+    if (hasElapsed(now, this.termBegan, this.reconnectWithin)) return false;
     const isWanted =
       machine.recorded &&
       !machine.failed &&
@@ -97,13 +97,13 @@
       machine.setAside === null;
     if (!isWanted) return false;
     if (machine.heard === null) return !machine.confirmed;
-    return !passed(now, machine.heard, Duration.sum(this.fresh, this.reconnectWithin));
+    return !hasElapsed(now, machine.heard, Duration.sum(this.fresh, this.reconnectWithin));
   }
 
   /** It answers direct questions, but its reports reach nobody: its lease runs out, with all that is on it. */
   unrenewed(m: Machine, now: Instant): boolean {
-    const span = Duration.sum(this.fresh, this.options.spans.reportEvery);
-    return m.renewed !== null && passed(now, m.renewed, span);
+    const span = Duration.sum(this.fresh, this.options.timings.heartbeatInterval);
+    return m.renewed !== null && hasElapsed(now, m.renewed, span);
   }
 
   usageOf(team: string): Usage {
--- a/src/core/shard-drain.ts
+++ b/src/core/shard-drain.ts
@@ -6,7 +6,7 @@
 import { Refusal, type ShardFacts } from "#shards";
 import type { Hold, Machine } from "./cluster.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { tokenOf } from "./term.js";
+import { fencingTokenOf } from "./term.js";
 
 /** The shard's side of the core. Owns `cluster.fencing`. */
 export class ShardDrain {
@@ -50,7 +50,7 @@
   }
 
   private isFenced(machine: Machine): boolean {
-    const token = tokenOf(this.scope.term.token, machine.step);
+    const token = fencingTokenOf(this.scope.term.token, machine.step);
     const isSeen = machine.confirmed && machine.token >= token;
     if (isSeen) this.scope.cluster.fencing.delete(machine);
     return isSeen && !machine.inFlight;
--- a/src/core/slow-machine-detector.ts
+++ b/src/core/slow-machine-detector.ts
@@ -6,7 +6,7 @@
 import { type Hold, type Job, type Machine } from "./cluster.js";
 import type { CommandBatch } from "./command-batch.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, passed } from "./time.js";
+import { type Instant, hasElapsed } from "./time.js";
 
 /** Tasks of one job differ by half, machines by a tenth; early finishers are the short ones. */
 const SLOW = 2.2;
@@ -61,7 +61,7 @@
 
   /** Now and then: what runs far too long. */
   step(now: Instant, outbox: CommandBatch): void {
-    if (this.looked !== null && !passed(now, this.looked, LOOK_EVERY)) return;
+    if (this.looked !== null && !hasElapsed(now, this.looked, LOOK_EVERY)) return;
     this.looked = now;
     const { cluster } = this.scope;
     for (const [id, row] of this.ran) {
@@ -73,7 +73,7 @@
           if (!this.isOverdue(job, now - hold.began)) continue;
           const m = cluster.machines.get(hold.machine)!;
           // a silent machine is another matter; so is a task that was slow before
-          if (m.inFlight || m.heard === null || passed(now, m.heard, this.scope.fresh)) continue;
+          if (m.inFlight || m.heard === null || hasElapsed(now, m.heard, this.scope.fresh)) continue;
           if (!this.setAside(m, now) || this.wasRenewed(id, hold.index)) continue;
           outbox.stop(hold);
         }
--- a/src/core/time.ts
+++ b/src/core/time.ts
@@ -11,10 +11,10 @@
 export const plus = (at: Instant, by: Duration.Duration): Instant => (at + Duration.toMillis(by)) as Instant;
 export const minus = (at: Instant, by: Duration.Duration): Instant => (at - Duration.toMillis(by)) as Instant;
 /** Whether at least `span` has passed from `earlier` to `now`. */
-export const passed = (now: Instant, earlier: Instant, span: Duration.Duration): boolean =>
+export const hasElapsed = (now: Instant, earlier: Instant, span: Duration.Duration): boolean =>
   now - earlier >= Duration.toMillis(span);
 
 /** The steady clocks of two machines drift apart by as much as 0.05%; we allow four times that. */
-export const DRIFT = 0.002;
-export const stretched = (span: Duration.Duration): Duration.Duration =>
-  Duration.millis(Duration.toMillis(span) * (1 + DRIFT));
+export const CLOCK_DRIFT = 0.002;
+export const withClockDrift = (span: Duration.Duration): Duration.Duration =>
+  Duration.millis(Duration.toMillis(span) * (1 + CLOCK_DRIFT));
--- a/src/core/worker-partition.ts
+++ b/src/core/worker-partition.ts
@@ -7,8 +7,8 @@
 import { FinishStore } from "./finish-store.js";
 import type { AgedReport, News, Outcome, Seen } from "./member-news.js";
 import type { Order, TermRecord, WorkerReport } from "./records.js";
-import { type Instant, passed } from "./time.js";
-import { answerToken, ownerOf } from "./term.js";
+import { type Instant, hasElapsed } from "./time.js";
+import { fencingTokenForAnswer, ownerOf } from "./term.js";
 
 export type ReportAnswer =
   | { kind: "taken"; token: number; halts: Order[] }
@@ -120,7 +120,7 @@
     const owner = this.ownerName(term, r.machine, r.zone);
     if (owner !== null && owner !== this.member && this.takenIn.get(r.machine) !== owner) {
       const away = this.sentAway.get(r.machine);
-      if (away?.to !== owner || passed(now, away.at, COMES_BACK_WITHIN)) {
+      if (away?.to !== owner || hasElapsed(now, away.at, COMES_BACK_WITHIN)) {
         this.sentAway.set(r.machine, { to: owner, at: now });
         if (this.sentAway.size > MAX_SENT_AWAY) this.sentAway.delete(this.sentAway.keys().next().value!);
         return { kind: "elsewhere", member: owner };
@@ -136,7 +136,7 @@
     const halts = r.tasks
       .filter((t) => t.state !== "exited" && isOver(t.job))
       .map(({ job, index, attempt }): Order => ({ op: "stop", job, index, attempt, graceS: 0 }));
-    return { kind: "taken", token: answerToken(term.token, r.token), halts };
+    return { kind: "taken", token: fencingTokenForAnswer(term.token, r.token), halts };
   }
 
   /** A report from a beat or from the answer to orders. */
@@ -162,7 +162,7 @@
   prune(now: Instant, after: Duration.Duration): void {
     for (const [machine, w] of this.workers) {
       const last = Math.max(w.answeredAt ?? 0, w.heardAt ?? 0) as Instant;
-      if (!passed(now, last, after)) continue;
+      if (!hasElapsed(now, last, after)) continue;
       this.workers.delete(machine);
       this.unsent.delete(machine);
       this.touched.delete(machine);
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -1,7 +1,7 @@
 /** The unfinished jobs and the machine types, as the state service has them, a moment behind. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { type Instant, passed } from "../core/time.js";
+import { type Instant, hasElapsed } from "../core/time.js";
 import { Waiters } from "../core/fanin.js";
 import { type FaninRecord, type JobSpec, keys, type MachineType } from "../core/records.js";
 import { instantOf, now } from "../io/clock.js";
@@ -171,7 +171,7 @@
     for (;;) {
       const asked = now();
       // an answer that was long on its way says little about now: the next one is asked for at once
-      const late = passed(asked, this.read, Duration.times(this.watchFor, 2));
+      const late = hasElapsed(asked, this.read, Duration.times(this.watchFor, 2));
       const got = yield* this.state.watch(keys.unfinished, revision, late ? Duration.zero : this.watchFor);
       // what was written first: a release deletes the waiting job's record in the change that writes the job's
       for (const { key, value, stamp } of got.events)
--- a/src/service/job-releaser.ts
+++ b/src/service/job-releaser.ts
@@ -9,7 +9,7 @@
 import * as Effect from "effect/Effect";
 import { faninStep, type ParentState } from "../core/fanin.js";
 import { type CommitRecord, type FaninRecord, keys } from "../core/records.js";
-import { type Instant, passed, plus } from "../core/time.js";
+import { type Instant, hasElapsed, plus } from "../core/time.js";
 import { now } from "../io/clock.js";
 import { releasedRecord } from "../io/codec.js";
 import type { Log } from "../io/log.js";
@@ -72,7 +72,7 @@
   );
 
   private readonly round = Effect.gen(this, function* () {
-    if (this.lookedAtAll === null || passed(now(), this.lookedAtAll, LOOK_AT_ALL_EVERY)) {
+    if (this.lookedAtAll === null || hasElapsed(now(), this.lookedAtAll, LOOK_AT_ALL_EVERY)) {
       this.lookedAtAll = now();
       for (const id of this.mirror.waiting.keys()) this.changed.add(id);
     }
--- a/src/service/leader.ts
+++ b/src/service/leader.ts
@@ -19,8 +19,8 @@
 } from "../core/records.js";
 import { type Decision, type OrderOutcome, Scheduler } from "../core/scheduler.js";
 import type { MachineOwnership } from "../core/scheduler-context.js";
-import type { Spans } from "../core/term.js";
-import { type Instant, instant, minus, passed, plus } from "../core/time.js";
+import type { LeaseTimings } from "../core/term.js";
+import { type Instant, instant, minus, hasElapsed, plus } from "../core/time.js";
 import { ZoneWatch } from "../core/zones.js";
 import { now } from "../io/clock.js";
 import type { CloudClient } from "../io/cloud-client.js";
@@ -43,7 +43,7 @@
 
 export interface LeaderOptions {
   readonly me: string;
-  readonly spans: Spans;
+  readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
   readonly startGoals: ReadonlyMap<string, Duration.Duration>;
@@ -236,7 +236,9 @@
     const since = this.state.failingSince;
     if (since === null) return false;
     const words = [...this.members, ...this.member.others];
-    return words.some(([name, x]) => name !== this.options.me && x.ok && passed(x.at, since, NOTICED_WITHIN));
+    return words.some(
+      ([name, x]) => name !== this.options.me && x.ok && hasElapsed(x.at, since, NOTICED_WITHIN),
+    );
   }
 
   progressOf(id: string): { done: number; running: number } {
@@ -457,7 +459,7 @@
 
   private giveUp(s: Scheduler): void {
     for (const [id, batch] of this.pending) {
-      if (!passed(now(), batch.at, GIVEN_UP_AFTER)) return;
+      if (!hasElapsed(now(), batch.at, GIVEN_UP_AFTER)) return;
       this.answered(s, id, "unknown");
     }
   }
@@ -551,7 +553,7 @@
     yield* Effect.sleep(SWEEP_EVERY);
     const leadership = this.membership.leadership;
     if (leadership === null || this.guarded === null) return;
-    if (passed(now(), this.rangesListed, LIST_RANGES_EVERY)) {
+    if (hasElapsed(now(), this.rangesListed, LIST_RANGES_EVERY)) {
       this.rangesListed = now();
       const { rows } = yield* this.state.list(keys.ranges);
       this.guarded?.with((s) => {
--- a/src/service/member.ts
+++ b/src/service/member.ts
@@ -6,7 +6,7 @@
 import { keys, type TermRecord } from "../core/records.js";
 import type { Writing } from "../core/finish-store.js";
 import { type ReportAnswer, WorkerPartition } from "../core/worker-partition.js";
-import { type Instant, passed } from "../core/time.js";
+import { type Instant, hasElapsed } from "../core/time.js";
 import { now } from "../io/clock.js";
 import type { Change, Condition } from "../io/codec.js";
 import type { Log } from "../io/log.js";
@@ -127,7 +127,7 @@
   /** One machine's orders; their outcome is news for the leader. */
   private send(term: TermRecord, d: Delivery): Effect.Effect<void> {
     const came = now();
-    const may = (): boolean => this.maySend(term) && !passed(now(), came, TURN_WITHIN);
+    const may = (): boolean => this.maySend(term) && !hasElapsed(now(), came, TURN_WITHIN);
     // a queue may have held it up: what isn't allowed any more isn't sent
     const send = Effect.suspend(() =>
       may()
@@ -161,7 +161,7 @@
   }
 
   private leaderIsCut(): boolean {
-    return passed(now(), this.reachedLeader, POST_AFTER);
+    return hasElapsed(now(), this.reachedLeader, POST_AFTER);
   }
 
   private readonly syncOnce = Effect.gen(this, function* () {
@@ -192,7 +192,7 @@
   private post(sync: Sync): Effect.Effect<boolean> {
     const { permit } = this.membership;
     if (!this.leaderIsCut() || permit === null || !this.membership.entitled()) return Effect.succeed(false);
-    if (this.posted !== null && !passed(now(), this.posted, this.postPause)) return Effect.succeed(false);
+    if (this.posted !== null && !hasElapsed(now(), this.posted, this.postPause)) return Effect.succeed(false);
     this.posted = now();
     return Effect.map(post(this.state, this.options.me, permit, sync, this.pieces), (posted) => {
       const refused = typeof posted === "object";
@@ -230,7 +230,7 @@
     yield* this.syncNow.wait(SYNC_EVERY);
     yield* Effect.sleep(SYNC_GATHER);
     yield* this.syncOnce;
-    if (!passed(now(), this.pruned, PRUNE_EVERY)) return;
+    if (!hasElapsed(now(), this.pruned, PRUNE_EVERY)) return;
     this.pruned = now();
     this.part.prune(now(), this.options.keepFor);
   }).pipe(
--- a/src/service/membership.ts
+++ b/src/service/membership.ts
@@ -1,8 +1,14 @@
 /** This node's lease, its member key, the term, and the race for the leader's key. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { entitled, entitledByWord, informed, sameMembers, type Spans } from "../core/term.js";
-import { type Instant, passed } from "../core/time.js";
+import {
+  isWithinFencingWindow,
+  isConfirmedByPeers,
+  hasFreshJobView,
+  sameMembers,
+  type LeaseTimings,
+} from "../core/term.js";
+import { type Instant, hasElapsed } from "../core/time.js";
 import {
   keys,
   type LeaderRecord,
@@ -61,7 +67,7 @@
   constructor(
     private readonly me: string,
     private readonly zone: string,
-    private readonly spans: Spans,
+    private readonly timings: LeaseTimings,
     private readonly state: StateClient,
     private readonly log: Log,
     private readonly others: readonly string[],
@@ -87,7 +93,7 @@
   mayAnswer(): boolean {
     return (
       this.entitled() ||
-      (this.inTerm() && this.informed() && entitledByWord(this.spans, this.others, this.words, now()))
+      (this.inTerm() && this.informed() && isConfirmedByPeers(this.timings, this.others, this.words, now()))
     );
   }
 
@@ -101,11 +107,11 @@
    * its full time again, but until it has read the jobs anew it may know too little of cancels to do so.
    */
   entitled(): boolean {
-    return entitled(this.spans, this.confirmed, now()) && this.informed() && this.inTerm();
+    return isWithinFencingWindow(this.timings, this.confirmed, now()) && this.informed() && this.inTerm();
   }
 
   private informed(): boolean {
-    return informed(this.spans, this.read(), now());
+    return hasFreshJobView(this.timings, this.read(), now());
   }
 
   private inTerm(): boolean {
@@ -151,7 +157,7 @@
 
   private readonly join = Effect.gen(this, function* () {
     yield* this.clearOld;
-    const permit = yield* this.state.grant(this.spans.ttl);
+    const permit = yield* this.state.grant(this.timings.memberLease);
     const record: MemberRecord = { zone: this.zone, permit };
     // a late copy of an earlier process's write finds this key there and changes nothing
     const done = yield* this.state.commit(
@@ -172,7 +178,7 @@
     const permit = this.permit;
     if (permit === null) return yield* this.join;
     const sentAt = now();
-    const timeout = Duration.millis(Math.max(500, Duration.toMillis(this.spans.fence) / 2));
+    const timeout = Duration.millis(Math.max(500, Duration.toMillis(this.timings.fencingWindow) / 2));
     const [alive, row] = yield* Effect.all([this.state.extend(permit, timeout), this.state.get(keys.term)], {
       concurrency: 2,
     });
@@ -201,7 +207,7 @@
     yield* this.renew.pipe(
       Effect.catchAll((e) => Effect.sync(() => this.log.debug({ why: e.why }, "renewal failed"))),
     );
-    const left = Duration.toMillis(this.spans.renewEvery) - (now() - began);
+    const left = Duration.toMillis(this.timings.renewalInterval) - (now() - began);
     // never in a tight loop, also when poked
     yield* Effect.sleep(Duration.millis(50));
     if (left > 50) yield* this.renewNow.wait(Duration.millis(left - 50));
@@ -337,10 +343,11 @@
 
   /** While renewals fail, asks the others; the window counts from before each question. */
   private readonly askLoop = Effect.gen(this, function* () {
-    yield* Effect.sleep(Duration.times(this.spans.fence, 0.25));
+    yield* Effect.sleep(Duration.times(this.timings.fencingWindow, 0.25));
     const term = this.term;
     const late =
-      this.confirmed === null || passed(now(), this.confirmed, Duration.times(this.spans.fence, 0.5));
+      this.confirmed === null ||
+      hasElapsed(now(), this.confirmed, Duration.times(this.timings.fencingWindow, 0.5));
     if (!late || term === null || !this.inTerm()) return;
     yield* Effect.forEach(
       this.others,
--- a/src/service/node.ts
+++ b/src/service/node.ts
@@ -1,7 +1,7 @@
 /** One controller, wired together. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { spansOf } from "../core/term.js";
+import { leaseTimingsOf } from "../core/term.js";
 import { CloudClient } from "../io/cloud-client.js";
 import type { Log } from "../io/log.js";
 import type { Settings } from "../io/settings.js";
@@ -39,7 +39,7 @@
 /** Runs until the process is killed; fails only when a socket can't be bound. */
 export const runNode = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
   Effect.gen(function* () {
-    const spans = spansOf(settings.workers, settings.operator.memberLease);
+    const timings = leaseTimingsOf(settings.workers, settings.operator.memberLease);
     const teams = new Map(settings.teams.map((t) => [t.name, t]));
     const nodes = settings.peers.length + 1;
     const shardSettings = settings.operator.shards;
@@ -50,12 +50,12 @@
     const mirror = new JobCache(
       state,
       log,
-      Duration.min(Duration.seconds(2), Duration.times(spans.informed, 0.2)),
+      Duration.min(Duration.seconds(2), Duration.times(timings.jobViewMaxAge, 0.2)),
     );
     const membership = new Membership(
       settings.member,
       settings.zone,
-      spans,
+      timings,
       state,
       log,
       settings.peers.map((p) => p.member),
@@ -74,7 +74,7 @@
         me: settings.member,
         txnOps: settings.stateLimits.txnOps,
         valueKb: settings.stateLimits.valueKb,
-        keepFor: Duration.sum(spans.machineGone, Duration.seconds(20)),
+        keepFor: Duration.sum(timings.machineExpiry, Duration.seconds(20)),
       },
       membership,
       state,
@@ -87,7 +87,7 @@
           {
             me: settings.member,
             settings: shardSettings,
-            spans,
+            timings,
             txnOps: settings.stateLimits.txnOps,
             freeConnections: () => settings.maxConnections * FRONT - (connections?.() ?? 0),
           },
@@ -104,7 +104,7 @@
     const leader = new Leader(
       {
         me: settings.member,
-        spans,
+        timings,
         teams,
         fleet: {
           reuse: settings.operator.reuse,
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -1,7 +1,7 @@
 /** What the state service refuses as it is (400): said now and then, and tried again ever more rarely. */
 import * as Duration from "effect/Duration";
 import { Backoff } from "../core/backoff.js";
-import { type Instant, passed } from "../core/time.js";
+import { type Instant, hasElapsed } from "../core/time.js";
 import { now } from "../io/clock.js";
 import type { Log } from "../io/log.js";
 
@@ -16,7 +16,7 @@
   /** Logs it, and says how long to wait. `id`: one of many of that kind, with pauses of its own. */
   refused(what: string, error: string, id = ""): Duration.Duration {
     const last = this.logged.get(what);
-    if (last === undefined || passed(now(), last, LOG_EVERY)) {
+    if (last === undefined || hasElapsed(now(), last, LOG_EVERY)) {
       this.logged.set(what, now());
       this.log.warn({ what, id, error }, "refused by the state service");
     }
--- a/src/service/shards/move-log.ts
+++ b/src/service/shards/move-log.ts
@@ -1,7 +1,7 @@
 /** How recent moves ended, and for how long a shard isn't tried again after a refusal. */
 import * as Duration from "effect/Duration";
 import { describeRefusal, type EndedAttempt, type MoveReason, type RequestedBy, type ShardId } from "#shards";
-import { type Instant, instant, passed, plus } from "../../core/time.js";
+import { type Instant, instant, hasElapsed, plus } from "../../core/time.js";
 
 const MAX_REMEMBERED = 200;
 const FIRST_PAUSE = Duration.seconds(2);
@@ -71,7 +71,7 @@
   isBlocked(shard: ShardId, reason: MoveReason, now: Instant): boolean {
     if (now < (this.pauses.get(shard)?.until ?? instant(-Infinity))) return true;
     const at = this.movedAt.get(shard);
-    return reason === "balance" && at !== undefined && !passed(now, at, REST);
+    return reason === "balance" && at !== undefined && !hasElapsed(now, at, REST);
   }
 
   /** One move; undefined: this leader doesn't know it. */
--- a/src/service/shards/rehearsal.ts
+++ b/src/service/shards/rehearsal.ts
@@ -6,7 +6,7 @@
 import * as Effect from "effect/Effect";
 import type { Assignment, ShardId, ShardLoad } from "#shards";
 import { shardKeys } from "../../core/shard-keys.js";
-import { type Instant, passed } from "../../core/time.js";
+import { type Instant, hasElapsed } from "../../core/time.js";
 import type { StateClient } from "../../io/state-client.js";
 import type { ShardLeader } from "./shard-leader.js";
 
@@ -34,7 +34,7 @@
     loads: ReadonlyMap<ShardId, ShardLoad>,
     now: Instant,
   ): void {
-    if (this.last !== null && !passed(now, this.last, this.every)) return;
+    if (this.last !== null && !hasElapsed(now, this.last, this.every)) return;
     this.last = now;
     this.turn++;
     const phase = this.turn % (MOVES_BEFORE_DRAIN + MOVES_OF_DRAIN);
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -17,8 +17,8 @@
 import type { Machine } from "../../core/cluster.js";
 import { shardKeys } from "../../core/shard-keys.js";
 import type { Scheduler } from "../../core/scheduler.js";
-import { tokenOf } from "../../core/term.js";
-import { type Instant, passed } from "../../core/time.js";
+import { fencingTokenOf } from "../../core/term.js";
+import { type Instant, hasElapsed } from "../../core/time.js";
 import { now } from "../../io/clock.js";
 import type { Log } from "../../io/log.js";
 import { parseRefusal, type SampleWorker } from "../../io/shard-codec.js";
@@ -230,7 +230,7 @@
       // one that is still booting, or silent, says nothing about the target
       const isAnswering = confirmed && heard !== null && unanswered === 0;
       if (addr === null || !isAnswering) continue;
-      samples.push({ addr, session: Math.max(1, session), token: tokenOf(term, step) });
+      samples.push({ addr, session: Math.max(1, session), token: fencingTokenOf(term, step) });
       if (samples.length >= SAMPLES) break;
     }
     return samples;
@@ -303,14 +303,14 @@
     this.resume(leading);
     const at = now();
     if (!this.view.assignment.inForce) return;
-    if (leading.plannedAt !== null && !passed(at, leading.plannedAt, PLAN_EVERY)) return;
+    if (leading.plannedAt !== null && !hasElapsed(at, leading.plannedAt, PLAN_EVERY)) return;
     leading.plannedAt = at;
     this.loads.second();
     const counts = new Map([...this.machinesByShard()].map(([shard, machines]) => [shard, machines.length]));
     yield* this.repair(leading, counts);
     yield* this.forgetDrains;
     if (this.leading !== leading) return;
-    if (passed(now(), this.view.termLearnedAt, Duration.max(CALM_AFTER, this.options.fence)))
+    if (hasElapsed(now(), this.view.termLearnedAt, Duration.max(CALM_AFTER, this.options.fence)))
       this.plan(leading, this.loads.of(counts));
   }).pipe(
     Effect.catchAllCause((cause) =>
@@ -319,7 +319,7 @@
   );
 
   private repair(leading: Leading, counts: ReadonlyMap<ShardId, number>): Effect.Effect<void> {
-    if (!passed(now(), this.view.termLearnedAt, REPAIR_AFTER)) return Effect.void;
+    if (!hasElapsed(now(), this.view.termLearnedAt, REPAIR_AFTER)) return Effect.void;
     const isTried = (shard: ShardId): boolean => leading.coordinator.isBusy(shard);
     const most = Math.max(1, Math.floor(this.options.txnOps / 2));
     const writes = repairsOf(this.view.assignment, counts, isTried, most);
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -13,7 +13,7 @@
 } from "#shards";
 import type { TermRecord } from "../../core/records.js";
 import { shardKeys } from "../../core/shard-keys.js";
-import { type Instant, passed, stretched } from "../../core/time.js";
+import { type Instant, hasElapsed, withClockDrift } from "../../core/time.js";
 import { now } from "../../io/clock.js";
 import type { Row } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
@@ -58,7 +58,7 @@
 
   /** This controller's part, as of now. */
   get holder(): Holder {
-    if (!this.current.isSettled && passed(now(), this.learnedAt, stretched(this.fence)))
+    if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fence)))
       this.current = this.current.settled();
     return this.current;
   }
@@ -114,7 +114,7 @@
     if (this.movedAt.size === 0 || !this.assignment.inForce) return null;
     const shard = this.shardOf(machine, zone);
     const at = this.movedAt.get(shard);
-    if (at === undefined || passed(now(), at, SETTLING)) return null;
+    if (at === undefined || hasElapsed(now(), at, SETTLING)) return null;
     return this.assignment.ownershipOf(shard)?.owner ?? null;
   }
 
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -5,7 +5,7 @@
 import type { TermMember } from "../../core/records.js";
 import { shardKeys } from "../../core/shard-keys.js";
 import type { MachineOwnership } from "../../core/scheduler-context.js";
-import type { Spans } from "../../core/term.js";
+import type { LeaseTimings } from "../../core/term.js";
 import type { OwnerLookup } from "../../core/worker-partition.js";
 import type { Change } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
@@ -52,7 +52,7 @@
 export interface ShardOptions {
   readonly me: string;
   readonly settings: ShardSettings;
-  readonly spans: Spans;
+  readonly timings: LeaseTimings;
   readonly txnOps: number;
   readonly freeConnections: () => number;
 }
@@ -72,8 +72,8 @@
     peers: Peers,
     log: Log,
   ) {
-    const { me, settings, spans, txnOps } = options;
-    this.view = new ShardView(me, spans.fence, state, log);
+    const { me, settings, timings, txnOps } = options;
+    this.view = new ShardView(me, timings.fencingWindow, state, log);
     const writer = new ShardWriter(state, this.view, log);
     this.member = new ShardMember(this.view, writer, membership, workers, options.freeConnections, log);
     const every = settings.rehearseEvery;
@@ -82,9 +82,9 @@
         me,
         movesAtOnce: settings.movesAtOnce,
         hysteresis: settings.hysteresis,
-        reportEvery: spans.reportEvery,
+        reportEvery: timings.heartbeatInterval,
         txnOps,
-        fence: spans.fence,
+        fence: timings.fencingWindow,
       },
       this.view,
       writer,
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -10,13 +10,13 @@
 import { RangeSet, windows } from "../src/core/ranges.js";
 import type { TermRecord, WorkerReport } from "../src/core/records.js";
 import {
-  entitled,
-  entitledByWord,
-  informed,
+  isWithinFencingWindow,
+  isConfirmedByPeers,
+  hasFreshJobView,
   ownerOf,
-  spansOf,
-  tokenOf,
-  wordOfAll,
+  leaseTimingsOf,
+  fencingTokenOf,
+  oldestPeerConfirmation,
 } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
 import { parseReport, parseSubmission, readJob } from "../src/io/codec.js";
@@ -57,19 +57,25 @@
   assert.deepEqual(RangeSet.of([...parts.values()].flat()).ranges(), set.ranges());
 });
 
-test("spans: fence < lease ttl, and fence + lease_s < cancel_s", () => {
+test("lease timings: fencing window < lease, and fencing window + lease_s < cancel_s", () => {
   for (const [leaseS, cancelS] of [
     [34, 59],
     [28, 53],
     [10, 11],
   ] as const) {
     const ttl = Duration.seconds(3);
-    const spans = spansOf({ leaseS, reportS: 3, cancelS }, ttl);
-    assert.ok(Duration.lessThan(spans.fence, ttl));
-    assert.ok(Duration.toSeconds(spans.fence) + leaseS < cancelS);
-    assert.equal(entitled(spans, instant(0), instant(Duration.toMillis(spans.fence) - 1)), true);
-    assert.equal(entitled(spans, instant(0), instant(Duration.toMillis(spans.fence))), false);
-    assert.equal(entitled(spans, null, instant(0)), false);
+    const timings = leaseTimingsOf({ leaseS, reportS: 3, cancelS }, ttl);
+    assert.ok(Duration.lessThan(timings.fencingWindow, ttl));
+    assert.ok(Duration.toSeconds(timings.fencingWindow) + leaseS < cancelS);
+    assert.equal(
+      isWithinFencingWindow(timings, instant(0), instant(Duration.toMillis(timings.fencingWindow) - 1)),
+      true,
+    );
+    assert.equal(
+      isWithinFencingWindow(timings, instant(0), instant(Duration.toMillis(timings.fencingWindow))),
+      false,
+    );
+    assert.equal(isWithinFencingWindow(timings, null, instant(0)), false);
   }
 });
 
@@ -91,7 +97,7 @@
   spot: false,
   session: 1,
   seq: 1,
-  token: tokenOf(4),
+  token: fencingTokenOf(4),
   noticeS: null,
   tasks: [],
   ...more,
@@ -113,10 +119,10 @@
 
 test("the word of all other nodes, and of no fewer, keeps a node answering", () => {
   const words = new Map([["b", instant(500)]]);
-  assert.equal(wordOfAll(["b", "c"], words), null);
+  assert.equal(oldestPeerConfirmation(["b", "c"], words), null);
   words.set("c", instant(300));
-  assert.equal(wordOfAll(["b", "c"], words), 300);
-  assert.equal(wordOfAll([], new Map()), null);
+  assert.equal(oldestPeerConfirmation(["b", "c"], words), 300);
+  assert.equal(oldestPeerConfirmation([], new Map()), null);
 });
 
 const newPart = (member: string): WorkerPartition => {
@@ -131,7 +137,7 @@
     part.handleReport(report({ seq: ms }), entitledNow, 1, instant(ms));
   assert.deepEqual(at(1, false), { kind: "unsure" });
   assert.deepEqual(at(2, true), { kind: "elsewhere", member: "b" });
-  assert.deepEqual(at(3, true), { kind: "taken", token: tokenOf(4), halts: [] });
+  assert.deepEqual(at(3, true), { kind: "taken", token: fencingTokenOf(4), halts: [] });
   part.setTerm({ ...term, token: 5 });
   assert.deepEqual(at(4, true), { kind: "elsewhere", member: "b" });
   // another process of the same name is not that member
@@ -141,9 +147,17 @@
 test("a worker whose token the leader raised is answered with it: a lower one would be dropped", () => {
   const part = newPart("b");
   const handleReport = (token: number) => part.handleReport(report({ token }), true, 2, instant(1));
-  assert.deepEqual(handleReport(tokenOf(4, 3)), { kind: "taken", token: tokenOf(4, 3), halts: [] });
-  assert.deepEqual(handleReport(tokenOf(3, 9)), { kind: "taken", token: tokenOf(4), halts: [] });
-  assert.deepEqual(handleReport(tokenOf(5)), { kind: "taken", token: tokenOf(4), halts: [] });
+  assert.deepEqual(handleReport(fencingTokenOf(4, 3)), {
+    kind: "taken",
+    token: fencingTokenOf(4, 3),
+    halts: [],
+  });
+  assert.deepEqual(handleReport(fencingTokenOf(3, 9)), {
+    kind: "taken",
+    token: fencingTokenOf(4),
+    halts: [],
+  });
+  assert.deepEqual(handleReport(fencingTokenOf(5)), { kind: "taken", token: fencingTokenOf(4), halts: [] });
 });
 
 test("whoever answers a worker tells it to stop the tasks of jobs that are over", () => {
@@ -419,16 +433,16 @@
 });
 
 test("the others' word holds as long as each is fresh; what was read of cancels, for a while only", () => {
-  const spans = spansOf({ leaseS: 28, reportS: 4, cancelS: 53 }, Duration.seconds(3));
+  const timings = leaseTimingsOf({ leaseS: 28, reportS: 4, cancelS: 53 }, Duration.seconds(3));
   const byWord = (word: number, now: number) =>
-    entitledByWord(spans, ["b"], new Map([["b", instant(word)]]), instant(now));
+    isConfirmedByPeers(timings, ["b"], new Map([["b", instant(word)]]), instant(now));
   assert.equal(byWord(9_000, 10_000), true);
   assert.equal(byWord(0, 10_000), false);
   const knows = (read: number | null, now: number) =>
-    informed(spans, read === null ? null : instant(read), instant(now));
+    hasFreshJobView(timings, read === null ? null : instant(read), instant(now));
   assert.equal(knows(null, 10_000), false);
   // lease and window together stay under the time that a cancel has
-  const last = Duration.toMillis(spans.informed);
+  const last = Duration.toMillis(timings.jobViewMaxAge);
   assert.equal(knows(0, last - 1), true);
   assert.equal(knows(0, last), false);
   assert.ok(last + 28_000 < 53_000);
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -8,7 +8,7 @@
 import { groups, pack, valueBytes } from "../src/core/packing.js";
 import type { MachineRecord, TaskReport, TermRecord, WorkerReport } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler.js";
-import { spansOf, tokenOf } from "../src/core/term.js";
+import { leaseTimingsOf, fencingTokenOf } from "../src/core/term.js";
 import { type Instant, instant } from "../src/core/time.js";
 import { WorkerPartition } from "../src/core/worker-partition.js";
 import { syncCodec } from "../src/io/peer-codec.js";
@@ -33,7 +33,7 @@
     { name: "b", incarnation: 2, zone: "west" },
   ],
 };
-const SPANS = spansOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
+const TIMINGS = leaseTimingsOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
 
 const nameOf = (n: number): string => `n-${String(n).padStart(6, "0")}`;
 const recordOf = (n: number): MachineRecord => ({
@@ -61,7 +61,7 @@
 /** A leader that has just reread the records of so many machines. */
 const takeOver = (machines: number, idleBoots = 0.6): Scheduler => {
   const options = {
-    spans: SPANS,
+    timings: TIMINGS,
     teams: new Map([["red", { name: "red", cpus: 1e6, cpusMax: 0, gpus: 0, gpusMax: 0 }]]),
     fleet: { reuse: 0.5, idleBoots, warmFor: Duration.seconds(10) },
     startGoals: new Map(),
@@ -74,7 +74,8 @@
 };
 
 const reportAll = (scheduler: Scheduler, machines: number, seq: number, now: Instant): void => {
-  for (let n = 0; n < machines; n++) scheduler.report(reportOf(n, seq, tokenOf(TERM.token), []), "a", now);
+  for (let n = 0; n < machines; n++)
+    scheduler.report(reportOf(n, seq, fencingTokenOf(TERM.token), []), "a", now);
 };
 
 const ofKind = <K extends Decision["kind"]>(decisions: readonly Decision[], kind: K) =>
@@ -85,7 +86,7 @@
     const part = new WorkerPartition("a", 3000, Duration.seconds(4));
     part.setTerm({ ...TERM, members: [TERM.members[0]!] });
     for (let n = 0; n < machines; n++)
-      part.handleReport(reportOf(n, 1, tokenOf(TERM.token), tasksOf(n)), true, 1, instant(1000));
+      part.handleReport(reportOf(n, 1, fencingTokenOf(TERM.token), tasksOf(n)), true, 1, instant(1000));
     const told = new Set<string>();
     let messages = 0;
     let largest = 0;
@@ -174,7 +175,7 @@
     for (let now = 1250; now <= 25_000; now += 250) {
       if (now % 5000 === 0)
         for (let n = 0; n < machines; n += 2)
-          scheduler.report(reportOf(n, 1 + now, tokenOf(TERM.token), []), "a", instant(now));
+          scheduler.report(reportOf(n, 1 + now, fencingTokenOf(TERM.token), []), "a", instant(now));
       for (const { machine, orders, token } of ofKind(scheduler.step(instant(now)), "orders")) {
         asked.add(machine);
         const isSilent = recordOf(Number(machine.slice(2))).zone === "west";
--- a/test/large-fleet.ts
+++ b/test/large-fleet.ts
@@ -3,7 +3,7 @@
 import type { Cluster } from "../src/core/cluster.js";
 import type { JobSpec, TaskReport } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler.js";
-import { spansOf, tokenOf } from "../src/core/term.js";
+import { leaseTimingsOf, fencingTokenOf } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
 import { TYPES } from "./model.js";
 import { jobSpec } from "./specs.js";
@@ -47,11 +47,11 @@
   readonly s: Scheduler;
   readonly tasks = new Map<string, Map<string, TaskReport>>();
   /** The token that the machines know. */
-  token = tokenOf(1);
+  token = fencingTokenOf(1);
   private seq = 0;
 
   constructor(machines: number, arrays: number, services: number) {
-    const spans = spansOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
+    const timings = leaseTimingsOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
     const team = { name: "red", cpus: 1e6, cpusMax: 0, gpus: 0, gpusMax: 0 };
     const term = {
       token: 1,
@@ -60,7 +60,7 @@
       members: [{ name: "a", incarnation: 1, zone: "east" }],
     };
     const fleet = { reuse: 0.5, idleBoots: 0.6, warmFor: Duration.seconds(10) };
-    const options = { spans, teams: new Map([["red", team]]), fleet, startGoals: new Map() };
+    const options = { timings, teams: new Map([["red", team]]), fleet, startGoals: new Map() };
     this.s = new Scheduler(options, term, 10, instant(0));
     this.s.setTypes(TYPES);
     for (let i = 0; i < machines; i++) {
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -17,7 +17,7 @@
   TermRecord,
   WorkerReport,
 } from "../src/core/records.js";
-import { tokenOf } from "../src/core/term.js";
+import { fencingTokenOf } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
 import { type Change, type Condition, jobRecord, parseSubmission, state } from "../src/io/codec.js";
 import { MachineRecordStore, opsOf, type Room } from "../src/service/machine-record-store.js";
@@ -142,7 +142,7 @@
     spot: true,
     session: 1,
     seq,
-    token: tokenOf(1),
+    token: fencingTokenOf(1),
     noticeS: null,
     tasks: [0, 1, 2, 3].map((index) => ({
       job: "req-000412",
--- a/test/meetings-silence.test.ts
+++ b/test/meetings-silence.test.ts
@@ -4,11 +4,11 @@
  */
 import assert from "node:assert/strict";
 import * as Duration from "effect/Duration";
-import { SPANS, type World } from "./model.js";
+import { TIMINGS, type World } from "./model.js";
 import { playAll, type Scenario } from "./scenarios.js";
 
-const LEASE = Duration.toMillis(SPANS.workerLease);
-const CANCEL = Duration.toMillis(SPANS.cancel);
+const LEASE = Duration.toMillis(TIMINGS.workerLease);
+const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
 const led = (w: World): boolean => w.until(() => w.led(), 30_000);
 
 /** Jobs whose tasks run for long; they are at work when this returns. */
--- a/test/meetings-users.test.ts
+++ b/test/meetings-users.test.ts
@@ -3,10 +3,10 @@
  * through any node, and no node may answer anything older than what a user was told.
  */
 import * as Duration from "effect/Duration";
-import { SPANS, type World } from "./model.js";
+import { TIMINGS, type World } from "./model.js";
 import { playAll, type Scenario } from "./scenarios.js";
 
-const CANCEL = Duration.toMillis(SPANS.cancel);
+const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
 const SMALL = { tasks: 1, cpus: 1 } as const;
 
 /** Users ask until every question would count as forgotten. */
--- a/test/meetings.test.ts
+++ b/test/meetings.test.ts
@@ -4,11 +4,11 @@
  * has to notice that it is missing.
  */
 import * as Duration from "effect/Duration";
-import { SPANS, type World } from "./model.js";
+import { TIMINGS, type World } from "./model.js";
 import { playAll, type Scenario } from "./scenarios.js";
 
-const LEASE = Duration.toMillis(SPANS.workerLease);
-const CANCEL = Duration.toMillis(SPANS.cancel);
+const LEASE = Duration.toMillis(TIMINGS.workerLease);
+const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
 /** Somebody leads and acts again. */
 const led = (w: World): boolean => w.until(() => w.led(), 30_000);
 /** Tasks that run for long, on several machines. */
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -5,7 +5,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import { keys, type LeaderRecord, type MemberRecord } from "../src/core/records.js";
-import { spansOf } from "../src/core/term.js";
+import { leaseTimingsOf } from "../src/core/term.js";
 import { now } from "../src/io/clock.js";
 import { makeLog } from "../src/io/log.js";
 import { StateClient, Unavailable } from "../src/io/state-client.js";
@@ -32,11 +32,11 @@
 };
 
 test("an earlier process's late write of the member key changes nothing for long", async () => {
-  const spans = spansOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
+  const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
   const earlier = await Effect.runPromise(state.grant(Duration.seconds(600)));
   const key = keys.member("one");
   standIn.put(key, { zone: "east", permit: earlier } satisfies MemberRecord, earlier);
-  const member = new Membership("one", "east", spans, state, log, [], () => Effect.succeed(true), now);
+  const member = new Membership("one", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
   const holds = (): boolean => standIn.rows.get(key)?.stamp === member.incarnation;
   try {
@@ -59,8 +59,8 @@
 });
 
 test("a leader's key that was written late, after the answer was given up, is this process's all the same", async () => {
-  const spans = spansOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
-  const member = new Membership("two", "east", spans, state, log, [], () => Effect.succeed(true), now);
+  const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
+  const member = new Membership("two", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
   const tryLead = (): Promise<boolean> =>
     Effect.runPromise(Effect.orElseSucceed(member.tryLead, () => false));
--- a/test/model.ts
+++ b/test/model.ts
@@ -20,7 +20,13 @@
 import { RangeSet } from "../src/core/ranges.js";
 import { setMachine } from "../src/core/cluster.js";
 import { type Decision, type OrderOutcome, Scheduler } from "../src/core/scheduler.js";
-import { entitled, entitledByWord, informed, sameMembers, spansOf } from "../src/core/term.js";
+import {
+  isWithinFencingWindow,
+  isConfirmedByPeers,
+  hasFreshJobView,
+  sameMembers,
+  leaseTimingsOf,
+} from "../src/core/term.js";
 import { type Instant, instant, minus } from "../src/core/time.js";
 import { type Row, View, WaitingJobs } from "./model-pipelines.js";
 import { ShardMoves } from "./model/shards.js";
@@ -77,7 +83,7 @@
 export type MachineTrouble = "hung" | "cut" | "deaf" | "mute";
 
 const TTL = Duration.seconds(3);
-export const SPANS = spansOf({ leaseS: 12, reportS: 1, cancelS: 30 }, TTL);
+export const TIMINGS = leaseTimingsOf({ leaseS: 12, reportS: 1, cancelS: 30 }, TTL);
 const STEP = 50;
 const QUICK_BOOT_MS = 2000;
 
@@ -285,7 +291,7 @@
       nodes: this.nodes,
       jobs: this.jobs,
       commits: this.commits,
-      cancelMs: Duration.toMillis(SPANS.cancel),
+      cancelMs: Duration.toMillis(TIMINGS.cancelDeadline),
       now: () => this.now,
       draw: this.extra,
       delay: () => {
@@ -427,17 +433,21 @@
   private entitled(node: Node): boolean {
     if (!node.alive || node.term === null) return false;
     if (this.without === "fence") return node.confirmed !== null;
-    return entitled(SPANS, node.confirmed, instant(this.now)) && this.informed(node) && this.inTerm(node);
+    return (
+      isWithinFencingWindow(TIMINGS, node.confirmed, instant(this.now)) &&
+      this.informed(node) &&
+      this.inTerm(node)
+    );
   }
   private informed(node: Node): boolean {
-    return this.without === "read" || informed(SPANS, node.read, instant(this.now));
+    return this.without === "read" || hasFreshJobView(TIMINGS, node.read, instant(this.now));
   }
   /** The word of all other nodes opens the window too, for answers alone. */
   private mayAnswer(node: Node): boolean {
     if (this.entitled(node)) return true;
     if (!node.alive || node.term === null || !this.inTerm(node) || !this.informed(node)) return false;
     const others = this.nodes.filter((n) => n !== node).map((n) => n.name);
-    return entitledByWord(SPANS, others, node.words, instant(this.now));
+    return isConfirmedByPeers(TIMINGS, others, node.words, instant(this.now));
   }
   private askOthers(node: Node): void {
     const { term } = node;
@@ -516,7 +526,7 @@
     // longer than its own lease and a worker's; mostly the busiest
     if (this.chance(0.01)) {
       const node = this.nodes.find((n) => n.name === this.leader?.name) ?? this.pick(this.nodes);
-      node.frozenUntil = this.now + this.random() * 2 * Duration.toMillis(SPANS.workerLease);
+      node.frozenUntil = this.now + this.random() * 2 * Duration.toMillis(TIMINGS.workerLease);
     }
     const workers = [...this.workers.values()].filter((w) => !w.gone);
     if (workers.length > 0) {
@@ -638,7 +648,7 @@
 
   private work(w: Worker): void {
     if (w.gone || this.now < w.up) return;
-    if (this.now - w.answeredSent > Duration.toMillis(SPANS.workerLease)) {
+    if (this.now - w.answeredSent > Duration.toMillis(TIMINGS.workerLease)) {
       w.tasks.clear();
       w.session++;
       w.answeredSent = this.now;
@@ -680,13 +690,13 @@
     }
     const report = this.report(w);
     if (this.lateReports > 0 && this.extra() < this.lateReports) {
-      const lease = Duration.toMillis(SPANS.workerLease);
+      const lease = Duration.toMillis(TIMINGS.workerLease);
       this.deliverCopy(w, report, this.now + 2000 + this.extra() * (2.5 * lease - 2000), null);
     }
     const node = this.nodes[w.node % this.nodes.length]!;
     // a copy may come late, from seconds to well over a lease, and to whoever is there then
     if (this.chance(0.2)) {
-      const late = this.now + this.random() * 2.5 * Duration.toMillis(SPANS.workerLease);
+      const late = this.now + this.random() * 2.5 * Duration.toMillis(TIMINGS.workerLease);
       const to = this.pick(this.nodes);
       this.messages.push({
         at: late,
@@ -827,7 +837,7 @@
     if (commit?.outcome === "cancelled") {
       this.count("starts after a confirmed cancellation");
       // gone within a step perhaps, so the check after each step wouldn't see it
-      if (this.now > commit.at + Duration.toMillis(SPANS.cancel))
+      if (this.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline))
         this.broken.push({ rule: "ran_cancelled", text: `${o.job}/${o.index} starts at ${this.now}` });
     }
     const elsewhere = this.holders(o.job, o.index).filter((x) => x !== w);
@@ -972,7 +982,7 @@
     // the state service answers at once in the model: reread everything
     const s = new Scheduler(
       {
-        spans: SPANS,
+        timings: TIMINGS,
         teams: new Map(this.teams.map((t) => [t.name, this.without === "quota" ? { ...t, cpusMax: 0 } : t])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(2) },
         startGoals: new Map([["service", Duration.millis(100)]]),
@@ -1318,7 +1328,7 @@
         const spec = this.allJobs.get(t.job)!;
         usage.set(spec.team, (usage.get(spec.team) ?? 0) + spec.cpus);
         const commit = this.commits.get(t.job);
-        const late = commit !== undefined && this.now > commit.at + Duration.toMillis(SPANS.cancel);
+        const late = commit !== undefined && this.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline);
         if (commit?.outcome === "cancelled" && late)
           this.broken.push({ rule: "ran_cancelled", text: `${t.job}/${t.index} on ${w.id} at ${this.now}` });
       }
@@ -1654,7 +1664,7 @@
       this.pipelines.toldOver(id, "cancelled", true);
     }
     this.run(outage);
-    this.stateOutage(Duration.toMillis(SPANS.cancel) + 5000);
+    this.stateOutage(Duration.toMillis(TIMINGS.cancelDeadline) + 5000);
     this.run(this.stateDownUntil + 20_000);
     return met;
   }
--- a/test/pipeline-rules.test.ts
+++ b/test/pipeline-rules.test.ts
@@ -3,10 +3,10 @@
  * accepted is served or cancelled afterwards, and where a guard is named the checker has to notice that it is missing.
  */
 import * as Duration from "effect/Duration";
-import { SPANS, type World } from "./model.js";
+import { TIMINGS, type World } from "./model.js";
 import { playAll, type Scenario } from "./scenarios.js";
 
-const CANCEL = Duration.toMillis(SPANS.cancel);
+const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
 const SMALL = { tasks: 2, cpus: 1 } as const;
 const led = (w: World): boolean => w.until(() => w.led(), 30_000);
 /** A job that waits for nothing, of tasks that each run so long. */
--- a/test/scene.ts
+++ b/test/scene.ts
@@ -2,9 +2,9 @@
 import * as Duration from "effect/Duration";
 import type { Order, TaskReport, WorkerReport } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler.js";
-import { tokenOf } from "../src/core/term.js";
+import { fencingTokenOf } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
-import { SPANS, TEAMS, TYPES } from "./model.js";
+import { TIMINGS, TEAMS, TYPES } from "./model.js";
 
 /** A scheduler with small machines (8 processors each) that execute and report at once. */
 export class Scene {
@@ -15,7 +15,7 @@
   private readonly asked: Extract<Decision, { kind: "orders" }>[] = [];
   private seq = 0;
   /** The token that the machines know. */
-  private token = tokenOf(1);
+  private token = fencingTokenOf(1);
 
   /** Machines that get no commands, their shard being handed over. */
   readonly paused = new Set<string>();
@@ -24,7 +24,7 @@
     const term = { token: 1, key: 10, leader: "a", members: [{ name: "a", incarnation: 1, zone: "east" }] };
     this.s = new Scheduler(
       {
-        spans: SPANS,
+        timings: TIMINGS,
         teams: new Map(TEAMS.map((t) => [t.name, t])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
         startGoals: new Map(),
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -6,10 +6,10 @@
 import { Fleet } from "../src/core/fleet.js";
 import { type JobSpec, type Order, RANK, type TaskReport, type WorkerReport } from "../src/core/records.js";
 import { Scheduler } from "../src/core/scheduler.js";
-import { termOf, tokenOf } from "../src/core/term.js";
+import { termNumberOf, fencingTokenOf } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
 import { ZoneWatch } from "../src/core/zones.js";
-import { SPANS, TEAMS, TYPES } from "./model.js";
+import { TIMINGS, TEAMS, TYPES } from "./model.js";
 import { recount } from "./recount.js";
 import { EAST, Scene } from "./scene.js";
 import { jobSpec as spec } from "./specs.js";
@@ -86,7 +86,7 @@
   // asked under a token of its own that is higher than the start's, it answers without the task
   const asked = scene.questions("n-1").at(-1)!;
   assert.ok(asked.token > scene.sent[0]!.token);
-  assert.equal(termOf(asked.token), 1, "nobody else has to hear of it");
+  assert.equal(termNumberOf(asked.token), 1, "nobody else has to hear of it");
   scene.step();
   scene.step();
   assert.equal(scene.ops("start"), 2);
@@ -255,7 +255,7 @@
   }
   assert.equal(why, "reaches no controller");
   assert.equal(startsLate, 0);
-  const lease = Duration.toMillis(SPANS.workerLease);
+  const lease = Duration.toMillis(TIMINGS.workerLease);
   assert.ok(scene.now < 2000 + lease, `released at ${scene.now}`);
   assert.ok(scene.now > 2000 + lease / 2, `released at ${scene.now}: too soon for what runs there`);
 });
@@ -339,7 +339,7 @@
     scene.live().map((t) => t.attempt),
     [started.order.attempt],
   );
-  scene.s.report({ ...copy, seq: 901, token: tokenOf(1), tasks: [] }, "a", instant(scene.now));
+  scene.s.report({ ...copy, seq: 901, token: fencingTokenOf(1), tasks: [] }, "a", instant(scene.now));
   assert.equal(scene.s.cluster.machines.has("n-77"), true);
 });
 
@@ -400,7 +400,7 @@
 });
 
 test("behind a cut machines are kept until just before their leases end, also by a leader that never heard them", () => {
-  const lease = Duration.toMillis(SPANS.workerLease);
+  const lease = Duration.toMillis(TIMINGS.workerLease);
   const zones = new ZoneWatch();
   const member = (name: string, zone: string) => ({ name, incarnation: 1, zone });
   const both = { token: 1, key: 5, leader: "a", members: [member("a", "east"), member("b", "west")] };
@@ -411,7 +411,7 @@
   assert.equal(zones.lostSince("west"), lostAt);
   assert.equal(zones.lostSince("east"), null);
   const options = {
-    spans: SPANS,
+    timings: TIMINGS,
     teams: new Map(TEAMS.map((t) => [t.name, t])),
     fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
     startGoals: new Map(),
@@ -424,7 +424,8 @@
   for (let t = lostAt + 2000; releasedAt === 0 && t < lostAt + 3 * lease; t += 250)
     for (const d of s.stepFleet(instant(t))) if (d.kind === "release") releasedAt = t;
   // the last answers may be older than the loss by a report and by the member's own lease
-  const oldest = lostAt - Duration.toMillis(SPANS.ttl) - Duration.toMillis(SPANS.reportEvery);
+  const oldest =
+    lostAt - Duration.toMillis(TIMINGS.memberLease) - Duration.toMillis(TIMINGS.heartbeatInterval);
   assert.ok(
     releasedAt <= oldest + lease,
     `released ${releasedAt - oldest - lease} ms after the first leases`,
@@ -461,7 +462,7 @@
   const member = (name: string, zone: string) => ({ name, incarnation: 1, zone });
   const term = { token: 1, key: 10, leader: "a", members: [member("a", "east"), member("b", "east")] };
   const options = {
-    spans: SPANS,
+    timings: TIMINGS,
     teams: new Map(TEAMS.map((t) => [t.name, t])),
     fleet: { reuse: 0.5, idleBoots: 100, warmFor: Duration.zero },
     startGoals: new Map(),
@@ -473,7 +474,11 @@
     const seq = (seqs.get(machine) ?? 0) + 1;
     seqs.set(machine, seq);
     const known = { machine, addr: "x", type: "small", zone: "east", spot: false };
-    s.report({ ...known, session: 1, seq, token: tokenOf(1), noticeS: null, tasks: [] }, via, instant(at));
+    s.report(
+      { ...known, session: 1, seq, token: fencingTokenOf(1), noticeS: null, tasks: [] },
+      via,
+      instant(at),
+    );
   };
   for (let i = 0; i < 8; i++) {
     s.recorded(`n-${i}`, { type: "small", zone: "east", spot: false, addr: "x" }, instant(0));
