--- a/src/core/attempt-results.ts
+++ b/src/core/attempt-results.ts
@@ -17,7 +17,7 @@
 const PROVEN_AFTER = Duration.seconds(10);
 
 const isUnproven = (hold: Hold, now: Instant): boolean =>
-  hold.state === "ordered" || hold.state === "fetching" || !hasElapsed(now, hold.since, PROVEN_AFTER);
+  hold.state === "dispatched" || hold.state === "fetching" || !hasElapsed(now, hold.since, PROVEN_AFTER);
 
 /** Whether some task of the job runs, and has run for a while. */
 const isProven = (job: Job, now: Instant): boolean => {
--- a/src/core/cluster-machines.ts
+++ b/src/core/cluster-machines.ts
@@ -39,7 +39,7 @@
 };
 
 /** Counts a command batch without an answer, or resets the count once one is answered. */
-export const answeredDirectly = (
+export const recordCommandAnswer = (
   cluster: Cluster,
   machine: Machine,
   answered: boolean,
--- a/src/core/cluster-state.ts
+++ b/src/core/cluster-state.ts
@@ -26,8 +26,8 @@
   readonly machine: string;
   /** The job's spec; null while the job record is not known. */
   readonly spec: JobSpec | null;
-  /** As last reported by the worker; `ordered`: the start command was decided on and has not shown in a heartbeat. */
-  state: TaskState | "ordered";
+  /** As last reported by the worker; `dispatched`: the start command was decided on and has not shown in a heartbeat. */
+  state: TaskState | "dispatched";
   /** Why the attempt ended; null until it exited. */
   why: ExitReason | null;
   /** When it entered its present state. */
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -8,7 +8,7 @@
 export { addJob, dropJob, finish } from "./cluster-jobs.js";
 export {
   addMachine,
-  answeredDirectly,
+  recordCommandAnswer,
   dropMachine,
   recordHeartbeat,
   type MachineChange,
--- a/src/core/command-sender.ts
+++ b/src/core/command-sender.ts
@@ -3,11 +3,11 @@
  * start may still be executed is settled here (S2, S4); machines that are silent or unconfirmed are asked for a heartbeat.
  */
 import * as Duration from "effect/Duration";
-import { answeredDirectly, changeHold, type Hold, holdKey, type Machine, machineOf } from "./cluster.js";
+import { recordCommandAnswer, changeHold, type Hold, holdKey, type Machine, machineOf } from "./cluster.js";
 import { isSameOrNewer, removeHold, type HeartbeatId } from "./cluster.js";
-import type { Decision, OrderOutcome } from "./decisions.js";
-import type { CommandBatch } from "./command-batch.js";
-import type { Order } from "./records.js";
+import type { Decision, CommandOutcome } from "./decisions.js";
+import type { PendingCommands } from "./pending-commands.js";
+import type { Command } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { termNumberOf, fencingTokenOf } from "./term.js";
 import { type Instant, hasElapsed, plus } from "./time.js";
@@ -25,11 +25,11 @@
 const NOT_SENT = 0;
 
 /** What became of a batch, and the heartbeat that the worker answered with. */
-export interface BatchResult {
-  readonly orders: readonly Order[];
+export interface CommandBatchResult {
+  readonly commands: readonly Command[];
   /** The token under which it was sent; 0: it wasn't. */
-  readonly token: number;
-  readonly outcome: OrderOutcome;
+  readonly fencingToken: number;
+  readonly outcome: CommandOutcome;
   readonly answeredBy: HeartbeatId;
 }
 
@@ -69,33 +69,33 @@
   }
 
   /** Sends this step's commands, then questions to machines that should have been heard. */
-  send(now: Instant, outbox: CommandBatch, decisions: Decision[]): void {
-    for (const id of outbox.orders.keys()) {
+  send(now: Instant, pendingCommands: PendingCommands, decisions: Decision[]): void {
+    for (const id of pendingCommands.commands.keys()) {
       const machine = this.scope.cluster.machines.get(id);
-      const orders = outbox.take(id);
-      if (machine === undefined || orders === null) continue;
+      const commands = pendingCommands.take(id);
+      if (machine === undefined || commands === null) continue;
       const isFree = !machine.inFlight && !this.scope.isPaused(machine);
-      const sent = isFree && this.sendBatch(machine, orders, decisions);
+      const sent = isFree && this.sendBatch(machine, commands, decisions);
       // one batch at a time: what can't be sent now is decided on again
-      if (!sent) this.answered(id, notSent(orders), now);
+      if (!sent) this.answered(id, notSent(commands), now);
     }
     this.askForReports(now, decisions);
   }
 
   /** Whether the machine has an address to send to. */
-  private sendBatch(machine: Machine, orders: Order[], decisions: Decision[]): boolean {
+  private sendBatch(machine: Machine, commands: Command[], decisions: Decision[]): boolean {
     if (machine.addr === null) return false;
     machine.inFlight = true;
     decisions.push({
-      kind: "orders",
+      kind: "commands",
       machine: machine.id,
       zone: machine.zone,
       // what got no answer by one way is sent by the other
       via: machine.unanswered % 2 === 1 ? this.otherWay(machine) : this.usualWay(machine),
       addr: machine.addr,
-      session: Math.max(1, machine.workerEpoch),
-      token: fencingTokenOf(this.scope.term.token, machine.fencingTokenStep),
-      orders,
+      workerEpoch: Math.max(1, machine.workerEpoch),
+      fencingToken: fencingTokenOf(this.scope.term.token, machine.fencingTokenStep),
+      commands,
     });
     return true;
   }
@@ -163,42 +163,47 @@
   }
 
   /** What became of a batch; also of one that was not sent. */
-  answered(id: string, result: BatchResult, now: Instant): void {
+  answered(id: string, result: CommandBatchResult, now: Instant): void {
     const { cluster } = this.scope;
     const machine = cluster.machines.get(id);
     if (machine === undefined) return;
-    const { outcome, token } = result;
+    const { outcome, fencingToken } = result;
     // a node whose queue is full, or that may not send now, won't send a moment later
-    if (outcome === "barred" && token !== NOT_SENT) this.blockedUntil.set(machine, plus(now, BLOCKED_FOR));
-    else if (termNumberOf(token) === this.scope.term.token) machine.inFlight = false;
+    if (outcome === "barred" && fencingToken !== NOT_SENT)
+      this.blockedUntil.set(machine, plus(now, BLOCKED_FOR));
+    else if (termNumberOf(fencingToken) === this.scope.term.token) machine.inFlight = false;
     cluster.attention.add(machine);
     cluster.chances++;
     const isAnswer = outcome === "done" || outcome === "rejected";
-    if (outcome !== "barred") answeredDirectly(cluster, machine, isAnswer, now);
-    for (const order of result.orders) {
-      const hold = machine.holds.get(holdKey(order.job, order.index, order.attempt));
+    if (outcome !== "barred") recordCommandAnswer(cluster, machine, isAnswer, now);
+    for (const command of result.commands) {
+      const hold = machine.holds.get(holdKey(command.job, command.index, command.attempt));
       if (hold === undefined) continue;
-      if (order.op === "stop" && outcome !== "done") hold.stopping = false;
-      if (order.op === "start" && hold.state === "ordered") this.startAnswered(machine, hold, result);
+      if (command.op === "stop" && outcome !== "done") hold.stopping = false;
+      if (command.op === "start" && hold.state === "dispatched") this.startAnswered(machine, hold, result);
     }
   }
 
   /** A start that no heartbeat has shown yet: whether it may still be executed (S4). */
-  private startAnswered(machine: Machine, hold: Hold, { outcome, token, answeredBy }: BatchResult): void {
+  private startAnswered(
+    machine: Machine,
+    hold: Hold,
+    { outcome, fencingToken, answeredBy }: CommandBatchResult,
+  ): void {
     const { cluster } = this.scope;
     // A heartbeat under a higher token came before this and didn't show the task: a late start is refused from then on. No
     // later heartbeat would settle the doubt, since workers report changes alone.
-    const isRefusedLater = machine.fencingToken > token;
-    if (outcome === "unknown" && !isRefusedLater) changeHold(cluster, hold, { doubt: token });
+    const isRefusedLater = machine.fencingToken > fencingToken;
+    if (outcome === "unknown" && !isRefusedLater) changeHold(cluster, hold, { doubt: fencingToken });
     // reports come by several ways: the one that shows the task may arrive after this answer
     else if (outcome === "done" && !isSameOrNewer(machine, answeredBy)) hold.answered = answeredBy;
     else removeHold(cluster, hold);
   }
 }
 
-const notSent = (orders: readonly Order[]): BatchResult => ({
-  orders,
-  token: NOT_SENT,
+const notSent = (commands: readonly Command[]): CommandBatchResult => ({
+  commands,
+  fencingToken: NOT_SENT,
   outcome: "barred",
   answeredBy: { workerEpoch: 0, sequence: 0 },
 });
--- a/src/core/decisions.ts
+++ b/src/core/decisions.ts
@@ -1,19 +1,19 @@
 /** What the leader's core decides, and what it is told of the outcome. */
 import type { Rent } from "./fleet.js";
-import type { MachineRecord, Order } from "./records.js";
+import type { MachineRecord, Command } from "./records.js";
 
 /** Something to be done outside the core. The caller carries each out, or tells the core that it failed. */
 export type Decision =
   /** Send these commands to a machine's worker, by `via`; an empty list asks for a heartbeat alone. */
   | {
-      kind: "orders";
+      kind: "commands";
       machine: string;
       zone: string;
       via: string | null;
       addr: string;
-      session: number;
-      token: number;
-      orders: Order[];
+      workerEpoch: number;
+      fencingToken: number;
+      commands: Command[];
     }
   /** Create the commit record of a job of which all tasks are finished (S7). */
   | { kind: "commit"; job: string; tasks: number }
@@ -22,7 +22,7 @@
   /** Rent machines (S10). */
   | { kind: "rent"; rent: Rent }
   /** Return machines to the cloud (S3). */
-  | { kind: "release"; machines: string[]; why: string }
+  | { kind: "release"; machines: string[]; reason: string }
   /** A line for the log. */
   | { kind: "note"; text: string };
 
@@ -30,4 +30,4 @@
  * done: executed. rejected: the worker refused. unsent: the worker can't be reached. unknown: it may be executed yet.
  * barred: the node asked may not send (its term or its window); that says nothing about the worker.
  */
-export type OrderOutcome = "done" | "rejected" | "unsent" | "unknown" | "barred";
+export type CommandOutcome = "done" | "rejected" | "unsent" | "unknown" | "barred";
--- a/src/core/fleet-decisions.ts
+++ b/src/core/fleet-decisions.ts
@@ -38,12 +38,12 @@
     return decisions;
   }
 
-  private releaseSome(machines: string[], why: string, now: Instant): Decision {
+  private releaseSome(machines: string[], reason: string, now: Instant): Decision {
     for (const id of machines) {
       const machine = this.scope.cluster.machines.get(id);
       if (machine !== undefined) machine.releasing = now;
     }
-    return { kind: "release", machines, why };
+    return { kind: "release", machines, reason };
   }
 
   /** Rentals for what neither free nor booting machines will hold. */
--- a/src/core/heartbeat-handler.ts
+++ b/src/core/heartbeat-handler.ts
@@ -184,5 +184,5 @@
 const mayStillStart = (hold: Hold, heartbeat: Heartbeat): boolean => {
   if (hold.doubt !== null) return !(heartbeat.fencingToken > hold.doubt);
   const isAnswered = hold.answered !== null && isSameOrNewer(heartbeat, hold.answered);
-  return hold.state === "ordered" && !isAnswered;
+  return hold.state === "dispatched" && !isAnswered;
 };
--- a/src/core/member-news.ts
+++ b/src/core/member-news.ts
@@ -1,5 +1,5 @@
 /** What a member tells the leader: reports, when workers were heard and answered, stored finishes, outcomes of commands. */
-import type { OrderOutcome } from "./decisions.js";
+import type { CommandOutcome } from "./decisions.js";
 import type { Range } from "./ranges.js";
 import type { Heartbeat } from "./records.js";
 
@@ -14,12 +14,12 @@
   readonly answerAgeMs: number;
   readonly heartbeatAgeMs: number;
 }
-/** What became of an order batch of the leader's, and which report the worker answered with; 0: none. */
-export interface Outcome {
+/** What became of a command batch of the leader's, and which report the worker answered with; 0: none. */
+export interface CommandResult {
   readonly id: number;
-  readonly outcome: OrderOutcome;
-  readonly session: number;
-  readonly seq: number;
+  readonly outcome: CommandOutcome;
+  readonly workerEpoch: number;
+  readonly sequence: number;
 }
 /** Finishes of one job that are in the state service. */
 export interface StoredFinishes {
@@ -31,5 +31,5 @@
   readonly reports: readonly AgedHeartbeat[];
   readonly seen: readonly WorkerContact[];
   readonly stored: readonly StoredFinishes[];
-  readonly outcomes: readonly Outcome[];
+  readonly outcomes: readonly CommandResult[];
 }
--- /dev/null
+++ b/src/core/pending-commands.ts
@@ -0,0 +1,59 @@
+/** The orders that one step decides on, by machine. */
+import * as Duration from "effect/Duration";
+import type { Hold } from "./cluster.js";
+import type { Command } from "./records.js";
+
+export class PendingCommands {
+  readonly commands = new Map<string, Command[]>();
+  /** What can wait until something else goes to the same machine. */
+  readonly deferred = new Map<string, Command[]>();
+
+  /** Adds a command for a machine. */
+  push(machine: string, command: Command): void {
+    add(this.commands, machine, command);
+  }
+
+  /** Adds all that was decided on here to `other`, in order. */
+  moveTo(other: PendingCommands): void {
+    for (const [machine, commands] of this.commands)
+      for (const command of commands) other.push(machine, command);
+  }
+
+  /** Goes along with the machine's next commands; `due`: goes even without any. */
+  forget(hold: Hold, due: boolean): void {
+    const { job, index, attempt } = hold;
+    add(due ? this.commands : this.deferred, hold.machine, {
+      op: "forget",
+      job,
+      index,
+      attempt,
+      gracePeriodSeconds: 0,
+    });
+  }
+
+  /** Tells a worker to start an attempt of a task; its hold is there already (S4). */
+  start(machine: string, job: string, index: number, attempt: number): void {
+    this.push(machine, { op: "start", job, index, attempt, gracePeriodSeconds: 0 });
+  }
+
+  /** Tells a task to stop, with the time that it needs to save. */
+  stop(hold: Hold, gracePeriodSeconds = hold.spec === null ? 0 : Duration.toSeconds(hold.spec.save)): void {
+    hold.stopping = true;
+    const { job, index, attempt } = hold;
+    this.push(hold.machine, { op: "stop", job, index, attempt, gracePeriodSeconds });
+  }
+
+  /** A machine's commands, with what was waiting for them put first. */
+  take(machine: string): Command[] | null {
+    const commands = this.commands.get(machine);
+    if (commands === undefined) return null;
+    const aside = this.deferred.get(machine);
+    return aside === undefined ? commands : [...aside, ...commands];
+  }
+}
+
+const add = (commands: Map<string, Command[]>, machine: string, command: Command): void => {
+  const list = commands.get(machine);
+  if (list === undefined) commands.set(machine, [command]);
+  else list.push(command);
+};
--- a/src/core/placement-round.ts
+++ b/src/core/placement-round.ts
@@ -1,6 +1,6 @@
 /** What one step of the placer works with: the machines that may be used, and what was found out so far. */
 import type { Job, Machine } from "./cluster.js";
-import type { CommandBatch } from "./command-batch.js";
+import type { PendingCommands } from "./pending-commands.js";
 import { noEasier } from "./placement.js";
 import type { Usage } from "./quota.js";
 import type { JobSpec } from "./records.js";
@@ -23,7 +23,7 @@
 
   constructor(
     readonly now: Instant,
-    readonly outbox: CommandBatch,
+    readonly pendingCommands: PendingCommands,
     readonly notes: string[],
     /** What machines may hold that this leader doesn't know of: it counts against every limit (S6). */
     private readonly unseen: Usage,
--- a/src/core/placer.ts
+++ b/src/core/placer.ts
@@ -3,7 +3,7 @@
 import { startableTasks } from "./attempt-results.js";
 import { type Hold, type Job, type Machine, removeHold } from "./cluster.js";
 import type { JobQueue } from "./job-queue.js";
-import { CommandBatch } from "./command-batch.js";
+import { PendingCommands } from "./pending-commands.js";
 import { allowed, choose, fill, freeRoom, slots, zoned } from "./placement.js";
 import { PlacementRound } from "./placement-round.js";
 import { Preemption } from "./preemption.js";
@@ -46,10 +46,10 @@
   }
 
   /** Starts what fits, and makes room for what doesn't. */
-  step(now: Instant, outbox: CommandBatch, notes: string[]): void {
+  step(now: Instant, pendingCommands: PendingCommands, notes: string[]): void {
     if (!this.isWorthTrying(now)) return;
     const queue = this.queue.sorted(now);
-    const round = this.newRound(queue, now, outbox, notes);
+    const round = this.newRound(queue, now, pendingCommands, notes);
     for (const job of queue) {
       if (round.startsLeft <= 0) break;
       if (job.rank <= round.gangRank && !this.queue.isGuaranteed(job)) continue;
@@ -73,10 +73,10 @@
   private newRound(
     queue: readonly Job[],
     now: Instant,
-    outbox: CommandBatch,
+    pendingCommands: PendingCommands,
     notes: string[],
   ): PlacementRound {
-    const round = new PlacementRound(now, outbox, notes, this.unseen(), this.starter.startsLeft);
+    const round = new PlacementRound(now, pendingCommands, notes, this.unseen(), this.starter.startsLeft);
     const leastCpus = queue.reduce((least, job) => Math.min(least, job.spec.cpus), Infinity);
     for (const machine of this.scope.cluster.free.atLeast(leastCpus))
       if (this.scope.isReady(machine, now)) round.addCandidate(machine);
@@ -153,7 +153,7 @@
 
   private startTask(job: Job, index: number, machine: Machine, round: PlacementRound): void {
     round.takeFromPart(machine.relayedBy, job.spec.cpus);
-    this.starter.start(job, index, this.starter.nextAttempt(), machine, round.now, round.outbox);
+    this.starter.start(job, index, this.starter.nextAttempt(), machine, round.now, round.pendingCommands);
   }
 
   /** Free room is no use to a job whose image takes longer to fetch than its start may take. */
@@ -174,7 +174,7 @@
   /** All tasks at once or none; a broken gang is taken down whole before its next attempt. */
   private placeGang(job: Job, team: Team, round: PlacementRound): boolean {
     const { spec } = job;
-    if (stopGang([...job.holds.values()].flat(), round.outbox) > 0) return false;
+    if (stopGang([...job.holds.values()].flat(), round.pendingCommands) > 0) return false;
     if (job.pending.size < spec.tasks) return false;
     const used = round.mostUsed(this.scope.usageOf(spec.team));
     if (!fitsLimit(team, used, spec, spec.tasks)) return false;
@@ -194,7 +194,7 @@
     for (const machine of candidates) if (allowed(spec, machine)) total += slots(spec, freeRoom(machine));
     if (total < spec.tasks) return false;
     const attempt = this.starter.nextAttempt();
-    const trial = new CommandBatch();
+    const trial = new PendingCommands();
     const placed: Hold[] = [];
     for (const index of job.pending.take(spec.tasks)) {
       const machine = choose(this.scope.cluster, job, candidates, round.now, round.partRoom);
@@ -202,7 +202,7 @@
       placed.push(this.starter.start(job, index, attempt, machine, round.now, trial));
     }
     if (placed.length === spec.tasks) {
-      trial.moveTo(round.outbox);
+      trial.moveTo(round.pendingCommands);
       return true;
     }
     for (const hold of placed) removeHold(this.scope.cluster, hold);
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -99,10 +99,10 @@
   }
 
   private stopFor(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
-    const { now, outbox, notes } = round;
+    const { now, pendingCommands, notes } = round;
     const found = victims(this.scope.cluster, job, candidates, now, (hold) => this.mayStop(hold, job, now));
     if (found === null) return false;
-    for (const hold of found.holds) outbox.stop(hold);
+    for (const hold of found.holds) pendingCommands.stop(hold);
     this.pausedUntil.set(job.spec.id, plus(now, STOP_TAKES));
     notes.push(`stop ${describe(found.holds)} on ${found.machine.id} for ${job.spec.id}`);
     return true;
--- a/src/core/reconciler.ts
+++ b/src/core/reconciler.ts
@@ -1,12 +1,12 @@
 /** Stops what must not run, forgets what is over, moves replicas off machines that go. */
 import * as Duration from "effect/Duration";
 import { type Hold, type Machine, occupies } from "./cluster.js";
-import type { CommandBatch } from "./command-batch.js";
+import type { PendingCommands } from "./pending-commands.js";
 import { choose } from "./placement.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed } from "./time.js";
 
-/** An exited task takes no room: forgetting it waits this long for other orders to the same machine. */
+/** An exited task takes no room: forgetting it waits this long for other commands to the same machine. */
 const FORGET_AFTER = Duration.seconds(2);
 const STOP_AGAIN_AFTER = Duration.seconds(3);
 
@@ -22,39 +22,40 @@
   constructor(private readonly scope: SchedulerContext) {}
 
   /** Looks at the machines about which something changed; keeps an eye on those where something is under way. */
-  step(now: Instant, outbox: CommandBatch): void {
+  step(now: Instant, pendingCommands: PendingCommands): void {
     const { attention } = this.scope.cluster;
     for (const m of [...attention]) {
       m.idleSince = m.holds.size === 0 && m.lastHeartbeatAt !== null ? (m.idleSince ?? now) : null;
       // whatever ends these states puts the machine back
       const isBusy = m.inFlight || this.scope.isPaused(m);
-      if (isBusy || !m.confirmed || m.addr === null || !this.machine(m, now, outbox)) attention.delete(m);
+      if (isBusy || !m.confirmed || m.addr === null || !this.machine(m, now, pendingCommands))
+        attention.delete(m);
     }
   }
 
   /** Whether there is more to do here later. */
-  private machine(m: Machine, now: Instant, outbox: CommandBatch): boolean {
+  private machine(m: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
     let more = m.draining || m.reclaimAt !== null;
-    if (m.reclaimAt !== null) this.evacuate(m, now, outbox);
+    if (m.reclaimAt !== null) this.evacuate(m, now, pendingCommands);
     let moving = m.draining && [...m.holds.values()].some((h) => h.stopping);
     for (const hold of m.holds.values()) {
-      if (hold.state === "ordered") continue;
+      if (hold.state === "dispatched") continue;
       const job = this.scope.cluster.jobs.get(hold.job);
       if (hold.state === "exited") {
         // a finish is reaped only once stored; nothing is reaped while its start may yet be executed again
         if (hold.doubt === null && (job === undefined || hold.why !== "done" || hold.stored)) {
-          outbox.forget(hold, hasElapsed(now, hold.since, FORGET_AFTER));
+          pendingCommands.forget(hold, hasElapsed(now, hold.since, FORGET_AFTER));
           more = true;
         }
         continue;
       }
       if (m.draining && !moving && movable(hold, now)) {
         moving = true;
-        outbox.stop(hold);
+        pendingCommands.stop(hold);
         continue;
       }
       if (job === undefined || job.done.has(hold.index) || this.hasTwin(hold)) {
-        if (!hold.stopping || hasElapsed(now, hold.since, STOP_AGAIN_AFTER)) outbox.stop(hold, 0);
+        if (!hold.stopping || hasElapsed(now, hold.since, STOP_AGAIN_AFTER)) pendingCommands.stop(hold, 0);
         more = true;
       }
     }
@@ -75,7 +76,7 @@
   }
 
   /** A machine that the cloud takes back soon: what can save does so, replicas move if there is room. */
-  private evacuate(m: Machine, now: Instant, outbox: CommandBatch): void {
+  private evacuate(m: Machine, now: Instant, pendingCommands: PendingCommands): void {
     const { cluster } = this.scope;
     let room: Machine[] | null = null;
     for (const hold of m.holds.values()) {
@@ -85,19 +86,19 @@
       const saves =
         Duration.toMillis(spec.checkpoint) > 0 && m.reclaimAt! - now >= Duration.toMillis(spec.save);
       if (spec.kind === "gang") {
-        if (saves) stopGang([...job.holds.values()].flat(), outbox);
+        if (saves) stopGang([...job.holds.values()].flat(), pendingCommands);
         continue;
       }
       if (!saves && spec.kind !== "service") continue;
       room ??= [...cluster.free.atLeast(spec.cpus)].filter((x) => this.scope.usable(x, now));
-      if (saves || choose(cluster, job, room, now, () => 0) !== null) outbox.stop(hold);
+      if (saves || choose(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(hold);
     }
   }
 }
 
 /** Takes a gang down with time to save, all tasks at once; says how many are still there. */
-export const stopGang = (holds: readonly Hold[], outbox: CommandBatch): number => {
+export const stopGang = (holds: readonly Hold[], pendingCommands: PendingCommands): number => {
   const live = holds.filter(occupies);
-  for (const hold of live) if (hold.state !== "ordered" && !hold.stopping) outbox.stop(hold);
+  for (const hold of live) if (hold.state !== "dispatched" && !hold.stopping) pendingCommands.stop(hold);
   return live.length;
 };
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -123,12 +123,12 @@
   readonly reclaimNoticeSeconds: number | null;
   readonly tasks: readonly TaskStatus[];
 }
-export interface Order {
+export interface Command {
   readonly op: "start" | "stop" | "forget";
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
-  readonly graceS: number;
+  readonly gracePeriodSeconds: number;
 }
 
 export const keys = {
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -5,19 +5,19 @@
  * the core together; each has a module of its own, and all share the `SchedulerContext`.
  */
 import { type Cluster, recordHeartbeat, type Machine } from "./cluster.js";
-import { type BatchResult, CommandSender } from "./command-sender.js";
-import type { Decision, OrderOutcome } from "./decisions.js";
+import { type CommandBatchResult, CommandSender } from "./command-sender.js";
+import type { Decision, CommandOutcome } from "./decisions.js";
 import { Fleet, offerKey } from "./fleet.js";
 import { FleetDecisions } from "./fleet-decisions.js";
 import { JobIntake } from "./job-intake.js";
 import { JobQueue } from "./job-queue.js";
 import { type ListedMachine, MachineIntake } from "./machine-intake.js";
-import { CommandBatch } from "./command-batch.js";
+import { PendingCommands } from "./pending-commands.js";
 import { SlowMachineDetector } from "./slow-machine-detector.js";
 import { Placer } from "./placer.js";
 import { LeaseExpiry } from "./lease-expiry.js";
 import type { Range } from "./ranges.js";
-import type { JobSpec, MachineRecord, MachineType, Order, RentalRecord } from "./records.js";
+import type { JobSpec, MachineRecord, MachineType, Command, RentalRecord } from "./records.js";
 import type { TermRecord, Heartbeat } from "./records.js";
 import { HeartbeatHandler } from "./heartbeat-handler.js";
 import { MachineReturns } from "./machine-returns.js";
@@ -28,7 +28,7 @@
 import type { Instant } from "./time.js";
 import type { ZoneWatch } from "./zones.js";
 
-export type { Decision, OrderOutcome } from "./decisions.js";
+export type { Decision, CommandOutcome } from "./decisions.js";
 
 /** One leader's core, from its first term on. A new leader makes a new one and reads everything anew (S5). */
 export class Scheduler {
@@ -199,32 +199,32 @@
   }
 
   /** What became of commands that were sent under this token, and which report they were answered with (S4). */
-  ordersAnswered(
+  commandsAnswered(
     machine: string,
-    orders: readonly Order[],
-    token: number,
-    outcome: OrderOutcome,
+    commands: readonly Command[],
+    fencingToken: number,
+    outcome: CommandOutcome,
     now: Instant,
-    answeredBy: BatchResult["answeredBy"] = { workerEpoch: 0, sequence: 0 },
+    answeredBy: CommandBatchResult["answeredBy"] = { workerEpoch: 0, sequence: 0 },
   ): void {
-    this.commands.answered(machine, { orders, token, outcome, answeredBy }, now);
+    this.commands.answered(machine, { commands, fencingToken, outcome, answeredBy }, now);
   }
 
   /** Decides on everything but the fleet's size. Its work is in proportion to what changed and what waits. */
   step(now: Instant): Decision[] {
     const decisions: Decision[] = [];
-    const outbox = new CommandBatch();
+    const pendingCommands = new PendingCommands();
     const notes: string[] = [];
     this.commands.unblock(now);
     this.proof.step(now);
-    this.tidy.step(now, outbox);
-    this.pace.step(now, outbox);
-    this.placer.step(now, outbox, notes);
+    this.tidy.step(now, pendingCommands);
+    this.pace.step(now, pendingCommands);
+    this.placer.step(now, pendingCommands, notes);
     for (const text of notes) decisions.push({ kind: "note", text });
     this.commit(decisions);
     this.record(decisions);
     this.commands.settleDoubts();
-    this.commands.send(now, outbox, decisions);
+    this.commands.send(now, pendingCommands, decisions);
     return decisions;
   }
 
--- a/src/core/shard-drain.ts
+++ b/src/core/shard-drain.ts
@@ -73,7 +73,7 @@
     if (hold.doubt !== null) return Refusal.CommandInDoubt({ machine: hold.machine });
     if (hold.spec?.kind !== "gang") return null;
     if (hold.state === "saving") return Refusal.GangSaving({ job: hold.job });
-    const isAssembling = hold.state === "ordered" || hold.state === "fetching" || hold.state === "waiting";
+    const isAssembling = hold.state === "dispatched" || hold.state === "fetching" || hold.state === "waiting";
     return isAssembling ? Refusal.GangAssembling({ job: hold.job }) : null;
   }
 }
--- a/src/core/slow-machine-detector.ts
+++ b/src/core/slow-machine-detector.ts
@@ -4,7 +4,7 @@
  */
 import * as Duration from "effect/Duration";
 import { type Hold, type Job, type Machine } from "./cluster.js";
-import type { CommandBatch } from "./command-batch.js";
+import type { PendingCommands } from "./pending-commands.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed } from "./time.js";
 
@@ -60,7 +60,7 @@
   }
 
   /** Now and then: what runs far too long. */
-  step(now: Instant, outbox: CommandBatch): void {
+  step(now: Instant, pendingCommands: PendingCommands): void {
     if (this.looked !== null && !hasElapsed(now, this.looked, LOOK_EVERY)) return;
     this.looked = now;
     const { cluster } = this.scope;
@@ -80,7 +80,7 @@
           )
             continue;
           if (!this.setAside(m, now) || this.wasRenewed(id, hold.index)) continue;
-          outbox.stop(hold);
+          pendingCommands.stop(hold);
         }
     }
   }
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -9,7 +9,7 @@
   let replicas = 0;
   for (const { spec, state } of machine.holds.values()) {
     if (spec === null) continue;
-    if (state === "ordered" || state === "fetching") starting += spec.cpus;
+    if (state === "dispatched" || state === "fetching") starting += spec.cpus;
     else if (state === "running" && spec.kind === "service") replicas += spec.cpus;
   }
   return { starting, replicas };
--- a/src/core/task-starter.ts
+++ b/src/core/task-starter.ts
@@ -1,6 +1,6 @@
 /** Decides on starts: each gets a hold first (S4) and an attempt number that is never used again. */
 import { addHold, type Hold, type Job, type Machine } from "./cluster.js";
-import type { CommandBatch } from "./command-batch.js";
+import type { PendingCommands } from "./pending-commands.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { attemptOf, ATTEMPTS_PER_TERM } from "./term.js";
 import type { Instant } from "./time.js";
@@ -51,7 +51,7 @@
     attempt: number,
     machine: Machine,
     now: Instant,
-    outbox: CommandBatch,
+    pendingCommands: PendingCommands,
   ): Hold {
     const { cluster } = this.scope;
     const hold: Hold = {
@@ -60,7 +60,7 @@
       attempt,
       machine: machine.id,
       spec: job.spec,
-      state: "ordered",
+      state: "dispatched",
       why: null,
       since: now,
       began: null,
@@ -73,7 +73,7 @@
     // gangs are never stopped for others
     if (job.spec.kind !== "gang") cluster.started.push(hold);
     if (cluster.started.length > MAX_REMEMBERED) cluster.started.splice(0, MAX_REMEMBERED / 2);
-    outbox.start(machine.id, job.spec.id, index, attempt);
+    pendingCommands.start(machine.id, job.spec.id, index, attempt);
     return hold;
   }
 }
--- a/src/core/term.ts
+++ b/src/core/term.ts
@@ -83,7 +83,7 @@
 };
 
 /**
- * Within one term the leader may raise a single machine's token, so that orders of its own that got no answer die:
+ * Within one term the leader may raise a single machine's token, so that commands of its own that got no answer die:
  * nobody else has to hear of it. What goes over the wire is term and step in one number.
  */
 const FENCING_TOKENS_PER_TERM = 1_000_000;
--- a/src/core/worker-partition.ts
+++ b/src/core/worker-partition.ts
@@ -3,15 +3,15 @@
  * yet. Pure: events in, decisions out.
  */
 import * as Duration from "effect/Duration";
-import type { OrderOutcome } from "./decisions.js";
+import type { CommandOutcome } from "./decisions.js";
 import { FinishStore } from "./finish-store.js";
-import type { AgedHeartbeat, News, Outcome, WorkerContact } from "./member-news.js";
-import type { Order, TermRecord, Heartbeat } from "./records.js";
+import type { AgedHeartbeat, News, CommandResult, WorkerContact } from "./member-news.js";
+import type { Command, TermRecord, Heartbeat } from "./records.js";
 import { type Instant, hasElapsed } from "./time.js";
 import { fencingTokenForAnswer, ownerOf } from "./term.js";
 
 export type HeartbeatAnswer =
-  | { kind: "taken"; fencingToken: number; stopCommands: Order[] }
+  | { kind: "taken"; fencingToken: number; stopCommands: Command[] }
   | { kind: "elsewhere"; member: string | null }
   | { kind: "unsure" };
 
@@ -68,7 +68,7 @@
   private readonly touched = new Set<string>();
   /** Finished tasks, until their jobs are over. */
   readonly finishes: FinishStore;
-  private outcomes: Outcome[] = [];
+  private outcomes: CommandResult[] = [];
 
   constructor(
     readonly member: string,
@@ -135,11 +135,17 @@
     // an outage may keep the leader's stop from a machine that is still answered: whoever answers it knows as well
     const stopCommands = r.tasks
       .filter((t) => t.state !== "exited" && isOver(t.job))
-      .map(({ job, index, attempt }): Order => ({ op: "stop", job, index, attempt, graceS: 0 }));
+      .map(({ job, index, attempt }): Command => ({
+        op: "stop",
+        job,
+        index,
+        attempt,
+        gracePeriodSeconds: 0,
+      }));
     return { kind: "taken", fencingToken: fencingTokenForAnswer(term.token, r.fencingToken), stopCommands };
   }
 
-  /** A heartbeat from a beat or from the answer to orders. */
+  /** A heartbeat from a beat or from the answer to commands. */
   recordHeartbeat(r: Heartbeat, now: Instant): void {
     const w = this.worker(r.machine);
     const last = w.heartbeat;
@@ -173,9 +179,14 @@
     }
   }
 
-  ordersDone(id: number, outcome: OrderOutcome, heartbeat: Heartbeat | null, now: Instant): void {
+  commandsAnswered(id: number, outcome: CommandOutcome, heartbeat: Heartbeat | null, now: Instant): void {
     if (heartbeat !== null) this.recordHeartbeat(heartbeat, now);
-    this.outcomes.push({ id, outcome, session: heartbeat?.workerEpoch ?? 0, seq: heartbeat?.sequence ?? 0 });
+    this.outcomes.push({
+      id,
+      outcome,
+      workerEpoch: heartbeat?.workerEpoch ?? 0,
+      sequence: heartbeat?.sequence ?? 0,
+    });
   }
 
   /** Reports for one message; the others go with the next ones. */
--- a/src/io/codec.ts
+++ b/src/io/codec.ts
@@ -7,7 +7,7 @@
   Kind,
   MachineRecord,
   MachineType,
-  Order,
+  Command,
   Priority,
   TaskStatus,
   TaskState,
@@ -229,20 +229,20 @@
 };
 
 const OPS = { start: "start", stop: "halt", forget: "reap" } as const;
-const wireCommand = (o: Order) => ({
+const wireCommand = (o: Command) => ({
   verb: OPS[o.op],
   chore: taskName(o.job, o.index),
   try: o.attempt,
-  ...(o.op === "stop" ? { leeway_s: o.graceS } : {}),
+  ...(o.op === "stop" ? { leeway_s: o.gracePeriodSeconds } : {}),
 });
 
-export const heartbeatAnswer = (token: number, orders: readonly Order[]): string =>
-  JSON.stringify({ baton: token, orders: orders.map(wireCommand) });
+export const heartbeatAnswer = (token: number, commands: readonly Command[]): string =>
+  JSON.stringify({ baton: token, orders: commands.map(wireCommand) });
 export const redirectAnswer = (member: string | null): string =>
   JSON.stringify(member === null ? {} : { foreman: member });
 export const commandsPath = "/orders";
-export const commandsBody = (token: number, workerEpoch: number, orders: readonly Order[]): string =>
-  JSON.stringify({ baton: token, shift: workerEpoch, orders: orders.map(wireCommand) });
+export const commandsBody = (token: number, workerEpoch: number, commands: readonly Command[]): string =>
+  JSON.stringify({ baton: token, shift: workerEpoch, orders: commands.map(wireCommand) });
 
 // --- cloud ----------------------------------------------------------------------------------------------
 
--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -1,7 +1,7 @@
 /** What controllers say to one another, in Avro. */
 import avro from "avsc";
-import type { Order, TermRecord } from "../core/records.js";
-import type { AgedHeartbeat, Outcome, WorkerContact } from "../core/member-news.js";
+import type { Command, TermRecord } from "../core/records.js";
+import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/member-news.js";
 import type { Range } from "../core/ranges.js";
 
 /** A field of a record: its Avro name, which other versions know, and the name of the property that holds it here. */
@@ -55,12 +55,12 @@
   noticeS: as("reclaimNoticeSeconds", ["null", "double"]),
   tasks: array(task),
 });
-const order = record("Order", {
+const command = record("Order", {
   op: "string",
   job: "string",
   index: "int",
   attempt: "long",
-  graceS: "double",
+  graceS: as("gracePeriodSeconds", "double"),
 });
 
 /** A member's news for the leader: what changed since its last one. */
@@ -76,7 +76,7 @@
   readonly seen: readonly WorkerContact[];
   readonly reports: readonly AgedHeartbeat[];
   readonly stored: readonly { job: string; ranges: readonly Range[] }[];
-  readonly outcomes: readonly Outcome[];
+  readonly outcomes: readonly CommandResult[];
 }
 export interface Progress {
   readonly job: string;
@@ -94,20 +94,20 @@
   readonly stateOk: boolean;
   readonly progress: readonly Progress[];
 }
-/** Orders of the leader for many machines, to be delivered by a member; their outcomes come with its next news. */
-export interface Delivery {
+/** Commands of the leader for many machines, to be delivered by a member; their outcomes come with its next news. */
+export interface CommandBatch {
   readonly id: number;
   readonly machine: string;
   readonly addr: string;
-  readonly session: number;
-  readonly token: number;
-  readonly orders: readonly Order[];
+  readonly workerEpoch: number;
+  readonly fencingToken: number;
+  readonly commands: readonly Command[];
 }
-export interface Deliver {
+export interface CommandDelivery {
   readonly term: TermRecord;
-  readonly items: readonly Delivery[];
+  readonly batches: readonly CommandBatch[];
 }
-export interface Delivered {
+export interface DeliveryReceipt {
   /** false: this node may not send under that term; nothing was sent. */
   readonly accepted: boolean;
 }
@@ -164,7 +164,14 @@
     ),
     reports: array(record("Aged", { report: as("heartbeat", heartbeat), ageMs: "double" })),
     stored: array(record("Stored", { job: "string", ranges: array(array("int")) })),
-    outcomes: array(record("Outcome", { id: "long", outcome: "string", session: "long", seq: "long" })),
+    outcomes: array(
+      record("Outcome", {
+        id: "long",
+        outcome: "string",
+        session: as("workerEpoch", "long"),
+        seq: as("sequence", "long"),
+      }),
+    ),
   }),
 );
 export const syncAnswerCodec = codec<SyncAnswer>(
@@ -177,7 +184,7 @@
     progress: array(record("Progress", { job: "string", done: "int", running: "int", over: "boolean" })),
   }),
 );
-export const deliverCodec = codec<Deliver>(
+export const commandDeliveryCodec = codec<CommandDelivery>(
   record("Deliver", {
     term: record("Term", {
       token: "long",
@@ -185,19 +192,22 @@
       leader: "string",
       members: array(record("Member", { name: "string", incarnation: "long", zone: "string" })),
     }),
-    items: array(
-      record("Delivery", {
-        id: "long",
-        machine: "string",
-        addr: "string",
-        session: "long",
-        token: "long",
-        orders: array(order),
-      }),
+    items: as(
+      "batches",
+      array(
+        record("Delivery", {
+          id: "long",
+          machine: "string",
+          addr: "string",
+          session: as("workerEpoch", "long"),
+          token: as("fencingToken", "long"),
+          orders: as("commands", array(command)),
+        }),
+      ),
     ),
   }),
 );
-export const deliveredCodec = codec<Delivered>(record("Delivered", { accepted: "boolean" }));
+export const deliveryReceiptCodec = codec<DeliveryReceipt>(record("Delivered", { accepted: "boolean" }));
 
 /** A node whose renewals fail asks the others whether its term is current. */
 export interface Word {
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -1,13 +1,13 @@
-/** Orders sent straight to a worker. */
+/** Commands sent straight to a worker. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import type { Order, Heartbeat } from "../core/records.js";
-import type { OrderOutcome } from "../core/scheduler.js";
+import type { Command, Heartbeat } from "../core/records.js";
+import type { CommandOutcome } from "../core/scheduler.js";
 import { call, closeFree, json, makeAgent } from "./call.js";
 import { commandsBody, commandsPath, parseHeartbeat } from "./codec.js";
 
 const TIMEOUT = Duration.seconds(2);
-/** A question without orders may be asked again, so it needn't wait long. */
+/** A question without commands may be asked again, so it needn't wait long. */
 const QUESTION_TIMEOUT = Duration.seconds(1);
 
 /** How many calls may be open for each place. */
@@ -47,16 +47,16 @@
     }
   }
 
-  orders(
+  sendCommands(
     addr: string,
     token: number,
     workerEpoch: number,
-    orders: readonly Order[],
+    commands: readonly Command[],
     /** Asked again when its turn comes. */
     maySend: () => boolean = () => true,
-  ): Effect.Effect<{ outcome: OrderOutcome; report: Heartbeat | null }> {
-    const body = commandsBody(token, workerEpoch, orders);
-    const timeout = orders.length === 0 ? QUESTION_TIMEOUT : TIMEOUT;
+  ): Effect.Effect<{ outcome: CommandOutcome; report: Heartbeat | null }> {
+    const body = commandsBody(token, workerEpoch, commands);
+    const timeout = commands.length === 0 ? QUESTION_TIMEOUT : TIMEOUT;
     const ask = Effect.suspend(() => {
       if (!maySend()) return Effect.succeed(null);
       this.use(addr);
@@ -68,14 +68,17 @@
       .pipe(
         Effect.ensuring(Effect.sync(() => this.open--)),
         Effect.map((reply) => {
-          if (reply === null) return { outcome: "barred" as OrderOutcome, report: null };
+          if (reply === null) return { outcome: "barred" as CommandOutcome, report: null };
           const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(json(reply)) : null;
           if (reply.status === 200)
-            return { outcome: (heartbeat === null ? "unknown" : "done") as OrderOutcome, report: heartbeat };
-          return { outcome: "rejected" as OrderOutcome, report: heartbeat };
+            return {
+              outcome: (heartbeat === null ? "unknown" : "done") as CommandOutcome,
+              report: heartbeat,
+            };
+          return { outcome: "rejected" as CommandOutcome, report: heartbeat };
         }),
         Effect.catchAll((failed) =>
-          Effect.succeed({ outcome: (failed.sent ? "unknown" : "unsent") as OrderOutcome, report: null }),
+          Effect.succeed({ outcome: (failed.sent ? "unknown" : "unsent") as CommandOutcome, report: null }),
         ),
       );
   }
--- a/src/service/leader.ts
+++ b/src/service/leader.ts
@@ -11,14 +11,14 @@
   keys,
   type MachineRecord,
   type MachinesRecord,
-  type Order,
+  type Command,
   type RangesRecord,
   type RentalRecord,
   type Team,
   type TermRecord,
   type Heartbeat,
 } from "../core/records.js";
-import { type Decision, type OrderOutcome, Scheduler } from "../core/scheduler.js";
+import { type Decision, type CommandOutcome, Scheduler } from "../core/scheduler.js";
 import type { MachineOwnership } from "../core/scheduler-context.js";
 import type { LeaseTimings } from "../core/term.js";
 import { type Instant, instant, minus, hasElapsed, plus } from "../core/time.js";
@@ -27,7 +27,7 @@
 import type { CloudClient } from "../io/cloud-client.js";
 import type { Change, WireType } from "../io/codec.js";
 import type { Log } from "../io/log.js";
-import type { Delivery, Progress, Sync, SyncAnswer } from "../io/peer-codec.js";
+import type { CommandBatch, Progress, Sync, SyncAnswer } from "../io/peer-codec.js";
 import type { StateClient } from "../io/state-client.js";
 import { MachineRecordStore, opsOf } from "./machine-record-store.js";
 import { Locked } from "./locked.js";
@@ -59,7 +59,7 @@
 const STEP_EVERY = Duration.millis(250);
 /** Events that come together are decided on together. */
 const STEP_GATHER = Duration.millis(35);
-/** Orders of which nothing was heard for this long may be executed yet. */
+/** Commands of which nothing was heard for this long may be executed yet. */
 const GIVEN_UP_AFTER = Duration.seconds(6);
 const SWEEP_EVERY = Duration.seconds(1);
 const LIST_RANGES_EVERY = Duration.seconds(30);
@@ -78,18 +78,18 @@
 /** Machines in one answer of the cloud's list, and the share of its rate that lists may take: the rest is for rentals. */
 const LIST_PAGE = 500;
 const SHARE_FOR_LISTS = 0.5;
-const ORDERS_IN_TERM = 1_000_000_000;
+const COMMAND_BATCHES_PER_TERM = 1_000_000_000;
 
 interface Pending {
   readonly machine: string;
-  readonly orders: readonly Order[];
-  readonly token: number;
+  readonly commands: readonly Command[];
+  readonly fencingToken: number;
   readonly at: Instant;
 }
 
 /** Commands in one message to a member, a machine's address counted as two: far below what a message may hold (4 MiB). */
 const COMMANDS_IN_MESSAGE = 10_000;
-const commandWeight = (delivery: Delivery): number => 2 + delivery.orders.length;
+const commandWeight = (batch: CommandBatch): number => 2 + batch.commands.length;
 
 const describe = (r: Heartbeat): string =>
   r.tasks
@@ -107,7 +107,7 @@
   private readonly useless = new Set<string>();
   private rangesListed: Instant = now();
   private rentals = 0;
-  /** Order batches under way, the oldest first. */
+  /** Command batches under way, the oldest first. */
   private readonly pending = new Map<number, Pending>();
   private batches = 0;
   private progress = new ProgressLog();
@@ -213,7 +213,7 @@
       }
       s.vouched(m.member, m.incarnation, m.token, m.mark < 0 ? null : instant(m.mark), answered, at);
       for (const x of m.outcomes)
-        this.answered(s, x.id, x.outcome, { workerEpoch: x.session, sequence: x.seq });
+        this.answered(s, x.id, x.outcome, { workerEpoch: x.workerEpoch, sequence: x.sequence });
       if (m.reports.length + m.stored.length + m.outcomes.length > 0) this.stepNow.poke();
       return { ...base, ok: true, progress: this.progressSince(s, m.version) };
     });
@@ -372,15 +372,15 @@
       this.giveUp(s);
       return s.step(now());
     });
-    const orders = new Map<string | null, Delivery[]>();
+    const commands = new Map<string | null, CommandBatch[]>();
     for (const d of decisions)
-      if (d.kind === "orders") {
+      if (d.kind === "commands") {
         const via = this.route(d.via);
-        (orders.get(via) ?? orders.set(via, []).get(via)!).push(this.delivery(d));
+        (commands.get(via) ?? commands.set(via, []).get(via)!).push(this.delivery(d));
       } else yield* this.fork(this.carryOut(d));
-    for (const [via, items] of orders)
+    for (const [via, items] of commands)
       for (const group of groups(items, commandWeight, COMMANDS_IN_MESSAGE))
-        yield* this.fork(this.sendOrders(via, group));
+        yield* this.fork(this.sendCommands(via, group));
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.sync(() => this.log.error({ cause: cause.toString() }, "step failed")),
@@ -388,7 +388,7 @@
     Effect.forever,
   );
 
-  private carryOut(d: Exclude<Decision, { kind: "orders" }>): Effect.Effect<void> {
+  private carryOut(d: Exclude<Decision, { kind: "commands" }>): Effect.Effect<void> {
     switch (d.kind) {
       case "commit":
         return this.commitJob(d.job, d.tasks);
@@ -397,49 +397,53 @@
       case "rent":
         return this.rent(d);
       case "release":
-        return this.release(d.machines, d.why);
+        return this.release(d.machines, d.reason);
       case "note":
         return Effect.sync(() => this.log.info({ term: this.membership.term?.token }, d.text));
     }
   }
 
-  /** The member that sends orders to a machine; null: this node itself. */
+  /** The member that sends commands to a machine; null: this node itself. */
   private route(via: string | null): string | null {
     const member = this.membership.term?.members.some((m) => m.name === via) ?? false;
     return member && via !== this.options.me ? via : null;
   }
 
-  private delivery(d: Extract<Decision, { kind: "orders" }>): Delivery {
+  private delivery(d: Extract<Decision, { kind: "commands" }>): CommandBatch {
     // not used again, also not by a later leader
-    const id = (this.membership.term?.token ?? 0) * ORDERS_IN_TERM + ++this.batches;
-    const { machine, addr, session: workerEpoch, token, orders } = d;
-    this.pending.set(id, { machine, orders, token, at: now() });
-    if (orders.length > 0) this.shards?.commandsSent(machine, d.zone);
-    if (orders.length > 0 && this.log.isLevelEnabled("debug"))
+    const id = (this.membership.term?.token ?? 0) * COMMAND_BATCHES_PER_TERM + ++this.batches;
+    const { machine, addr, workerEpoch, fencingToken, commands } = d;
+    this.pending.set(id, { machine, commands, fencingToken, at: now() });
+    if (commands.length > 0) this.shards?.commandsSent(machine, d.zone);
+    if (commands.length > 0 && this.log.isLevelEnabled("debug"))
       this.log.debug(
-        { token, machine, orders: orders.map((o) => `${o.op} ${o.job}/${o.index}`).join(", ") },
-        "orders",
+        {
+          fencingToken,
+          machine,
+          commands: commands.map((o) => `${o.op} ${o.job}/${o.index}`).join(", "),
+        },
+        "commands",
       );
-    return { id, machine, addr, session: workerEpoch, token, orders };
+    return { id, machine, addr, workerEpoch, fencingToken, commands };
   }
 
-  private sendOrders(via: string | null, items: readonly Delivery[]): Effect.Effect<void> {
+  private sendCommands(via: string | null, batches: readonly CommandBatch[]): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const term = this.membership.term;
       if (term === null || this.guarded === null) return;
       const sent =
         via === null
           ? "not"
-          : yield* this.peers.deliver(via, { term, items }).pipe(
+          : yield* this.peers.deliver(via, { term, batches }).pipe(
               Effect.map((answer) => (answer?.accepted === true ? ("yes" as const) : ("not" as const))),
               Effect.catchAll((e) => Effect.succeed(e.sent ? ("maybe" as const) : ("not" as const))),
             );
       if (sent === "yes") return;
       // the part's member can't be reached, or may not send: this node sends by itself; questions may be put twice
-      const own = sent === "not" ? items : items.filter((item) => item.orders.length === 0);
-      const local = yield* this.member.deliver({ term, items: own });
+      const own = sent === "not" ? batches : batches.filter((item) => item.commands.length === 0);
+      const local = yield* this.member.deliver({ term, batches: own });
       this.guarded.with((s) => {
-        for (const item of items)
+        for (const item of batches)
           if (!own.includes(item)) this.answered(s, item.id, "unknown");
           else if (!local.accepted) this.answered(s, item.id, "barred");
       });
@@ -447,13 +451,16 @@
     });
   }
 
-  private answered(s: Scheduler, id: number, outcome: OrderOutcome, by?: HeartbeatId): void {
+  private answered(s: Scheduler, id: number, outcome: CommandOutcome, by?: HeartbeatId): void {
     const batch = this.pending.get(id);
     if (batch === undefined) return;
     this.pending.delete(id);
-    s.ordersAnswered(batch.machine, batch.orders, batch.token, outcome, now(), by);
+    s.commandsAnswered(batch.machine, batch.commands, batch.fencingToken, outcome, now(), by);
     if (outcome !== "done" && outcome !== "barred")
-      this.log.debug({ machine: batch.machine, outcome, count: batch.orders.length }, "orders not answered");
+      this.log.debug(
+        { machine: batch.machine, outcome, count: batch.commands.length },
+        "commands not answered",
+      );
   }
 
   private giveUp(s: Scheduler): void {
@@ -616,7 +623,7 @@
     yield* Effect.sleep(Duration.millis(700));
     if (this.guarded === null || !this.membership.leads()) return;
     for (const d of this.guarded.with((s) => s.stepFleet(now())))
-      if (d.kind !== "orders") yield* this.fork(this.carryOut(d));
+      if (d.kind !== "commands") yield* this.fork(this.carryOut(d));
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.sync(() => this.log.error({ cause: cause.toString() }, "fleet failed")),
--- a/src/service/member.ts
+++ b/src/service/member.ts
@@ -1,4 +1,4 @@
-/** A member at work: takes reports, delivers orders, stores finishes, and keeps the leader informed. */
+/** A member at work: takes reports, delivers commands, stores finishes, and keeps the leader informed. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Heartbeat } from "../core/records.js";
@@ -10,7 +10,7 @@
 import { now } from "../io/clock.js";
 import type { Change, Condition } from "../io/codec.js";
 import type { Log } from "../io/log.js";
-import type { Deliver, Delivered, Delivery, Sync, SyncAnswer } from "../io/peer-codec.js";
+import type { CommandDelivery, DeliveryReceipt, CommandBatch, Sync, SyncAnswer } from "../io/peer-codec.js";
 import type { StateClient } from "../io/state-client.js";
 import type { WorkerClient } from "../io/worker-client.js";
 import { type PieceLimits, pieceLimits, post } from "./mailbox.js";
@@ -35,7 +35,7 @@
 const POST_AFTER = Duration.millis(800);
 const POST_EVERY = Duration.seconds(1);
 const POST_REPORTS = 60;
-/** An order that waited this long for its turn is decided on anew: the leader is about to take it for unanswered. */
+/** A command that waited this long for its turn is decided on anew: the leader is about to take it for unanswered. */
 const TURN_WITHIN = Duration.seconds(3);
 
 export interface MemberOptions {
@@ -105,8 +105,8 @@
 
   readonly termChanged = (): void => this.syncNow.poke();
 
-  /** Orders go out only under the term in force, and only while this node is entitled. */
-  deliver(d: Deliver): Effect.Effect<Delivered> {
+  /** Commands go out only under the term in force, and only while this node is entitled. */
+  deliver(d: CommandDelivery): Effect.Effect<DeliveryReceipt> {
     return Effect.gen(this, function* () {
       if ((this.membership.term?.token ?? 0) < d.term.token) {
         this.membership.heardOf(d.term.token);
@@ -115,7 +115,7 @@
       }
       for (let i = 0; i < 20 && !this.membership.entitled(); i++) yield* Effect.sleep(Duration.millis(25));
       const may = this.maySend(d.term) && this.workers.hasRoom();
-      if (may) for (const item of d.items) Effect.runFork(this.send(d.term, item));
+      if (may) for (const item of d.batches) Effect.runFork(this.send(d.term, item));
       return { accepted: may };
     });
   }
@@ -124,18 +124,18 @@
     return this.membership.term?.token === term.token && this.membership.entitled();
   }
 
-  /** One machine's orders; their outcome is news for the leader. */
-  private send(term: TermRecord, d: Delivery): Effect.Effect<void> {
+  /** One machine's commands; their outcome is news for the leader. */
+  private send(term: TermRecord, d: CommandBatch): Effect.Effect<void> {
     const came = now();
     const may = (): boolean => this.maySend(term) && !hasElapsed(now(), came, TURN_WITHIN);
     // a queue may have held it up: what isn't allowed any more isn't sent
     const send = Effect.suspend(() =>
       may()
-        ? this.workers.orders(d.addr, d.token, d.session, d.orders, may)
+        ? this.workers.sendCommands(d.addr, d.fencingToken, d.workerEpoch, d.commands, may)
         : Effect.succeed({ outcome: "barred" as const, report: null }),
     );
     return Effect.map(send, ({ outcome, report: heartbeat }) => {
-      this.part.ordersDone(d.id, outcome, heartbeat, now());
+      this.part.commandsAnswered(d.id, outcome, heartbeat, now());
       this.wake();
     });
   }
--- a/src/service/membership.ts
+++ b/src/service/membership.ts
@@ -87,7 +87,7 @@
   }
 
   /**
-   * May this node answer workers (not: send orders) right now? Either a renewal of its own shows the term current,
+   * May this node answer workers (not: send commands) right now? Either a renewal of its own shows the term current,
    * or the word of all other nodes does: only nodes begin terms. This keeps leases through a long state outage.
    */
   mayAnswer(): boolean {
@@ -103,7 +103,7 @@
   }
 
   /**
-   * May this node send orders and act for the controllers right now? After an outage of the state service its lease has
+   * May this node send commands and act for the controllers right now? After an outage of the state service its lease has
    * its full time again, but until it has read the jobs anew it may know too little of cancels to do so.
    */
   entitled(): boolean {
--- a/src/service/peers.ts
+++ b/src/service/peers.ts
@@ -5,10 +5,10 @@
 import { call, type CallFailed, makeAgent } from "../io/call.js";
 import {
   type Codec,
-  type Deliver,
-  deliverCodec,
-  type Delivered,
-  deliveredCodec,
+  type CommandDelivery,
+  commandDeliveryCodec,
+  type DeliveryReceipt,
+  deliveryReceiptCodec,
   peerPaths,
   type Sync,
   type SyncAnswer,
@@ -85,14 +85,21 @@
     return this.ask(member, shardPaths.operate, operatorRequestCodec, operatorAnswerCodec, value, timeout);
   }
 
-  deliver(member: string, value: Deliver): Effect.Effect<Delivered | null, CallFailed> {
-    return this.ask(member, peerPaths.deliver, deliverCodec, deliveredCodec, value, Duration.seconds(2));
+  deliver(member: string, value: CommandDelivery): Effect.Effect<DeliveryReceipt | null, CallFailed> {
+    return this.ask(
+      member,
+      peerPaths.deliver,
+      commandDeliveryCodec,
+      deliveryReceiptCodec,
+      value,
+      Duration.seconds(2),
+    );
   }
 }
 
 export interface PeerHandlers {
   sync(value: Sync): SyncAnswer;
-  deliver(value: Deliver): Effect.Effect<Delivered>;
+  deliver(value: CommandDelivery): Effect.Effect<DeliveryReceipt>;
   word(value: Word): WordAnswer;
   /** null: shards aren't known here. */
   readonly shards: ShardHandlers | null;
@@ -138,7 +145,9 @@
           send(wordAnswerCodec.encode(handlers.word(wordCodec.decode(body))));
         else if (request.url === peerPaths.deliver)
           Effect.runFork(
-            Effect.map(handlers.deliver(deliverCodec.decode(body)), (d) => send(deliveredCodec.encode(d))),
+            Effect.map(handlers.deliver(commandDeliveryCodec.decode(body)), (d) =>
+              send(deliveryReceiptCodec.encode(d)),
+            ),
           );
         else {
           const answer = shardAnswer(request.url, body, handlers.shards);
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -41,7 +41,7 @@
   private reachesAny(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
     if (workers.length === 0) return Effect.succeed(true);
     const asked = workers.map(({ addr, session: workerEpoch, token }) =>
-      this.workers.orders(addr, token, workerEpoch, [], () => this.membership.entitled()),
+      this.workers.sendCommands(addr, token, workerEpoch, [], () => this.membership.entitled()),
     );
     return Effect.map(Effect.all(asked, { concurrency: "unbounded" }), (answers) =>
       answers.some(({ outcome }) => outcome === "done" || outcome === "rejected"),
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -80,8 +80,8 @@
       if (got !== null) return Effect.succeed(got);
       // what this node has read is better than nothing
       if (request.verb === "list") return this.answer(request);
-      const why = describeRefusal(Refusal.NotLeader({ member: this.me }));
-      return Effect.succeed(answer(UNAVAILABLE, { refusal: "NotLeader", reason: why }));
+      const reason = describeRefusal(Refusal.NotLeader({ member: this.me }));
+      return Effect.succeed(answer(UNAVAILABLE, { refusal: "NotLeader", reason }));
     });
   }
 
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -20,7 +20,7 @@
 } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
 import { parseHeartbeat, parseSubmission, readJob } from "../src/io/codec.js";
-import { deliveredCodec, syncCodec } from "../src/io/peer-codec.js";
+import { deliveryReceiptCodec, syncCodec } from "../src/io/peer-codec.js";
 import { MachineRecordStore } from "../src/service/machine-record-store.js";
 import { fromPieces, pieceLimits, toPieces } from "../src/service/mailbox.js";
 import { TEAMS, TYPES } from "./model.js";
@@ -177,7 +177,9 @@
   const tasks = [task("req-1", "running"), task("req-2", "running"), task("req-1", "exited")];
   const answer = part.handleHeartbeat(report({ tasks }), true, 2, instant(1), (job) => job === "req-1");
   assert.ok(answer.kind === "taken");
-  assert.deepEqual(answer.stopCommands, [{ op: "stop", job: "req-1", index: 0, attempt: 7, graceS: 0 }]);
+  assert.deepEqual(answer.stopCommands, [
+    { op: "stop", job: "req-1", index: 0, attempt: 7, gracePeriodSeconds: 0 },
+  ]);
 });
 
 test("news are changes alone, and all of it again for another leader", () => {
@@ -196,10 +198,12 @@
   // a late copy is answered, which the proof by time must know, but it is no sign of life
   handleReport(3, 9000);
   assert.deepEqual(part.news(instant(9000)).seen, [{ machine: "n-1", answerAgeMs: 0, heartbeatAgeMs: 7000 }]);
-  part.ordersDone(7, "done", null, instant(9000));
+  part.commandsAnswered(7, "done", null, instant(9000));
   const lost = part.news(instant(9000));
   part.putBack(lost);
-  assert.deepEqual(part.news(instant(9000)).outcomes, [{ id: 7, outcome: "done", session: 0, seq: 0 }]);
+  assert.deepEqual(part.news(instant(9000)).outcomes, [
+    { id: 7, outcome: "done", workerEpoch: 0, sequence: 0 },
+  ]);
   part.setTerm({ ...term, token: 5 });
   assert.equal(part.news(instant(9000)).reports.length, 0, "the same leader remembers");
   part.setTerm({ ...term, token: 6, key: 11 });
@@ -383,7 +387,7 @@
     version: 7,
     stateOk: true,
     seen: [{ machine: "n-1", answerAgeMs: 12.5, heartbeatAgeMs: -1 }],
-    outcomes: [{ id: 3_000_000_000_001, outcome: "unknown" as const, session: 1, seq: 2 }],
+    outcomes: [{ id: 3_000_000_000_001, outcome: "unknown" as const, workerEpoch: 1, sequence: 2 }],
     reports: [{ heartbeat: r, ageMs: 7 }],
     stored: [{ job: "req-1", ranges: [[0, 7] as const] }],
   };
@@ -391,7 +395,7 @@
     JSON.parse(JSON.stringify(syncCodec.decode(syncCodec.encode(sync)))),
     JSON.parse(JSON.stringify(sync)),
   );
-  assert.equal(deliveredCodec.decode(deliveredCodec.encode({ accepted: true })).accepted, true);
+  assert.equal(deliveryReceiptCodec.decode(deliveryReceiptCodec.encode({ accepted: true })).accepted, true);
   const pieces = toPieces(sync, pieceLimits(16, 16))!;
   assert.deepEqual(JSON.parse(JSON.stringify(fromPieces(pieces))), JSON.parse(JSON.stringify(sync)));
   assert.equal(fromPieces([{ of: 2, data: pieces[0]!.data }]), null);
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -1,7 +1,7 @@
 /** Jobs that fail on every machine: tried again within bounds, and never at the cost of machines or of other jobs. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Order } from "../src/core/records.js";
+import type { Command } from "../src/core/records.js";
 import { instant } from "../src/core/time.js";
 import { EAST, Scene } from "./scene.js";
 import { jobSpec as spec } from "./specs.js";
@@ -19,8 +19,10 @@
   }
 };
 
-const starts = (scene: Scene): Order[] =>
-  scene.sent.filter(({ order }) => order.op === "start" && order.job === BROKEN).map(({ order }) => order);
+const starts = (scene: Scene): Command[] =>
+  scene.sent
+    .filter(({ order: command }) => command.op === "start" && command.job === BROKEN)
+    .map(({ order: command }) => command);
 
 const rented = (scene: Scene): number =>
   scene.s
@@ -93,8 +95,8 @@
   scene.s.jobSeen(spec({ id: "req-000003", tasks: 6, image: "y" }), 22, instant(scene.now));
   const before = scene.sent.length;
   scene.step();
-  const started = scene.sent.slice(before).filter(({ order }) => order.op === "start");
-  assert.equal(started.filter(({ order }) => order.job === "req-000003").length, 6);
+  const started = scene.sent.slice(before).filter(({ order: command }) => command.op === "start");
+  assert.equal(started.filter(({ order: command }) => command.job === "req-000003").length, 6);
 });
 
 test("a new leader rents nothing in place of machines that have yet to report to it", () => {
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -119,7 +119,7 @@
       const decisions = [...scheduler.step(instant(now)), ...scheduler.stepFleet(instant(now))];
       assert.equal(ofKind(decisions, "rent").length, 0);
       assert.equal(ofKind(decisions, "release").length, 0);
-      const orders = ofKind(decisions, "orders").flatMap(({ orders }) => orders);
+      const orders = ofKind(decisions, "commands").flatMap(({ commands }) => commands);
       assert.equal(orders.length, 0, "an earlier leader may have started them");
     }
   });
@@ -131,9 +131,9 @@
     scheduler.jobSeen(largeFleetJob(1, { tasks: 25_000, cpus: 1, memoryGb: 1 }), 600, instant(1000));
     const started = new Set<number>();
     for (let now = 1000; now < 1000 + 50 * 80 && started.size < 25_000; now += 50) {
-      for (const { machine, orders, token } of ofKind(scheduler.step(instant(now)), "orders")) {
-        for (const order of orders) if (order.op === "start") started.add(order.index);
-        scheduler.ordersAnswered(machine, orders, token, "done", instant(now), {
+      for (const { machine, commands, fencingToken } of ofKind(scheduler.step(instant(now)), "commands")) {
+        for (const command of commands) if (command.op === "start") started.add(command.index);
+        scheduler.commandsAnswered(machine, commands, fencingToken, "done", instant(now), {
           workerEpoch: 1,
           sequence: 2,
         });
@@ -194,15 +194,22 @@
             "a",
             instant(now),
           );
-      for (const { machine, orders, token } of ofKind(scheduler.step(instant(now)), "orders")) {
+      for (const { machine, commands, fencingToken } of ofKind(scheduler.step(instant(now)), "commands")) {
         asked.add(machine);
         const isSilent = recordOf(Number(machine.slice(2))).zone === "west";
         const by = { workerEpoch: 1, sequence: 1 + now };
-        scheduler.ordersAnswered(machine, orders, token, isSilent ? "unknown" : "done", instant(now), by);
+        scheduler.commandsAnswered(
+          machine,
+          commands,
+          fencingToken,
+          isSilent ? "unknown" : "done",
+          instant(now),
+          by,
+        );
       }
       const fleet = scheduler.stepFleet(instant(now));
-      for (const { machines: ids, why } of ofKind(fleet, "release"))
-        if (why === "silent") released += ids.length;
+      for (const { machines: ids, reason } of ofKind(fleet, "release"))
+        if (reason === "silent") released += ids.length;
     }
     const silent = [...asked].filter((id) => recordOf(Number(id.slice(2))).zone === "west");
     assert.equal(silent.length, machines / 2);
@@ -212,8 +219,10 @@
 
 test("commands for many machines go in messages of bounded size", () => {
   const items = Array.from({ length: 6000 }, (_, n) => ({ n, orders: TASKS_PER_MACHINE }));
-  const parts = groups(items, ({ orders }) => 2 + orders, 10_000);
+  const parts = groups(items, ({ orders: commands }) => 2 + commands, 10_000);
   assert.deepEqual(parts.flat(), items);
-  assert.ok(parts.every((part) => part.reduce((sum, { orders }) => sum + 2 + orders, 0) <= 10_000));
-  assert.deepEqual(groups([{ n: 0, orders: 20_000 }], ({ orders }) => orders, 10_000).length, 1);
+  assert.ok(
+    parts.every((part) => part.reduce((sum, { orders: commands }) => sum + 2 + commands, 0) <= 10_000),
+  );
+  assert.deepEqual(groups([{ n: 0, orders: 20_000 }], ({ orders: commands }) => commands, 10_000).length, 1);
 });
--- a/test/large-fleet.ts
+++ b/test/large-fleet.ts
@@ -109,20 +109,20 @@
   /** How many orders there were. */
   step(): number {
     const decisions = this.s.step(instant(this.now));
-    for (const d of decisions) if (d.kind === "orders") this.execute(d);
+    for (const d of decisions) if (d.kind === "commands") this.execute(d);
     return decisions.length;
   }
 
-  private execute(d: Extract<Decision, { kind: "orders" }>): void {
+  private execute(d: Extract<Decision, { kind: "commands" }>): void {
     const tasks = this.tasks.get(d.machine)!;
-    for (const { op, job: id, index, attempt } of d.orders) {
+    for (const { op, job: id, index, attempt } of d.commands) {
       const key = `${id}/${index}#${attempt}`;
       if (op === "start") tasks.set(key, { job: id, index, attempt, state: "running", exitReason: null });
       else if (op === "forget") tasks.delete(key);
       else tasks.set(key, { job: id, index, attempt, state: "exited", exitReason: "stopped" });
     }
     this.report(d.machine);
-    this.s.ordersAnswered(d.machine, d.orders, d.token, "done", instant(this.now));
+    this.s.commandsAnswered(d.machine, d.commands, d.fencingToken, "done", instant(this.now));
   }
 
   /** One array task ends somewhere; its machine reports, and the leader decides. */
--- a/test/model.ts
+++ b/test/model.ts
@@ -11,7 +11,7 @@
   keys,
   type MachineRecord,
   type MachineType,
-  type Order,
+  type Command,
   type Team,
   type TermRecord,
   type Heartbeat,
@@ -19,7 +19,7 @@
 import { type HeartbeatAnswer, WorkerPartition } from "../src/core/worker-partition.js";
 import { RangeSet } from "../src/core/ranges.js";
 import { type HeartbeatId, setMachine } from "../src/core/cluster.js";
-import { type Decision, type OrderOutcome, Scheduler } from "../src/core/scheduler.js";
+import { type Decision, type CommandOutcome, Scheduler } from "../src/core/scheduler.js";
 import {
   isWithinFencingWindow,
   isConfirmedByPeers,
@@ -169,7 +169,7 @@
   aloneUntil: number;
   /** Stands still while its clocks run on: what comes waits and is handled on waking, before anything else. */
   frozenUntil: number;
-  pending: Map<number, { machine: string; orders: readonly Order[]; token: number; at: number }>;
+  pending: Map<number, { machine: string; orders: readonly Command[]; token: number; at: number }>;
   batches: number;
   scheduler: Scheduler | null;
   leaderStamp: number;
@@ -809,10 +809,10 @@
     );
   }
 
-  private execute(w: Worker, token: number, workerEpoch: number, orders: readonly Order[]): boolean {
+  private execute(w: Worker, token: number, workerEpoch: number, commands: readonly Command[]): boolean {
     if (token < w.token || workerEpoch !== w.session) return false;
     w.token = token;
-    for (const o of orders) {
+    for (const o of commands) {
       const key = `${o.job}/${o.index}#${o.attempt}`;
       const task = w.tasks.get(key);
       if (o.op === "forget") {
@@ -825,7 +825,7 @@
     return true;
   }
 
-  private begin(w: Worker, o: Order, key: string): void {
+  private begin(w: Worker, o: Command, key: string): void {
     const live = [...w.tasks.values()].filter((t) => t.state !== "exited");
     const spec = this.allJobs.get(o.job)!;
     const used = live.reduce((sum, t) => sum + this.allJobs.get(t.job)!.cpus, 0);
@@ -1120,7 +1120,7 @@
           }
           s.vouched(node.name, incarnation, term.token, mark < 0 ? null : instant(mark), answered, at);
           for (const x of news.outcomes)
-            this.answered(to, s, x.id, x.outcome, { workerEpoch: x.session, sequence: x.seq });
+            this.answered(to, s, x.id, x.outcome, { workerEpoch: x.workerEpoch, sequence: x.sequence });
           const stamp = this.now;
           this.later(
             this.on(node, () => {
@@ -1138,12 +1138,12 @@
     });
   }
 
-  private answered(leader: Node, s: Scheduler, id: number, outcome: OrderOutcome, by?: HeartbeatId): void {
+  private answered(leader: Node, s: Scheduler, id: number, outcome: CommandOutcome, by?: HeartbeatId): void {
     const batch = leader.pending.get(id);
     if (batch === undefined) return;
     leader.pending.delete(id);
     const told = this.without === "doubt" && outcome === "unknown" ? "unsent" : outcome;
-    s.ordersAnswered(batch.machine, batch.orders, batch.token, told, instant(this.now), by);
+    s.commandsAnswered(batch.machine, batch.orders, batch.token, told, instant(this.now), by);
   }
 
   private store(node: Node): void {
@@ -1182,7 +1182,7 @@
   private carryOut(node: Node, s: Scheduler, d: Decision): void {
     const ownKey = () => this.reachesState(node) && this.leader?.stamp === node.leaderStamp;
     const { leaderStamp, version } = node;
-    if (d.kind === "orders") this.sendOrders(node, s, d);
+    if (d.kind === "commands") this.sendOrders(node, s, d);
     else if (d.kind === "commit") {
       // a job cancelled in the meantime has its commit already
       const wrote = this.transact(
@@ -1265,21 +1265,21 @@
     return [...this.workers.values()].filter((w) => !w.gone).length;
   }
 
-  private sendOrders(leader: Node, s: Scheduler, d: Extract<Decision, { kind: "orders" }>): void {
+  private sendOrders(leader: Node, s: Scheduler, d: Extract<Decision, { kind: "commands" }>): void {
     const term = leader.term!;
     const via = this.nodes.find((n) => n.name === d.via) ?? leader;
     const w = this.workers.get(d.machine);
     const id = term.token * 1e9 + ++leader.batches;
-    leader.pending.set(id, { machine: d.machine, orders: d.orders, token: d.token, at: this.now });
+    leader.pending.set(id, { machine: d.machine, orders: d.commands, token: d.fencingToken, at: this.now });
     if (!this.connected(leader, via)) return this.answered(leader, s, id, "unsent");
     const { incarnation } = via;
-    let outcome: OrderOutcome | null = null;
-    const settled = (result: OrderOutcome, heartbeat: Heartbeat | null): void => {
+    let outcome: CommandOutcome | null = null;
+    const settled = (result: CommandOutcome, heartbeat: Heartbeat | null): void => {
       if (outcome !== null || !via.alive || via.incarnation !== incarnation) return;
       outcome = result;
-      via.part.ordersDone(id, result, heartbeat, instant(this.now));
+      via.part.commandsAnswered(id, result, heartbeat, instant(this.now));
     };
-    const settle = (result: OrderOutcome, heartbeat: Heartbeat | null): void =>
+    const settle = (result: CommandOutcome, heartbeat: Heartbeat | null): void =>
       this.on(via, () => settled(result, heartbeat))();
     this.later(
       this.on(via, () => {
@@ -1297,11 +1297,11 @@
             this.messages.push({ at: until + 1, run: reach });
             return;
           }
-          if (w.token > d.token && d.orders.length > 0) this.count("orders of an earlier leader");
-          const done = this.execute(w, d.token, d.session, d.orders);
+          if (w.token > d.fencingToken && d.commands.length > 0) this.count("orders of an earlier leader");
+          const done = this.execute(w, d.fencingToken, d.workerEpoch, d.commands);
           const heartbeat = this.report(w);
           if (done && this.now < w.muteUntil) this.count("orders carried out by mute machines");
-          if (done && this.now - sent > 2000 && d.orders.length > 0) this.count("orders carried out late");
+          if (done && this.now - sent > 2000 && d.commands.length > 0) this.count("orders carried out late");
           this.later(
             () => settle(done ? "done" : "rejected", heartbeat),
             true,
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -141,9 +141,9 @@
   ];
   const longTakes = Duration.toSeconds(timeFor(jobs[1]!));
   assert.ok(longTakes > TAKES);
-  for (const order of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
+  for (const command of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
     const p = new Pipelines();
-    for (const job of order) p.add(job, seconds(0));
+    for (const job of command) p.add(job, seconds(0));
     assert.equal(p.rank("start"), RANK.high);
     assert.equal(p.due("start"), seconds(900 - TAKES - longTakes));
     p.remove("left");
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -67,8 +67,8 @@
 const codecs = {
   Sync: peerCodec.syncCodec,
   SyncAnswer: peerCodec.syncAnswerCodec,
-  Deliver: peerCodec.deliverCodec,
-  Delivered: peerCodec.deliveredCodec,
+  Deliver: peerCodec.commandDeliveryCodec,
+  Delivered: peerCodec.deliveryReceiptCodec,
   Word: peerCodec.wordCodec,
   WordAnswer: peerCodec.wordAnswerCodec,
 } as unknown as Record<MessageType, peerCodec.Codec<Json>>;
--- a/test/scene.ts
+++ b/test/scene.ts
@@ -1,6 +1,6 @@
 /** A leader's scheduler among machines that execute and report at once, for scenarios played step by step. */
 import * as Duration from "effect/Duration";
-import type { Order, TaskStatus, Heartbeat } from "../src/core/records.js";
+import type { Command, TaskStatus, Heartbeat } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler.js";
 import { fencingTokenOf } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
@@ -11,8 +11,8 @@
   now = 1000;
   readonly s: Scheduler;
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
-  readonly sent: { machine: string; order: Order; token: number }[] = [];
-  private readonly asked: Extract<Decision, { kind: "orders" }>[] = [];
+  readonly sent: { machine: string; order: Command; token: number }[] = [];
+  private readonly asked: Extract<Decision, { kind: "commands" }>[] = [];
   private seq = 0;
   /** The token that the machines know. */
   private token = fencingTokenOf(1);
@@ -65,22 +65,23 @@
     for (const id of this.tasks.keys()) if (this.s.cluster.machines.has(id)) this.report(id);
     const decisions = this.s.step(instant(this.now));
     for (const d of decisions) {
-      if (d.kind !== "orders") continue;
-      if (d.orders.length === 0) this.asked.push(d);
-      for (const order of d.orders) this.sent.push({ machine: d.machine, order, token: d.token });
+      if (d.kind !== "commands") continue;
+      if (d.commands.length === 0) this.asked.push(d);
+      for (const command of d.commands)
+        this.sent.push({ machine: d.machine, order: command, token: d.fencingToken });
       if (late.includes(d.machine)) {
-        this.s.ordersAnswered(d.machine, d.orders, d.token, "unknown", instant(this.now));
+        this.s.commandsAnswered(d.machine, d.commands, d.fencingToken, "unknown", instant(this.now));
         continue;
       }
-      for (const o of d.orders) this.execute(d.machine, o);
+      for (const o of d.commands) this.execute(d.machine, o);
       this.report(d.machine);
-      this.token = Math.max(this.token, d.token);
-      this.s.ordersAnswered(d.machine, d.orders, d.token, "done", instant(this.now));
+      this.token = Math.max(this.token, d.fencingToken);
+      this.s.commandsAnswered(d.machine, d.commands, d.fencingToken, "done", instant(this.now));
     }
     return decisions;
   }
 
-  private execute(machine: string, o: Order): void {
+  private execute(machine: string, o: Command): void {
     const tasks = this.tasks.get(machine)!;
     const key = `${o.job}/${o.index}#${o.attempt}`;
     const base = { job: o.job, index: o.index, attempt: o.attempt };
@@ -96,10 +97,10 @@
   live(): TaskStatus[] {
     return [...this.tasks.values()].flatMap((m) => [...m.values()]).filter((t) => t.state !== "exited");
   }
-  questions(machine: string): { token: number }[] {
+  questions(machine: string): { fencingToken: number }[] {
     return this.asked.filter((d) => d.machine === machine);
   }
-  ops(op: Order["op"]): number {
+  ops(op: Command["op"]): number {
     return this.sent.filter((x) => x.order.op === op).length;
   }
 }
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -4,7 +4,7 @@
 import * as Duration from "effect/Duration";
 import { addJob, newCluster } from "../src/core/cluster.js";
 import { Fleet } from "../src/core/fleet.js";
-import { type JobSpec, type Order, RANK, type TaskStatus, type Heartbeat } from "../src/core/records.js";
+import { type JobSpec, type Command, RANK, type TaskStatus, type Heartbeat } from "../src/core/records.js";
 import { Scheduler } from "../src/core/scheduler.js";
 import { termNumberOf, fencingTokenOf } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
@@ -28,7 +28,7 @@
   scene.s.releaseAnswered([lost], true, instant(scene.now));
   scene.step();
   assert.ok(scene.ops("stop") > 0);
-  assert.ok(scene.sent.filter((x) => x.order.op === "stop").every((x) => x.order.graceS >= 5));
+  assert.ok(scene.sent.filter((x) => x.order.op === "stop").every((x) => x.order.gracePeriodSeconds >= 5));
   for (let i = 0; i < 4; i++) scene.step();
   const second = new Set(scene.live().map((t) => t.attempt));
   assert.equal(scene.live().length, 4);
@@ -85,8 +85,8 @@
   assert.equal(scene.ops("start"), 1);
   // asked under a token of its own that is higher than the start's, it answers without the task
   const asked = scene.questions("n-1").at(-1)!;
-  assert.ok(asked.token > scene.sent[0]!.token);
-  assert.equal(termNumberOf(asked.token), 1, "nobody else has to hear of it");
+  assert.ok(asked.fencingToken > scene.sent[0]!.token);
+  assert.equal(termNumberOf(asked.fencingToken), 1, "nobody else has to hear of it");
   scene.step();
   scene.step();
   assert.equal(scene.ops("start"), 2);
@@ -143,8 +143,8 @@
   scene.step();
   for (const { machine } of [...scene.sent]) scene.report(machine, "east", { reclaimNoticeSeconds: 10 });
   scene.now += 10;
-  const orders = scene.s.step(instant(scene.now)).flatMap((d) => (d.kind === "orders" ? d.orders : []));
-  assert.ok(orders.some((o) => o.op === "stop" && o.job === "req-000001" && o.graceS === 3));
+  const commands = scene.s.step(instant(scene.now)).flatMap((d) => (d.kind === "commands" ? d.commands : []));
+  assert.ok(commands.some((o) => o.op === "stop" && o.job === "req-000001" && o.gracePeriodSeconds === 3));
 });
 
 test("after a take-over an old memory of a machine is not taken for the machine", () => {
@@ -166,10 +166,10 @@
   scene.s.recorded("n-9", { type: "small", zone: "east", spot: false, addr: "x" }, instant(50_000));
   scene.s.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
   scene.s.jobSeen(spec({}), 20, instant(50_000));
-  const orders = scene.s.step(instant(50_000)).flatMap((d) => (d.kind === "orders" ? d.orders : []));
-  assert.deepEqual(orders, []);
+  const commands = scene.s.step(instant(50_000)).flatMap((d) => (d.kind === "commands" ? d.commands : []));
+  assert.deepEqual(commands, []);
   scene.s.heartbeatReceived({ ...r, sequence: 6 }, "a", instant(50_100), instant(50_090));
-  const starts = scene.s.step(instant(50_200)).flatMap((d) => (d.kind === "orders" ? d.orders : []));
+  const starts = scene.s.step(instant(50_200)).flatMap((d) => (d.kind === "commands" ? d.commands : []));
   assert.ok(starts.length <= 1);
 });
 
@@ -208,7 +208,7 @@
     scene.step(["n-2"]);
     for (const { id } of EAST) if (id !== "n-2") scene.end(id, "done");
     for (const d of scene.s.stepFleet(instant(scene.now)))
-      if (d.kind === "release" && d.machines.includes("n-2")) why = d.why;
+      if (d.kind === "release" && d.machines.includes("n-2")) why = d.reason;
   }
   assert.equal(why, "doesn't hear");
   const starts = scene.sent.filter((x) => x.order.op === "start" && x.machine === "n-2");
@@ -251,7 +251,7 @@
         .filter((x) => x.machine === "n-2" && x.order.op === "start").length;
     for (const { id } of EAST) scene.end(id, "done");
     for (const d of scene.s.stepFleet(instant(scene.now)))
-      if (d.kind === "release" && d.machines.includes("n-2")) why = d.why;
+      if (d.kind === "release" && d.machines.includes("n-2")) why = d.reason;
   }
   assert.equal(why, "reaches no controller");
   assert.equal(startsLate, 0);
@@ -292,7 +292,7 @@
   const guest = spec({ id: "req-000009", priority: "low", tasks: 500 });
   scene.s.jobSeen(guest, 10, instant(scene.now));
   const began = scene.now;
-  const isStarted = (): boolean => scene.sent.some(({ order }) => order.job === guest.id);
+  const isStarted = (): boolean => scene.sent.some(({ order: command }) => command.job === guest.id);
   for (let n = 0; n < 600 && !isStarted(); n++) {
     // two tasks take the whole machine, and all of their team's guarantee
     const job = spec({ id: `req-1${String(n).padStart(5, "0")}`, team: "red", priority: "high", tasks: 2 });
@@ -305,7 +305,9 @@
   assert.ok(scene.now - began < 240_000);
   // one task of it was enough
   scene.step();
-  assert.ok(scene.sent.filter(({ order }) => order.job === guest.id && order.op === "start").length <= 2);
+  assert.ok(
+    scene.sent.filter(({ order: command }) => command.job === guest.id && command.op === "start").length <= 2,
+  );
 });
 
 test("a stranger in a late heartbeat is no machine, until it knows the present token", () => {
@@ -350,15 +352,15 @@
 test("a start whose outcome comes before its heartbeat is waited for, not repeated", () => {
   const scene = new Scene([{ id: "n-1", zone: "east" }]);
   scene.s.jobSeen(spec({}), 20, instant(0));
-  const orders = scene.s.step(instant(scene.now)).filter((d) => d.kind === "orders");
-  assert.equal(orders.length, 1);
-  const d = orders[0]!;
-  scene.s.ordersAnswered("n-1", d.orders, d.token, "done", instant(scene.now), {
+  const commands = scene.s.step(instant(scene.now)).filter((d) => d.kind === "commands");
+  assert.equal(commands.length, 1);
+  const d = commands[0]!;
+  scene.s.commandsAnswered("n-1", d.commands, d.fencingToken, "done", instant(scene.now), {
     workerEpoch: 1,
     sequence: 50,
   });
   const again = (): number =>
-    scene.s.step(instant((scene.now += 600))).filter((x) => x.kind === "orders" && x.orders.length > 0)
+    scene.s.step(instant((scene.now += 600))).filter((x) => x.kind === "commands" && x.commands.length > 0)
       .length;
   assert.equal(again(), 0);
   scene.report("n-1", "east", { sequence: 49 });
@@ -377,14 +379,14 @@
   }
   const aside = [...scene.s.cluster.machines.values()].filter((m) => m.slow).map((m) => m.id);
   assert.deepEqual(aside, ["n-2"]);
-  const on = (machine: string, op: Order["op"]): Order[] =>
+  const on = (machine: string, op: Command["op"]): Command[] =>
     scene.sent.filter((x) => x.machine === machine && x.order.op === op).map((x) => x.order);
   assert.equal(on("n-2", "start").length, 2, "no new work");
   assert.equal(on("n-2", "stop").length, 2);
   for (const { index } of on("n-2", "stop"))
     assert.equal(scene.sent.filter((x) => x.order.op === "start" && x.order.index === index).length, 2);
   const released = scene.s.stepFleet(instant(scene.now)).filter((d) => d.kind === "release");
-  assert.ok(released.some((d) => d.machines.includes("n-2") && d.why === "slow"));
+  assert.ok(released.some((d) => d.machines.includes("n-2") && d.reason === "slow"));
 });
 
 test("after a take-over nobody passes for slow: when its tasks began isn't known", () => {
@@ -504,11 +506,11 @@
     s.vouched("a", 1, 1, null, [], instant(t));
     s.vouched("b", 1, 1, null, [], instant(t));
     for (const d of s.step(instant(t))) {
-      if (d.kind !== "orders" || d.machine !== "n-0") continue;
+      if (d.kind !== "commands" || d.machine !== "n-0") continue;
       ways.add(d.via);
       // this node can't reach it, the other one can
       if (d.via === "b") heartbeat("n-0", "b", t);
-      s.ordersAnswered("n-0", d.orders, d.token, d.via === "b" ? "done" : "unknown", instant(t));
+      s.commandsAnswered("n-0", d.commands, d.fencingToken, d.via === "b" ? "done" : "unknown", instant(t));
     }
     for (const d of s.stepFleet(instant(t))) assert.notEqual(d.kind, "release", `released after ${t} ms`);
   }
@@ -723,7 +725,7 @@
   const stops = (): number =>
     scene.s
       .step(instant(scene.now + 10))
-      .flatMap((d) => (d.kind === "orders" ? d.orders : []))
+      .flatMap((d) => (d.kind === "commands" ? d.commands : []))
       .filter((o) => o.op === "stop").length;
   assert.equal(stops(), 0);
   scene.s.waitingSeen(spec(PIPELINE_END), instant(scene.now));
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -36,8 +36,8 @@
 } from "../src/io/codec.js";
 import {
   type Codec,
-  deliverCodec,
-  deliveredCodec,
+  commandDeliveryCodec,
+  deliveryReceiptCodec,
   syncAnswerCodec,
   syncCodec,
   wordAnswerCodec,
@@ -94,8 +94,8 @@
 const ours = {
   Sync: syncCodec,
   SyncAnswer: syncAnswerCodec,
-  Deliver: deliverCodec,
-  Delivered: deliveredCodec,
+  Deliver: commandDeliveryCodec,
+  Delivered: deliveryReceiptCodec,
   Word: wordCodec,
   WordAnswer: wordAnswerCodec,
 } as unknown as Record<MessageType, Codec<Json>>;
--- a/test/wire-names.ts
+++ b/test/wire-names.ts
@@ -20,10 +20,20 @@
 const NAMES: Record<MessageType, Names> = {
   Sync: {
     seen: ["seen", { answeredMs: "answerAgeMs", heardMs: "heartbeatAgeMs" }],
+    outcomes: ["outcomes", { session: "workerEpoch", seq: "sequence" }],
     reports: ["reports", { report: ["heartbeat", HEARTBEAT] }],
   },
   SyncAnswer: {},
-  Deliver: {},
+  Deliver: {
+    items: [
+      "batches",
+      {
+        session: "workerEpoch",
+        token: "fencingToken",
+        orders: ["commands", { graceS: "gracePeriodSeconds" }],
+      },
+    ],
+  },
   Delivered: {},
   Word: {},
   WordAnswer: {},
