--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -622,10 +622,10 @@
 
   private applyWrite({ from, id, write }: Extract<Mail, { kind: "write" }>): void {
     const present = this.records.get(write.shard)?.stamp ?? 0;
-    const holds =
+    const attempts =
       (this.without === "stamp" || present === write.stamp) &&
       (this.without === "term" || this.term?.stamp === write.termStamp);
-    if (holds) {
+    if (attempts) {
       const wasReleased = this.records.get(write.shard)?.state._tag === "Released";
       if (wasReleased) this.handedOver.set(write.shard, write.state.epoch);
       this.records.set(write.shard, { stamp: ++this.revision, state: write.state });
@@ -635,7 +635,7 @@
       if (before !== owner) this.broken.push(`epoch ${name}: ${before}, then ${owner}`);
       this.owners.set(name, before);
     }
-    const outcome = holds ? "written" : "failed";
+    const outcome = attempts ? "written" : "failed";
     this.send({ kind: "written", to: from, id, write, outcome, stamp: this.revision });
   }
 
--- a/src/core/attempt-results.ts
+++ b/src/core/attempt-results.ts
@@ -1,6 +1,6 @@
 /** What the reported states of attempts say about their machine and their job: cached images, failures, retries. */
 import * as Duration from "effect/Duration";
-import type { Cluster, Hold, Job, Machine } from "./cluster.js";
+import type { Cluster, TaskAttempt, Job, Machine } from "./cluster.js";
 import type { JobSpec } from "./records.js";
 import { type Instant, hasElapsed, plus } from "./time.js";
 
@@ -16,14 +16,16 @@
 /** Tasks of a job that fails wherever it runs end at once: one that runs for longer speaks for its job. */
 const PROVEN_AFTER = Duration.seconds(10);
 
-const isUnproven = (hold: Hold, now: Instant): boolean =>
-  hold.state === "dispatched" || hold.state === "fetching" || !hasElapsed(now, hold.since, PROVEN_AFTER);
+const isUnproven = (attempt: TaskAttempt, now: Instant): boolean =>
+  attempt.state === "dispatched" ||
+  attempt.state === "fetching" ||
+  !hasElapsed(now, attempt.stateSince, PROVEN_AFTER);
 
 /** Whether some task of the job runs, and has run for a while. */
 const isProven = (job: Job, now: Instant): boolean => {
   if (job.running === 0) return false;
-  for (const holds of job.holds.values())
-    if (holds.some((hold) => hold.state === "running" && !isUnproven(hold, now))) return true;
+  for (const attempts of job.attempts.values())
+    if (attempts.some((attempt) => attempt.state === "running" && !isUnproven(attempt, now))) return true;
   return false;
 };
 
@@ -37,7 +39,7 @@
 /** How many of a job's tasks are worth starting now, room and limits aside. */
 export const startableTasks = (job: Job, now: Instant): number => {
   if (!isSuspect(job, now)) return job.pending.size;
-  const isTried = [...job.holds.values()].flat().some((hold) => hold.state !== "exited");
+  const isTried = [...job.attempts.values()].flat().some((attempt) => attempt.state !== "exited");
   return isTried ? 0 : Math.min(job.pending.size, 1);
 };
 
@@ -60,21 +62,21 @@
 };
 
 /** Learns from an attempt that was just reported as running or as exited. */
-export const noteResult = (cluster: Cluster, machine: Machine, hold: Hold, now: Instant): void => {
-  if (hold.state === "running") {
-    noteImage(machine, hold.spec);
+export const noteResult = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, now: Instant): void => {
+  if (attempt.state === "running") {
+    noteImage(machine, attempt.spec);
     return;
   }
-  if (hold.why === "done") noteSuccess(cluster, machine, hold);
-  const job = cluster.jobs.get(hold.job);
+  if (attempt.exitReason === "done") noteSuccess(cluster, machine, attempt);
+  const job = cluster.jobs.get(attempt.job);
   if (job === undefined) return;
-  if (hold.why === "error") noteFailure(cluster, machine, job, now);
-  if (hold.why === "no_room") job.refusedOn.set(machine.id, now);
-  if (hold.why === "unknown") job.retryAt = plus(now, RETRY_AFTER_UNKNOWN);
+  if (attempt.exitReason === "error") noteFailure(cluster, machine, job, now);
+  if (attempt.exitReason === "no_room") job.refusedOn.set(machine.id, now);
+  if (attempt.exitReason === "unknown") job.retryAt = plus(now, RETRY_AFTER_UNKNOWN);
 };
 
-const noteSuccess = (cluster: Cluster, machine: Machine, hold: Hold): void => {
-  noteImage(machine, hold.spec);
+const noteSuccess = (cluster: Cluster, machine: Machine, attempt: TaskAttempt): void => {
+  noteImage(machine, attempt.spec);
   machine.blame.clear();
   if (machine.setAside === null || machine.slow) return;
   machine.setAside = null;
--- /dev/null
+++ b/src/core/cluster-attempts.ts
@@ -0,0 +1,144 @@
+/**
+ * Adds, changes and removes holds, and keeps consistent what follows from them: the room taken on machines and by teams,
+ * the counts by class and rank, and which tasks are pending. A task is pending only while nothing holds it (S4).
+ */
+import { indexMachine, machineOf, removePending, tidyTask } from "./cluster-indices.js";
+import {
+  type Cluster,
+  type TaskAttempt,
+  attemptKey,
+  isActive,
+  type Job,
+  type Machine,
+  occupiesCapacity,
+} from "./cluster-state.js";
+import { type JobSpec, RANK } from "./records.js";
+
+type Sign = 1 | -1;
+
+/** Counts up or down; an entry of nothing is deleted. */
+const count = <K>(counts: Map<K, number>, key: K, by: Sign): void => {
+  const total = (counts.get(key) ?? 0) + by;
+  if (total <= 0) counts.delete(key);
+  else counts.set(key, total);
+};
+
+const countUsage = (cluster: Cluster, spec: JobSpec, sign: Sign): void => {
+  const usage = cluster.usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
+  usage.cpus += sign * spec.cpus;
+  usage.gpus += sign * spec.gpus;
+  cluster.usage.set(spec.team, usage);
+};
+
+/** Counts the room that an attempt takes, or no longer takes. */
+const account = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, sign: Sign): void => {
+  const { spec } = attempt;
+  if (spec === null) {
+    count(cluster.orphanedAttemptCounts, machine, sign);
+    return;
+  }
+  machine.used.cpus += sign * spec.cpus;
+  machine.used.gpus += sign * spec.gpus;
+  machine.used.memoryGb += sign * spec.memoryGb;
+  countUsage(cluster, spec, sign);
+  count(machine.classes, spec.className, sign);
+  count(cluster.classes, spec.className, sign);
+  const rank = RANK[spec.priority];
+  cluster.ranks[rank] = (cluster.ranks[rank] ?? 0) + sign;
+  if (sign < 0) cluster.chances++;
+  indexMachine(cluster, machine);
+};
+
+const countRunning = (cluster: Cluster, attempt: TaskAttempt, by: Sign): void => {
+  const job = cluster.jobs.get(attempt.job);
+  if (job === undefined) return;
+  job.running += by;
+  cluster.progressed(job);
+};
+
+const indexUnacknowledgedStart = (cluster: Cluster, attempt: TaskAttempt): void => {
+  if (attempt.unacknowledgedToken !== null) cluster.unacknowledgedStarts.add(attempt);
+  else cluster.unacknowledgedStarts.delete(attempt);
+};
+
+const addOrphan = (cluster: Cluster, attempt: TaskAttempt): void => {
+  const orphans = cluster.orphanedAttempts.get(attempt.job);
+  if (orphans === undefined) cluster.orphanedAttempts.set(attempt.job, new Set([attempt]));
+  else orphans.add(attempt);
+};
+
+const removeOrphan = (cluster: Cluster, attempt: TaskAttempt): void => {
+  const orphans = cluster.orphanedAttempts.get(attempt.job);
+  orphans?.delete(attempt);
+  if (orphans?.size === 0) cluster.orphanedAttempts.delete(attempt.job);
+};
+
+/** A task is pending again once nothing holds it and it isn't done. */
+const restorePending = (cluster: Cluster, job: Job, index: number): void => {
+  if (job.done.has(index)) return;
+  const attempts = job.attempts.get(index);
+  if (attempts?.some((attempt) => occupiesCapacity(attempt) || attempt.exitReason === "done")) return;
+  job.pending.add(index);
+  cluster.waiting.add(job);
+};
+
+const addToJob = (cluster: Cluster, job: Job, attempt: TaskAttempt): void => {
+  const attempts = job.attempts.get(attempt.index);
+  if (attempts === undefined) job.attempts.set(attempt.index, [attempt]);
+  else {
+    attempts.push(attempt);
+    tidyTask(cluster, job, attempt.index);
+  }
+  if (occupiesCapacity(attempt) || attempt.exitReason === "done") removePending(cluster, job, attempt.index);
+};
+
+const removeFromJob = (cluster: Cluster, job: Job, attempt: TaskAttempt): void => {
+  const rest = (job.attempts.get(attempt.index) ?? []).filter((other) => other !== attempt);
+  if (rest.length === 0) job.attempts.delete(attempt.index);
+  else job.attempts.set(attempt.index, rest);
+  restorePending(cluster, job, attempt.index);
+};
+
+/** Adds an attempt on a machine of the cluster; the task is no longer pending. */
+export const addAttempt = (cluster: Cluster, attempt: TaskAttempt): void => {
+  const machine = machineOf(cluster, attempt);
+  machine.attempts.set(attemptKey(attempt.job, attempt.index, attempt.attempt), attempt);
+  machine.idleSince = null;
+  cluster.attention.add(machine);
+  if (attempt.spec === null) addOrphan(cluster, attempt);
+  if (attempt.unacknowledgedToken !== null) cluster.unacknowledgedStarts.add(attempt);
+  if (occupiesCapacity(attempt)) account(cluster, machine, attempt, 1);
+  if (isActive(attempt)) countRunning(cluster, attempt, 1);
+  const job = cluster.jobs.get(attempt.job);
+  if (job !== undefined) addToJob(cluster, job, attempt);
+};
+
+/** Changes an attempt, keeping the room accounts and the job's pending tasks consistent. */
+export const updateAttempt = (cluster: Cluster, attempt: TaskAttempt, change: Partial<TaskAttempt>): void => {
+  const machine = machineOf(cluster, attempt);
+  const occupied = occupiesCapacity(attempt);
+  const wasActive = isActive(attempt);
+  Object.assign(attempt, change);
+  cluster.attention.add(machine);
+  indexUnacknowledgedStart(cluster, attempt);
+  if (wasActive !== isActive(attempt)) countRunning(cluster, attempt, wasActive ? -1 : 1);
+  if (occupied === occupiesCapacity(attempt)) return;
+  account(cluster, machine, attempt, occupied ? -1 : 1);
+  const job = cluster.jobs.get(attempt.job);
+  if (job === undefined) return;
+  if (occupied) restorePending(cluster, job, attempt.index);
+  else removePending(cluster, job, attempt.index);
+};
+
+/** Removes an attempt; callers have made certain that the attempt neither runs nor can still start (S4). */
+export const removeAttempt = (cluster: Cluster, attempt: TaskAttempt): void => {
+  const machine = machineOf(cluster, attempt);
+  machine.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.attempt));
+  cluster.attention.add(machine);
+  cluster.unacknowledgedStarts.delete(attempt);
+  if (attempt.spec === null) removeOrphan(cluster, attempt);
+  if (occupiesCapacity(attempt)) account(cluster, machine, attempt, -1);
+  if (isActive(attempt)) countRunning(cluster, attempt, -1);
+  const job = cluster.jobs.get(attempt.job);
+  if (job !== undefined) removeFromJob(cluster, job, attempt);
+};
--- a/src/core/cluster-indices.ts
+++ b/src/core/cluster-indices.ts
@@ -1,11 +1,12 @@
 /** Keeps the indices of `Cluster` that follow from the fields of one machine or one job. Internal to `cluster-*`. */
-import type { Cluster, Hold, Job, Machine } from "./cluster-state.js";
+import type { Cluster, TaskAttempt, Job, Machine } from "./cluster-state.js";
 import { ROUNDING } from "./quota.js";
 
-/** The machine that a hold is on. A machine is dropped only after its holds, so there always is one. */
-export const machineOf = (cluster: Cluster, hold: Hold): Machine => {
-  const machine = cluster.machines.get(hold.machine);
-  if (machine === undefined) throw new Error(`a hold of ${hold.job} on an unknown machine: ${hold.machine}`);
+/** The machine that an attempt is on. A machine is dropped only after its attempts, so there always is one. */
+export const machineOf = (cluster: Cluster, attempt: TaskAttempt): Machine => {
+  const machine = cluster.machines.get(attempt.machine);
+  if (machine === undefined)
+    throw new Error(`a hold of ${attempt.job} on an unknown machine: ${attempt.machine}`);
   return machine;
 };
 
@@ -30,7 +31,7 @@
 
 /** Something about a task's holds has changed: the reconciler looks at their machines. */
 export const tidyTask = (cluster: Cluster, job: Job, index: number): void => {
-  const holds = job.holds.get(index);
-  if (holds === undefined) return;
-  for (const hold of holds) cluster.attention.add(machineOf(cluster, hold));
+  const attempts = job.attempts.get(index);
+  if (attempts === undefined) return;
+  for (const attempt of attempts) cluster.attention.add(machineOf(cluster, attempt));
 };
--- a/src/core/cluster-jobs.ts
+++ b/src/core/cluster-jobs.ts
@@ -1,11 +1,11 @@
 /** Adds and drops jobs, and marks their tasks as finished, with the indices that follow from them. */
-import { addHold, removeHold } from "./cluster-holds.js";
+import { addAttempt, removeAttempt } from "./cluster-attempts.js";
 import { machineOf, removePending, tidyTask } from "./cluster-indices.js";
 import { type Cluster, type Job, newJob } from "./cluster-state.js";
 import type { JobSpec } from "./records.js";
 import type { Instant } from "./time.js";
 
-/** Adds a released job, and gives it the holds that machines reported before its record was read. */
+/** Adds a released job, and gives it the attempts that machines reported before its record was read. */
 export const addJob = (
   cluster: Cluster,
   spec: JobSpec,
@@ -14,13 +14,13 @@
   seen: Instant = accepted,
 ): Job => {
   const job = newJob(spec, stamp, accepted, seen);
-  const strays = [...(cluster.strays.get(spec.id) ?? [])];
-  for (const hold of strays) removeHold(cluster, hold);
+  const orphans = [...(cluster.orphanedAttempts.get(spec.id) ?? [])];
+  for (const attempt of orphans) removeAttempt(cluster, attempt);
   cluster.jobs.set(spec.id, job);
   cluster.waiting.add(job);
   cluster.jobChanges++;
   cluster.chances++;
-  for (const hold of strays) addHold(cluster, { ...hold, spec });
+  for (const attempt of orphans) addAttempt(cluster, { ...attempt, spec });
   return job;
 };
 
@@ -30,8 +30,8 @@
   cluster.waiting.delete(job);
   cluster.covered.delete(job);
   cluster.jobChanges++;
-  for (const holds of job.holds.values())
-    for (const hold of holds) cluster.attention.add(machineOf(cluster, hold));
+  for (const attempts of job.attempts.values())
+    for (const attempt of attempts) cluster.attention.add(machineOf(cluster, attempt));
 };
 
 /** The tasks from `from` up to `to` are finished, for ever (S7): none of them is started again. */
--- a/src/core/cluster-machines.ts
+++ b/src/core/cluster-machines.ts
@@ -1,5 +1,5 @@
 /** Adds, changes and drops machines, with the indices that follow from them. */
-import { removeHold } from "./cluster-holds.js";
+import { removeAttempt } from "./cluster-attempts.js";
 import { indexMachine } from "./cluster-indices.js";
 import type { Cluster, Machine } from "./cluster-state.js";
 import type { Instant } from "./time.js";
@@ -59,7 +59,7 @@
 
 /** Drops a machine that is gone for certain (S3), with all that it held. */
 export const dropMachine = (cluster: Cluster, machine: Machine): void => {
-  for (const hold of [...machine.holds.values()]) removeHold(cluster, hold);
+  for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
   cluster.machines.delete(machine.id);
   cluster.free.set(machine, 0);
   cluster.attention.delete(machine);
@@ -68,5 +68,5 @@
   cluster.byLastHeartbeat.delete(machine);
   cluster.mute.delete(machine);
   cluster.fencing.delete(machine);
-  cluster.strayOn.delete(machine);
+  cluster.orphanedAttemptCounts.delete(machine);
 };
--- a/src/core/cluster-state.ts
+++ b/src/core/cluster-state.ts
@@ -16,10 +16,10 @@
 }
 
 /**
- * One attempt of a task that is, or may be, on a machine. While a hold exists the task is started nowhere else (S4):
+ * One attempt of a task that is, or may be, on a machine. While an attempt exists the task is started nowhere else (S4):
  * it is removed only once it is certain that the attempt neither runs nor can still start.
  */
-export interface Hold {
+export interface TaskAttempt {
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
@@ -29,15 +29,15 @@
   /** As last reported by the worker; `dispatched`: the start command was decided on and has not shown in a heartbeat. */
   state: TaskState | "dispatched";
   /** Why the attempt ended; null until it exited. */
-  why: ExitReason | null;
+  exitReason: ExitReason | null;
   /** When it entered its present state. */
-  since: Instant;
+  stateSince: Instant;
   /** When it began to run; null if reports came too seldom to tell. */
-  began: Instant | null;
+  runningSince: Instant | null;
   /** Token under which a start command got no answer: it may still be executed until the worker saw a higher token. */
-  doubt: number | null;
+  unacknowledgedToken: number | null;
   /** The heartbeat with which the worker answered the start; it may arrive later, and newer ones are conclusive. */
-  answered: HeartbeatId | null;
+  acknowledgedBy: HeartbeatId | null;
   /** A stop command was decided on. */
   stopping: boolean;
   /** Its finish is in the state service, so the worker may forget the task (S7). */
@@ -57,10 +57,10 @@
   readonly done: RangeSet;
   /** Those of them that are stored: only they may be forgotten by workers. */
   readonly stored: RangeSet;
-  /** Tasks to be started: not done, and without a hold. Changed only by the `cluster-*` modules. */
+  /** Tasks to be started: not done, and without an attempt. Changed only by the `cluster-*` modules. */
   readonly pending: RangeSet;
-  /** Every hold of the job, by task number. */
-  readonly holds: Map<number, Hold[]>;
+  /** Every attempt of the job, by task number. */
+  readonly attempts: Map<number, TaskAttempt[]>;
   /** Machines on which its tasks failed, and when last. */
   readonly errorsOn: Map<string, Instant>;
   /** Machines that turned its tasks down for lack of room, and when last. */
@@ -116,7 +116,7 @@
   failed: boolean;
   /** When its release was last requested; null: not requested. */
   releasing: Instant | null;
-  /** Since when it has had no holds. */
+  /** Since when it has had no attempts. */
   idleSince: Instant | null;
   /** Tasks that failed here since one last completed, by job. */
   readonly blame: Map<string, number>;
@@ -134,9 +134,9 @@
   unanswered: number;
   /** Since when command batches have gone unanswered; null: the last one was answered. */
   mute: Instant | null;
-  /** Room taken by its holds. */
+  /** Room taken by its attempts. */
   readonly used: { cpus: number; gpus: number; memoryGb: number };
-  readonly holds: Map<string, Hold>;
+  readonly attempts: Map<string, TaskAttempt>;
   /** How many tasks of each class it holds. */
   readonly classes: Map<string, number>;
   /** Images in its cache and their sizes, the least recently used first. */
@@ -147,7 +147,7 @@
 export interface Cluster {
   readonly jobs: Map<string, Job>;
   readonly machines: Map<string, Machine>;
-  /** Room taken by each team's holds (S6). */
+  /** Room taken by each team's attempts (S6). */
   readonly usage: Map<string, Usage>;
   /** Jobs with tasks to be started. */
   readonly waiting: Set<Job>;
@@ -167,18 +167,18 @@
   readonly mute: Set<Machine>;
   /** Machines whose raised token has to be seen before their shard is handed over. */
   readonly fencing: Set<Machine>;
-  /** Holds whose start got no answer (S4). */
-  readonly doubts: Set<Hold>;
-  /** Holds whose job record is not known, by job. */
-  readonly strays: Map<string, Set<Hold>>;
+  /** Attempts whose start got no answer (S4). */
+  readonly unacknowledgedStarts: Set<TaskAttempt>;
+  /** Attempts whose job record is not known, by job. */
+  readonly orphanedAttempts: Map<string, Set<TaskAttempt>>;
   /** How many such holds each machine has; their size is not known (S6). */
-  readonly strayOn: Map<Machine, number>;
+  readonly orphanedAttemptCounts: Map<Machine, number>;
   /** How many tasks of each class are, or may be, on machines. */
   readonly classes: Map<string, number>;
   /** The same by the tasks' own rank. Inherited ranks are never lower: where this counts nothing low, nothing is. */
   readonly ranks: number[];
   /** The latest starts, oldest first: what was started last costs the least to stop. */
-  readonly started: Hold[];
+  readonly started: TaskAttempt[];
   /** Grows whenever a waiting task might fit where it didn't before. */
   chances: number;
   /** Grows whenever jobs come or go. */
@@ -201,9 +201,9 @@
   byLastHeartbeat: new Set(),
   mute: new Set(),
   fencing: new Set(),
-  doubts: new Set(),
-  strays: new Map(),
-  strayOn: new Map(),
+  unacknowledgedStarts: new Set(),
+  orphanedAttempts: new Map(),
+  orphanedAttemptCounts: new Map(),
   classes: new Map(),
   ranks: [0, 0, 0, 0],
   started: [],
@@ -247,7 +247,7 @@
   unanswered: 0,
   mute: null,
   used: { cpus: 0, gpus: 0, memoryGb: 0 },
-  holds: new Map(),
+  attempts: new Map(),
   classes: new Map(),
   images: new Map(),
 });
@@ -261,7 +261,7 @@
   done: new RangeSet(),
   stored: new RangeSet(),
   pending: RangeSet.of([[0, spec.tasks]]),
-  holds: new Map(),
+  attempts: new Map(),
   errorsOn: new Map(),
   refusedOn: new Map(),
   retryAt: null,
@@ -272,19 +272,22 @@
   due: spec.deadline === null ? null : plus(accepted, spec.deadline),
 });
 
-/** The key of a hold in `Machine.holds`. */
-export const holdKey = (job: string, index: number, attempt: number): string => `${job}/${index}#${attempt}`;
+/** The key of an attempt in `Machine.holds`. */
+export const attemptKey = (job: string, index: number, attempt: number): string =>
+  `${job}/${index}#${attempt}`;
 
 /** Whether message `a` of a worker is `b` or newer. */
 export const isSameOrNewer = (a: HeartbeatId, b: HeartbeatId): boolean =>
   a.workerEpoch > b.workerEpoch || (a.workerEpoch === b.workerEpoch && a.sequence >= b.sequence);
 
-/** Whether a hold takes room on its machine, and of its team's limit (S6). */
-export const occupies = (hold: Hold): boolean => hold.state !== "exited" || hold.doubt !== null;
+/** Whether an attempt takes room on its machine, and of its team's limit (S6). */
+export const occupiesCapacity = (attempt: TaskAttempt): boolean =>
+  attempt.state !== "exited" || attempt.unacknowledgedToken !== null;
 
 /** Whether the worker reported the attempt as running or as saving its checkpoint. */
-export const isActive = (hold: Hold): boolean => hold.state === "running" || hold.state === "saving";
+export const isActive = (attempt: TaskAttempt): boolean =>
+  attempt.state === "running" || attempt.state === "saving";
 
 /** How important a task's job is; the task's own priority where the job is no longer known. */
-export const rankOf = (cluster: Cluster, hold: Hold & { readonly spec: JobSpec }): number =>
-  cluster.jobs.get(hold.job)?.rank ?? RANK[hold.spec.priority];
+export const rankOf = (cluster: Cluster, attempt: TaskAttempt & { readonly spec: JobSpec }): number =>
+  cluster.jobs.get(attempt.job)?.rank ?? RANK[attempt.spec.priority];
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -3,7 +3,7 @@
  * indices are changed by these functions alone, so that a decision looks only at what changed or what waits; the tests
  * check each index against a full count.
  */
-export { addHold, changeHold, removeHold } from "./cluster-holds.js";
+export { addAttempt, updateAttempt, removeAttempt } from "./cluster-attempts.js";
 export { machineOf, tidyTask } from "./cluster-indices.js";
 export { addJob, dropJob, finish } from "./cluster-jobs.js";
 export {
@@ -16,15 +16,15 @@
 } from "./cluster-machines.js";
 export {
   type Cluster,
-  type Hold,
-  holdKey,
+  type TaskAttempt,
+  attemptKey,
   isActive,
   type Job,
   type Machine,
   newCluster,
   newMachine,
   isSameOrNewer,
-  occupies,
+  occupiesCapacity,
   rankOf,
   type HeartbeatId,
 } from "./cluster-state.js";
--- a/src/core/command-sender.ts
+++ b/src/core/command-sender.ts
@@ -3,8 +3,15 @@
  * start may still be executed is settled here (S2, S4); machines that are silent or unconfirmed are asked for a heartbeat.
  */
 import * as Duration from "effect/Duration";
-import { recordCommandAnswer, changeHold, type Hold, holdKey, type Machine, machineOf } from "./cluster.js";
-import { isSameOrNewer, removeHold, type HeartbeatId } from "./cluster.js";
+import {
+  recordCommandAnswer,
+  updateAttempt,
+  type TaskAttempt,
+  attemptKey,
+  type Machine,
+  machineOf,
+} from "./cluster.js";
+import { isSameOrNewer, removeAttempt, type HeartbeatId } from "./cluster.js";
 import type { Decision, CommandOutcome } from "./decisions.js";
 import type { PendingCommands } from "./pending-commands.js";
 import type { Command } from "./records.js";
@@ -59,11 +66,14 @@
   }
 
   /** A higher token settles whether an unanswered start was executed: a late one is refused from then on (S2). */
-  settleDoubts(): void {
+  settleUnacknowledgedStarts(): void {
     const { cluster, term } = this.scope;
-    for (const hold of cluster.doubts) {
-      const machine = machineOf(cluster, hold);
-      if (hold.doubt !== null && hold.doubt >= fencingTokenOf(term.token, machine.fencingTokenStep))
+    for (const attempt of cluster.unacknowledgedStarts) {
+      const machine = machineOf(cluster, attempt);
+      if (
+        attempt.unacknowledgedToken !== null &&
+        attempt.unacknowledgedToken >= fencingTokenOf(term.token, machine.fencingTokenStep)
+      )
         machine.fencingTokenStep++;
     }
   }
@@ -139,7 +149,7 @@
   /** Machines whose report is wanted; some come up more than once. */
   private *toAsk(now: Instant): Iterable<Machine> {
     const { cluster } = this.scope;
-    for (const hold of cluster.doubts) yield machineOf(cluster, hold);
+    for (const attempt of cluster.unacknowledgedStarts) yield machineOf(cluster, attempt);
     // an earlier leader may have started something on these
     for (const machine of cluster.unconfirmed) yield machine;
     for (const machine of cluster.byLastHeartbeat) {
@@ -177,27 +187,29 @@
     const isAnswer = outcome === "done" || outcome === "rejected";
     if (outcome !== "barred") recordCommandAnswer(cluster, machine, isAnswer, now);
     for (const command of result.commands) {
-      const hold = machine.holds.get(holdKey(command.job, command.index, command.attempt));
-      if (hold === undefined) continue;
-      if (command.op === "stop" && outcome !== "done") hold.stopping = false;
-      if (command.op === "start" && hold.state === "dispatched") this.startAnswered(machine, hold, result);
+      const attempt = machine.attempts.get(attemptKey(command.job, command.index, command.attempt));
+      if (attempt === undefined) continue;
+      if (command.op === "stop" && outcome !== "done") attempt.stopping = false;
+      if (command.op === "start" && attempt.state === "dispatched")
+        this.startAnswered(machine, attempt, result);
     }
   }
 
   /** A start that no heartbeat has shown yet: whether it may still be executed (S4). */
   private startAnswered(
     machine: Machine,
-    hold: Hold,
+    attempt: TaskAttempt,
     { outcome, fencingToken, answeredBy }: CommandBatchResult,
   ): void {
     const { cluster } = this.scope;
     // A heartbeat under a higher token came before this and didn't show the task: a late start is refused from then on. No
     // later heartbeat would settle the doubt, since workers report changes alone.
     const isRefusedLater = machine.fencingToken > fencingToken;
-    if (outcome === "unknown" && !isRefusedLater) changeHold(cluster, hold, { doubt: fencingToken });
+    if (outcome === "unknown" && !isRefusedLater)
+      updateAttempt(cluster, attempt, { unacknowledgedToken: fencingToken });
     // reports come by several ways: the one that shows the task may arrive after this answer
-    else if (outcome === "done" && !isSameOrNewer(machine, answeredBy)) hold.answered = answeredBy;
-    else removeHold(cluster, hold);
+    else if (outcome === "done" && !isSameOrNewer(machine, answeredBy)) attempt.acknowledgedBy = answeredBy;
+    else removeAttempt(cluster, attempt);
   }
 }
 
--- a/src/core/fleet.ts
+++ b/src/core/fleet.ts
@@ -3,7 +3,7 @@
 import { type Instant, hasElapsed, plus } from "./time.js";
 import { allowsType, allowsZone } from "./admission.js";
 import type { Cluster, Job, Machine } from "./cluster.js";
-import { occupies } from "./cluster.js";
+import { occupiesCapacity } from "./cluster.js";
 import { type JobSpec, type MachineType, RANK } from "./records.js";
 import { allowed, freeRoom, type Room, slots, takeRoom } from "./placement.js";
 
@@ -89,9 +89,9 @@
       if (!isUsable(m) && !booting) continue;
       const room = booting ? { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb } : freeRoom(m);
       const short: Room = { cpus: 0, gpus: 0, memoryGb: 0 };
-      for (const hold of m.holds.values())
-        if (hold.spec !== null && hold.spec.kind !== "service" && occupies(hold))
-          takeRoom(hold.spec, short, -this.options.reuse);
+      for (const attempt of m.attempts.values())
+        if (attempt.spec !== null && attempt.spec.kind !== "service" && occupiesCapacity(attempt))
+          takeRoom(attempt.spec, short, -this.options.reuse);
       if (room.cpus <= 1e-6 && short.cpus <= 1e-6) continue;
       rooms.push({ type: m.type, zone: m.zone, spot: m.spot, room, short });
     }
--- a/src/core/heartbeat-handler.ts
+++ b/src/core/heartbeat-handler.ts
@@ -1,20 +1,20 @@
 /**
  * Takes in workers' heartbeats: a heartbeat that is newer than the last one tells everything that is on the machine (S2), so it
- * adds, changes and removes the machine's holds (S4).
+ * adds, changes and removes the machine's attempts (S4).
  */
 import * as Duration from "effect/Duration";
 import { noteImage, noteResult } from "./attempt-results.js";
 import {
-  addHold,
-  changeHold,
+  addAttempt,
+  updateAttempt,
   recordHeartbeat,
-  holdKey,
+  attemptKey,
   isSameOrNewer,
-  removeHold,
+  removeAttempt,
   setMachine,
   tidyTask,
 } from "./cluster.js";
-import type { Hold, Machine } from "./cluster.js";
+import type { TaskAttempt, Machine } from "./cluster.js";
 import { finishTask } from "./job-intake.js";
 import type { MachineIntake } from "./machine-intake.js";
 import type { SlowMachineDetector } from "./slow-machine-detector.js";
@@ -45,9 +45,9 @@
     this.updateNotice(machine, heartbeat.reclaimNoticeSeconds, now);
     const present = new Set<string>();
     for (const task of heartbeat.tasks) {
-      const key = holdKey(task.job, task.index, task.attempt);
+      const key = attemptKey(task.job, task.index, task.attempt);
       present.add(key);
-      this.takeTask(machine, task, machine.holds.get(key), heartbeat.fencingToken, isTimely, now);
+      this.takeTask(machine, task, machine.attempts.get(key), heartbeat.fencingToken, isTimely, now);
     }
     this.removeMissing(machine, present, heartbeat, isNewEpoch);
     if (current && !machine.confirmed) this.confirm(machine);
@@ -94,7 +94,7 @@
   private takeTask(
     machine: Machine,
     task: TaskStatus,
-    hold: Hold | undefined,
+    attempt: TaskAttempt | undefined,
     token: number,
     isTimely: boolean,
     now: Instant,
@@ -103,26 +103,26 @@
     const job = cluster.jobs.get(task.job);
     if (task.state === "exited" && task.exitReason === "done" && job !== undefined)
       finishTask(cluster, job, task.index);
-    if (hold === undefined) this.addReported(machine, task, now);
-    else this.changeReported(machine, task, hold, token, isTimely, now);
+    if (attempt === undefined) this.addReported(machine, task, now);
+    else this.changeReported(machine, task, attempt, token, isTimely, now);
   }
 
   /** An attempt that this leader didn't start, or whose hold it gave up. */
   private addReported(machine: Machine, task: TaskStatus, now: Instant): void {
     const { cluster } = this.scope;
     const job = cluster.jobs.get(task.job);
-    addHold(cluster, {
+    addAttempt(cluster, {
       job: task.job,
       index: task.index,
       attempt: task.attempt,
       machine: machine.id,
       spec: job?.spec ?? null,
       state: task.state,
-      why: task.exitReason,
-      since: now,
-      began: null,
-      doubt: null,
-      answered: null,
+      exitReason: task.exitReason,
+      stateSince: now,
+      runningSince: null,
+      unacknowledgedToken: null,
+      acknowledgedBy: null,
       stopping: task.state === "saving",
       stored: job?.stored.has(task.index) ?? false,
     });
@@ -132,26 +132,32 @@
   private changeReported(
     machine: Machine,
     task: TaskStatus,
-    hold: Hold,
+    attempt: TaskAttempt,
     token: number,
     isTimely: boolean,
     now: Instant,
   ): void {
     const { cluster } = this.scope;
     const { state, exitReason } = task;
-    const before = hold.state;
-    const isSettled = hold.doubt !== null && token > hold.doubt;
+    const before = attempt.state;
+    const isSettled = attempt.unacknowledgedToken !== null && token > attempt.unacknowledgedToken;
     if (before === state && !isSettled) return;
-    if (before === "running" && exitReason === "done" && isTimely) this.pace.done(machine, hold, now);
-    const doubt = isSettled ? null : hold.doubt;
+    if (before === "running" && exitReason === "done" && isTimely) this.pace.done(machine, attempt, now);
+    const unacknowledgedToken = isSettled ? null : attempt.unacknowledgedToken;
     if (before === state) {
-      changeHold(cluster, hold, { why: exitReason, doubt });
+      updateAttempt(cluster, attempt, { exitReason, unacknowledgedToken });
     } else {
-      const began = state === "running" && isTimely ? now : null;
-      changeHold(cluster, hold, { state, why: exitReason, since: now, began, doubt });
+      const runningSince = state === "running" && isTimely ? now : null;
+      updateAttempt(cluster, attempt, {
+        state,
+        exitReason,
+        stateSince: now,
+        runningSince,
+        unacknowledgedToken,
+      });
     }
     const hasExited = state === "exited" && before !== "exited";
-    if (state === "running" || hasExited) noteResult(cluster, machine, hold, now);
+    if (state === "running" || hasExited) noteResult(cluster, machine, attempt, now);
   }
 
   private removeMissing(
@@ -160,9 +166,9 @@
     heartbeat: Heartbeat,
     isNewEpoch: boolean,
   ): void {
-    for (const [key, hold] of machine.holds) {
+    for (const [key, attempt] of machine.attempts) {
       if (present.has(key)) continue;
-      if (isNewEpoch || !mayStillStart(hold, heartbeat)) removeHold(this.scope.cluster, hold);
+      if (isNewEpoch || !mayStillStart(attempt, heartbeat)) removeAttempt(this.scope.cluster, attempt);
     }
   }
 
@@ -170,9 +176,9 @@
   private confirm(machine: Machine): void {
     const { cluster } = this.scope;
     setMachine(cluster, machine, { confirmed: true });
-    for (const hold of machine.holds.values()) {
-      const job = cluster.jobs.get(hold.job);
-      if (job !== undefined) tidyTask(cluster, job, hold.index);
+    for (const attempt of machine.attempts.values()) {
+      const job = cluster.jobs.get(attempt.job);
+      if (job !== undefined) tidyTask(cluster, job, attempt.index);
     }
   }
 }
@@ -181,8 +187,8 @@
  * Whether a start that the heartbeat doesn't show may still be executed (S4): it is on its way, or it got no answer and the
  * worker has not seen a higher token. In a new epoch late commands are refused, whatever they are.
  */
-const mayStillStart = (hold: Hold, heartbeat: Heartbeat): boolean => {
-  if (hold.doubt !== null) return !(heartbeat.fencingToken > hold.doubt);
-  const isAnswered = hold.answered !== null && isSameOrNewer(heartbeat, hold.answered);
-  return hold.state === "dispatched" && !isAnswered;
+const mayStillStart = (attempt: TaskAttempt, heartbeat: Heartbeat): boolean => {
+  if (attempt.unacknowledgedToken !== null) return !(heartbeat.fencingToken > attempt.unacknowledgedToken);
+  const isAnswered = attempt.acknowledgedBy !== null && isSameOrNewer(heartbeat, attempt.acknowledgedBy);
+  return attempt.state === "dispatched" && !isAnswered;
 };
--- a/src/core/job-intake.ts
+++ b/src/core/job-intake.ts
@@ -32,8 +32,8 @@
     job.rank = this.pipelines.rank(spec.id) ?? job.rank;
     job.due = this.pipelines.due(spec.id);
     this.passOn();
-    for (const [index, holds] of job.holds)
-      if (holds.some((hold) => hold.why === "done")) finishTask(this.cluster, job, index);
+    for (const [index, attempts] of job.attempts)
+      if (attempts.some((attempt) => attempt.exitReason === "done")) finishTask(this.cluster, job, index);
     return job;
   }
 
@@ -75,9 +75,9 @@
   }
 
   private markStored(job: Job, index: number): void {
-    const holds = job.holds.get(index);
-    if (holds === undefined) return;
-    for (const hold of holds) hold.stored = true;
+    const attempts = job.attempts.get(index);
+    if (attempts === undefined) return;
+    for (const attempt of attempts) attempt.stored = true;
     tidyTask(this.cluster, job, index);
   }
 
--- a/src/core/job-queue.ts
+++ b/src/core/job-queue.ts
@@ -36,7 +36,7 @@
 
 /** A job that fails wherever it runs was started often enough: it goes before no others. */
 const hasStarted = (job: Job, now: Instant): boolean =>
-  job.holds.size > 0 || job.done.size > 0 || isSuspect(job, now);
+  job.attempts.size > 0 || job.done.size > 0 || isSuspect(job, now);
 
 /** Whether a job above the lowest rank has waited long for its first start. */
 const isStarved = (job: Job, now: Instant): boolean =>
--- a/src/core/lease-expiry.ts
+++ b/src/core/lease-expiry.ts
@@ -3,7 +3,7 @@
  * answered its worker for a whole lease (S3 in docs/design.md).
  */
 import * as Duration from "effect/Duration";
-import { type Machine, occupies, removeHold, setMachine } from "./cluster.js";
+import { type Machine, occupiesCapacity, removeAttempt, setMachine } from "./cluster.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed, plus, withClockDrift } from "./time.js";
 
@@ -72,11 +72,11 @@
       silent.add(m);
     }
     for (const m of silent) {
-      const open = !m.confirmed || [...m.holds.values()].some(occupies);
+      const open = !m.confirmed || [...m.attempts.values()].some(occupiesCapacity);
       if (open && this.isOver(m)) {
         setMachine(cluster, m, { confirmed: true });
         m.inFlight = false;
-        for (const hold of [...m.holds.values()]) removeHold(cluster, hold);
+        for (const attempt of [...m.attempts.values()]) removeAttempt(cluster, attempt);
       }
     }
   }
--- a/src/core/machine-returns.ts
+++ b/src/core/machine-returns.ts
@@ -1,7 +1,7 @@
 /** Which machines go back to the cloud, and why; and which are drained so that they can. */
 import * as Duration from "effect/Duration";
 import { isWaitingForRoom } from "./attempt-results.js";
-import { type Hold, type Machine, occupies } from "./cluster.js";
+import { type TaskAttempt, type Machine, occupiesCapacity } from "./cluster.js";
 import { allowed, freeRoom, type Room, slots, takeRoom } from "./placement.js";
 import type { LeaseExpiry } from "./lease-expiry.js";
 import type { SchedulerContext } from "./scheduler-context.js";
@@ -146,8 +146,9 @@
       const since = Math.max(m.mute, termBegan) as Instant;
       if (hasElapsed(now, since, Duration.times(options.timings.heartbeatInterval, 2))) return "doesn't hear";
     }
-    if (m.draining && m.holds.size === 0 && !m.inFlight) return "drained";
-    if (m.setAside !== null && ![...m.holds.values()].some(occupies)) return m.slow ? "slow" : "fails tasks";
+    if (m.draining && m.attempts.size === 0 && !m.inFlight) return "drained";
+    if (m.setAside !== null && ![...m.attempts.values()].some(occupiesCapacity))
+      return m.slow ? "slow" : "fails tasks";
     return null;
   }
 
@@ -183,19 +184,19 @@
     }
     const wasted = (m: Machine): number => price(m) * (1 - m.used.cpus / m.cpus);
     const candidates = ready
-      .filter((m) => m.holds.size > 0 && m.used.cpus <= m.cpus / 2)
+      .filter((m) => m.attempts.size > 0 && m.used.cpus <= m.cpus / 2)
       .map((m) => ({ m, wasted: wasted(m) }))
       .sort((a, b) => b.wasted - a.wasted);
     const others = ready
-      .filter((x) => cluster.free.has(x) && x.holds.size > 0)
+      .filter((x) => cluster.free.has(x) && x.attempts.size > 0)
       .map((x) => ({ x, room: freeRoom(x) }));
     const keep = expectedCpus + used * SPARE;
-    let moving = draining.filter((m) => [...m.holds.values()].some(isReplica)).length;
+    let moving = draining.filter((m) => [...m.attempts.values()].some(isReplica)).length;
     const mayMove = Math.max(1, cluster.machines.size * MOVING_AT_ONCE);
     let some = Math.max(DRAINED_IN_A_STEP, cluster.machines.size * SHARE_DRAINED_IN_A_STEP);
     for (const { m } of candidates) {
       if (some <= 0) return;
-      const replicas = [...m.holds.values()].filter(isReplica);
+      const replicas = [...m.attempts.values()].filter(isReplica);
       // what it holds goes elsewhere, or comes back elsewhere
       if (free - m.cpus < keep) continue;
       if (replicas.length > 0 && (moving >= mayMove || !this.canMove(m, replicas, others, now))) continue;
@@ -209,14 +210,14 @@
 
   private canMove(
     m: Machine,
-    replicas: readonly Hold[],
+    replicas: readonly TaskAttempt[],
     others: readonly { x: Machine; room: Room }[],
     now: Instant,
   ): boolean {
-    return replicas.every((hold) => {
-      const spec = hold.spec!;
-      if (!movable(hold, now) || spec.oneZone || spec.spread) return false;
-      if (!this.scope.cluster.jobs.has(hold.job)) return false;
+    return replicas.every((attempt) => {
+      const spec = attempt.spec!;
+      if (!movable(attempt, now) || spec.oneZone || spec.spread) return false;
+      if (!this.scope.cluster.jobs.has(attempt.job)) return false;
       const to = others.find(
         ({ x, room }) =>
           x !== m && !x.draining && x.images.has(spec.image) && allowed(spec, x) && slots(spec, room) > 0,
@@ -228,4 +229,5 @@
   }
 }
 
-const isReplica = (hold: Hold): boolean => hold.spec?.kind === "service" && occupies(hold);
+const isReplica = (attempt: TaskAttempt): boolean =>
+  attempt.spec?.kind === "service" && occupiesCapacity(attempt);
--- a/src/core/pending-commands.ts
+++ b/src/core/pending-commands.ts
@@ -1,6 +1,6 @@
 /** The orders that one step decides on, by machine. */
 import * as Duration from "effect/Duration";
-import type { Hold } from "./cluster.js";
+import type { TaskAttempt } from "./cluster.js";
 import type { Command } from "./records.js";
 
 export class PendingCommands {
@@ -20,9 +20,9 @@
   }
 
   /** Goes along with the machine's next commands; `due`: goes even without any. */
-  forget(hold: Hold, due: boolean): void {
-    const { job, index, attempt } = hold;
-    add(due ? this.commands : this.deferred, hold.machine, {
+  forget(taskAttempt: TaskAttempt, due: boolean): void {
+    const { job, index, attempt } = taskAttempt;
+    add(due ? this.commands : this.deferred, taskAttempt.machine, {
       op: "forget",
       job,
       index,
@@ -31,16 +31,19 @@
     });
   }
 
-  /** Tells a worker to start an attempt of a task; its hold is there already (S4). */
+  /** Tells a worker to start an attempt of a task; its attempt is there already (S4). */
   start(machine: string, job: string, index: number, attempt: number): void {
     this.push(machine, { op: "start", job, index, attempt, gracePeriodSeconds: 0 });
   }
 
   /** Tells a task to stop, with the time that it needs to save. */
-  stop(hold: Hold, gracePeriodSeconds = hold.spec === null ? 0 : Duration.toSeconds(hold.spec.save)): void {
-    hold.stopping = true;
-    const { job, index, attempt } = hold;
-    this.push(hold.machine, { op: "stop", job, index, attempt, gracePeriodSeconds });
+  stop(
+    taskAttempt: TaskAttempt,
+    gracePeriodSeconds = taskAttempt.spec === null ? 0 : Duration.toSeconds(taskAttempt.spec.save),
+  ): void {
+    taskAttempt.stopping = true;
+    const { job, index, attempt } = taskAttempt;
+    this.push(taskAttempt.machine, { op: "stop", job, index, attempt, gracePeriodSeconds });
   }
 
   /** A machine's commands, with what was waiting for them put first. */
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -2,7 +2,14 @@
 import * as Duration from "effect/Duration";
 import { type Instant, hasElapsed } from "./time.js";
 import { allowsZone } from "./admission.js";
-import { type Cluster, type Hold, type Job, type Machine, occupies, rankOf } from "./cluster.js";
+import {
+  type Cluster,
+  type TaskAttempt,
+  type Job,
+  type Machine,
+  occupiesCapacity,
+  rankOf,
+} from "./cluster.js";
 import type { JobSpec } from "./records.js";
 
 export interface Room {
@@ -77,10 +84,10 @@
 /** Zones of the tasks that are, or may be, on machines: `together` and `apart` look at these. */
 const zonesInUse = (cluster: Cluster, job: Job): Map<string, number> => {
   const zones = new Map<string, number>();
-  for (const holds of job.holds.values())
-    for (const hold of holds)
-      if (occupies(hold)) {
-        const zone = cluster.machines.get(hold.machine)!.zone;
+  for (const attempts of job.attempts.values())
+    for (const attempt of attempts)
+      if (occupiesCapacity(attempt)) {
+        const zone = cluster.machines.get(attempt.machine)!.zone;
         zones.set(zone, (zones.get(zone) ?? 0) + 1);
       }
   return zones;
@@ -214,35 +221,35 @@
   return out;
 };
 
-export type KnownHold = Hold & { readonly spec: JobSpec };
-const isKnown = (hold: Hold): hold is KnownHold => hold.spec !== null;
+export type KnownAttempt = TaskAttempt & { readonly spec: JobSpec };
+const isKnown = (attempt: TaskAttempt): attempt is KnownAttempt => attempt.spec !== null;
 
 /** The cheapest set of tasks on one machine whose end makes room for one task of `job`. */
-export const victims = (
+export const findPreemptionCandidates = (
   cluster: Cluster,
   job: Job,
   candidates: Iterable<Machine>,
   now: Instant,
-  mayStop: (hold: KnownHold) => boolean,
-): { machine: Machine; holds: Hold[] } | null => {
-  let best: { machine: Machine; holds: Hold[]; cost: number } | null = null;
+  mayStop: (attempt: KnownAttempt) => boolean,
+): { machine: Machine; holds: TaskAttempt[] } | null => {
+  let best: { machine: Machine; holds: TaskAttempt[]; cost: number } | null = null;
   const zoneAllows = zoneRule(cluster, job);
   for (const machine of candidates) {
     if (!allowed(job.spec, machine) || !zoneAllows(machine.zone)) continue;
     const room = freeRoom(machine);
-    const options = [...machine.holds.values()]
+    const options = [...machine.attempts.values()]
       .filter(isKnown)
-      .filter((h) => occupies(h) && !h.stopping && h.doubt === null && mayStop(h))
-      .sort((a, b) => rankOf(cluster, a) - rankOf(cluster, b) || b.since - a.since);
-    const chosen: Hold[] = [];
+      .filter((h) => occupiesCapacity(h) && !h.stopping && h.unacknowledgedToken === null && mayStop(h))
+      .sort((a, b) => rankOf(cluster, a) - rankOf(cluster, b) || b.stateSince - a.stateSince);
+    const chosen: TaskAttempt[] = [];
     let cost = machine.images.has(job.spec.image) ? 0 : 20;
-    for (const hold of options) {
+    for (const attempt of options) {
       if (fits(job.spec, room)) break;
-      chosen.push(hold);
-      room.cpus += hold.spec.cpus;
-      room.gpus += hold.spec.gpus;
-      room.memoryGb += hold.spec.memoryGb;
-      cost += (hold.spec.cpus * Math.max(1, now - hold.since)) / 1000;
+      chosen.push(attempt);
+      room.cpus += attempt.spec.cpus;
+      room.gpus += attempt.spec.gpus;
+      room.memoryGb += attempt.spec.memoryGb;
+      cost += (attempt.spec.cpus * Math.max(1, now - attempt.stateSince)) / 1000;
     }
     if (chosen.length > 0 && fits(job.spec, room) && (best === null || cost < best.cost))
       best = { machine, holds: chosen, cost };
--- a/src/core/placer.ts
+++ b/src/core/placer.ts
@@ -1,7 +1,7 @@
 /** Which waiting task starts next and where. Limits, zones and unknown holds are checked here (S4, S5, S6). */
 import * as Duration from "effect/Duration";
 import { startableTasks } from "./attempt-results.js";
-import { type Hold, type Job, type Machine, removeHold } from "./cluster.js";
+import { type TaskAttempt, type Job, type Machine, removeAttempt } from "./cluster.js";
 import type { JobQueue } from "./job-queue.js";
 import { PendingCommands } from "./pending-commands.js";
 import { allowed, choose, fill, freeRoom, slots, zoned } from "./placement.js";
@@ -91,7 +91,7 @@
       unseen.cpus += machine.cpus;
       unseen.gpus += machine.gpus;
     }
-    for (const machine of cluster.strayOn.keys()) {
+    for (const machine of cluster.orphanedAttemptCounts.keys()) {
       if (!machine.recorded || !machine.confirmed) continue;
       unseen.cpus += machine.cpus;
       unseen.gpus += machine.gpus;
@@ -174,7 +174,7 @@
   /** All tasks at once or none; a broken gang is taken down whole before its next attempt. */
   private placeGang(job: Job, team: Team, round: PlacementRound): boolean {
     const { spec } = job;
-    if (stopGang([...job.holds.values()].flat(), round.pendingCommands) > 0) return false;
+    if (stopGang([...job.attempts.values()].flat(), round.pendingCommands) > 0) return false;
     if (job.pending.size < spec.tasks) return false;
     const used = round.mostUsed(this.scope.usageOf(spec.team));
     if (!fitsLimit(team, used, spec, spec.tasks)) return false;
@@ -195,7 +195,7 @@
     if (total < spec.tasks) return false;
     const attempt = this.starter.nextAttempt();
     const trial = new PendingCommands();
-    const placed: Hold[] = [];
+    const placed: TaskAttempt[] = [];
     for (const index of job.pending.take(spec.tasks)) {
       const machine = choose(this.scope.cluster, job, candidates, round.now, round.partRoom);
       if (machine === null) break;
@@ -205,7 +205,7 @@
       trial.moveTo(round.pendingCommands);
       return true;
     }
-    for (const hold of placed) removeHold(this.scope.cluster, hold);
+    for (const attempt of placed) removeAttempt(this.scope.cluster, attempt);
     return false;
   }
 
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -3,9 +3,9 @@
  * room is being made, so that no more is stopped than needed, and when all machines were last searched.
  */
 import * as Duration from "effect/Duration";
-import { type Hold, type Job, type Machine, occupies, rankOf } from "./cluster.js";
+import { type TaskAttempt, type Job, type Machine, occupiesCapacity, rankOf } from "./cluster.js";
 import type { JobQueue } from "./job-queue.js";
-import { type KnownHold, victims } from "./placement.js";
+import { type KnownAttempt, findPreemptionCandidates } from "./placement.js";
 import type { PlacementRound } from "./placement-round.js";
 import { type JobSpec, RANK } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
@@ -22,13 +22,13 @@
 const SEARCH_AGAIN_AFTER_ALL = Duration.times(SEARCH_AGAIN, 2);
 
 /** Whether stopping a task throws away more than a moment's work. */
-const losesWork = (hold: KnownHold, now: Instant): boolean =>
-  Duration.toMillis(hold.spec.checkpoint) === 0 &&
-  hold.state === "running" &&
-  hasElapsed(now, hold.since, CHEAP_LOSS);
+const losesWork = (attempt: KnownAttempt, now: Instant): boolean =>
+  Duration.toMillis(attempt.spec.checkpoint) === 0 &&
+  attempt.state === "running" &&
+  hasElapsed(now, attempt.stateSince, CHEAP_LOSS);
 
-const describe = (holds: readonly Hold[]): string =>
-  holds.map((hold) => `${hold.job}/${hold.index}`).join(" ");
+const describe = (attempts: readonly TaskAttempt[]): string =>
+  attempts.map((attempt) => `${attempt.job}/${attempt.index}`).join(" ");
 
 /** Makes room for one task of a job at a time. */
 export class Preemption {
@@ -91,33 +91,35 @@
     const found = new Set<Machine>();
     const { started, machines } = this.scope.cluster;
     for (let at = started.length - 1; at >= 0 && found.size < MAX_RECENT_MACHINES; at--) {
-      const hold = started[at];
-      const machine = hold === undefined ? undefined : machines.get(hold.machine);
-      if (hold !== undefined && machine !== undefined && occupies(hold)) found.add(machine);
+      const attempt = started[at];
+      const machine = attempt === undefined ? undefined : machines.get(attempt.machine);
+      if (attempt !== undefined && machine !== undefined && occupiesCapacity(attempt)) found.add(machine);
     }
     return [...found].filter((machine) => this.scope.isReady(machine, now));
   }
 
   private stopFor(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { now, pendingCommands, notes } = round;
-    const found = victims(this.scope.cluster, job, candidates, now, (hold) => this.mayStop(hold, job, now));
+    const found = findPreemptionCandidates(this.scope.cluster, job, candidates, now, (attempt) =>
+      this.mayStop(attempt, job, now),
+    );
     if (found === null) return false;
-    for (const hold of found.holds) pendingCommands.stop(hold);
+    for (const attempt of found.holds) pendingCommands.stop(attempt);
     this.pausedUntil.set(job.spec.id, plus(now, STOP_TAKES));
     notes.push(`stop ${describe(found.holds)} on ${found.machine.id} for ${job.spec.id}`);
     return true;
   }
 
-  private mayStop(hold: KnownHold, job: Job, now: Instant): boolean {
-    if (hold.spec.kind === "gang") return false;
+  private mayStop(attempt: KnownAttempt, job: Job, now: Instant): boolean {
+    if (attempt.spec.kind === "gang") return false;
     const { cluster } = this.scope;
-    const owner = cluster.jobs.get(hold.job);
+    const owner = cluster.jobs.get(attempt.job);
     const isProduction = job.rank === RANK.production;
     if (job.rank < RANK.production && owner !== undefined && this.queue.isUrgent(owner, now)) return false;
     // below production, room made a little sooner isn't worth work that has run for a while
-    const isLower = rankOf(cluster, hold) < job.rank;
-    if (isLower && (isProduction || !losesWork(hold, now))) return true;
-    return this.queue.isGuaranteed(job) && this.isBorrowed(hold.spec, job.spec.team);
+    const isLower = rankOf(cluster, attempt) < job.rank;
+    if (isLower && (isProduction || !losesWork(attempt, now))) return true;
+    return this.queue.isGuaranteed(job) && this.isBorrowed(attempt.spec, job.spec.team);
   }
 
   /** Whether a task of another team runs beyond that team's own guarantee. */
--- a/src/core/reconciler.ts
+++ b/src/core/reconciler.ts
@@ -1,6 +1,6 @@
 /** Stops what must not run, forgets what is over, moves replicas off machines that go. */
 import * as Duration from "effect/Duration";
-import { type Hold, type Machine, occupies } from "./cluster.js";
+import { type TaskAttempt, type Machine, occupiesCapacity } from "./cluster.js";
 import type { PendingCommands } from "./pending-commands.js";
 import { choose } from "./placement.js";
 import type { SchedulerContext } from "./scheduler-context.js";
@@ -11,12 +11,12 @@
 const STOP_AGAIN_AFTER = Duration.seconds(3);
 
 /** A replica that has run long enough for its start to count, and that nobody is stopping. */
-export const movable = (h: Hold, now: Instant): boolean =>
+export const movable = (h: TaskAttempt, now: Instant): boolean =>
   h.spec?.kind === "service" &&
   h.state === "running" &&
   !h.stopping &&
-  h.doubt === null &&
-  hasElapsed(now, h.since, Duration.seconds(35));
+  h.unacknowledgedToken === null &&
+  hasElapsed(now, h.stateSince, Duration.seconds(35));
 
 export class Reconciler {
   constructor(private readonly scope: SchedulerContext) {}
@@ -25,7 +25,7 @@
   step(now: Instant, pendingCommands: PendingCommands): void {
     const { attention } = this.scope.cluster;
     for (const m of [...attention]) {
-      m.idleSince = m.holds.size === 0 && m.lastHeartbeatAt !== null ? (m.idleSince ?? now) : null;
+      m.idleSince = m.attempts.size === 0 && m.lastHeartbeatAt !== null ? (m.idleSince ?? now) : null;
       // whatever ends these states puts the machine back
       const isBusy = m.inFlight || this.scope.isPaused(m);
       if (isBusy || !m.confirmed || m.addr === null || !this.machine(m, now, pendingCommands))
@@ -37,25 +37,29 @@
   private machine(m: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
     let more = m.draining || m.reclaimAt !== null;
     if (m.reclaimAt !== null) this.evacuate(m, now, pendingCommands);
-    let moving = m.draining && [...m.holds.values()].some((h) => h.stopping);
-    for (const hold of m.holds.values()) {
-      if (hold.state === "dispatched") continue;
-      const job = this.scope.cluster.jobs.get(hold.job);
-      if (hold.state === "exited") {
+    let moving = m.draining && [...m.attempts.values()].some((h) => h.stopping);
+    for (const attempt of m.attempts.values()) {
+      if (attempt.state === "dispatched") continue;
+      const job = this.scope.cluster.jobs.get(attempt.job);
+      if (attempt.state === "exited") {
         // a finish is reaped only once stored; nothing is reaped while its start may yet be executed again
-        if (hold.doubt === null && (job === undefined || hold.why !== "done" || hold.stored)) {
-          pendingCommands.forget(hold, hasElapsed(now, hold.since, FORGET_AFTER));
+        if (
+          attempt.unacknowledgedToken === null &&
+          (job === undefined || attempt.exitReason !== "done" || attempt.stored)
+        ) {
+          pendingCommands.forget(attempt, hasElapsed(now, attempt.stateSince, FORGET_AFTER));
           more = true;
         }
         continue;
       }
-      if (m.draining && !moving && movable(hold, now)) {
+      if (m.draining && !moving && movable(attempt, now)) {
         moving = true;
-        pendingCommands.stop(hold);
+        pendingCommands.stop(attempt);
         continue;
       }
-      if (job === undefined || job.done.has(hold.index) || this.hasTwin(hold)) {
-        if (!hold.stopping || hasElapsed(now, hold.since, STOP_AGAIN_AFTER)) pendingCommands.stop(hold, 0);
+      if (job === undefined || job.done.has(attempt.index) || this.hasTwin(attempt)) {
+        if (!attempt.stopping || hasElapsed(now, attempt.stateSince, STOP_AGAIN_AFTER))
+          pendingCommands.stop(attempt, 0);
         more = true;
       }
     }
@@ -66,12 +70,15 @@
    * Whether an earlier attempt of the same task is on another machine, by that machine's own present word: a late copy
    * of an old heartbeat must not get the real task stopped.
    */
-  private hasTwin(hold: Hold): boolean {
+  private hasTwin(attempt: TaskAttempt): boolean {
     const { cluster } = this.scope;
-    const holds = cluster.jobs.get(hold.job)?.holds.get(hold.index) ?? [];
-    return holds.some(
+    const attempts = cluster.jobs.get(attempt.job)?.attempts.get(attempt.index) ?? [];
+    return attempts.some(
       (h) =>
-        h !== hold && occupies(h) && h.attempt < hold.attempt && cluster.machines.get(h.machine)!.confirmed,
+        h !== attempt &&
+        occupiesCapacity(h) &&
+        h.attempt < attempt.attempt &&
+        cluster.machines.get(h.machine)!.confirmed,
     );
   }
 
@@ -79,26 +86,27 @@
   private evacuate(m: Machine, now: Instant, pendingCommands: PendingCommands): void {
     const { cluster } = this.scope;
     let room: Machine[] | null = null;
-    for (const hold of m.holds.values()) {
-      const { spec } = hold;
-      const job = cluster.jobs.get(hold.job);
-      if (spec === null || job === undefined || hold.state !== "running" || hold.stopping) continue;
+    for (const attempt of m.attempts.values()) {
+      const { spec } = attempt;
+      const job = cluster.jobs.get(attempt.job);
+      if (spec === null || job === undefined || attempt.state !== "running" || attempt.stopping) continue;
       const saves =
         Duration.toMillis(spec.checkpoint) > 0 && m.reclaimAt! - now >= Duration.toMillis(spec.save);
       if (spec.kind === "gang") {
-        if (saves) stopGang([...job.holds.values()].flat(), pendingCommands);
+        if (saves) stopGang([...job.attempts.values()].flat(), pendingCommands);
         continue;
       }
       if (!saves && spec.kind !== "service") continue;
       room ??= [...cluster.free.atLeast(spec.cpus)].filter((x) => this.scope.usable(x, now));
-      if (saves || choose(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(hold);
+      if (saves || choose(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
     }
   }
 }
 
 /** Takes a gang down with time to save, all tasks at once; says how many are still there. */
-export const stopGang = (holds: readonly Hold[], pendingCommands: PendingCommands): number => {
-  const live = holds.filter(occupies);
-  for (const hold of live) if (hold.state !== "dispatched" && !hold.stopping) pendingCommands.stop(hold);
+export const stopGang = (attempts: readonly TaskAttempt[], pendingCommands: PendingCommands): number => {
+  const live = attempts.filter(occupiesCapacity);
+  for (const attempt of live)
+    if (attempt.state !== "dispatched" && !attempt.stopping) pendingCommands.stop(attempt);
   return live.length;
 };
--- a/src/core/scheduler-context.ts
+++ b/src/core/scheduler-context.ts
@@ -75,7 +75,7 @@
   /** Whether tasks may be started on it now: no batch is on its way, and nothing of unknown size is on it (S6). */
   isReady(machine: Machine, now: Instant): boolean {
     const isFree = !machine.inFlight && !this.isPaused(machine);
-    return this.usable(machine, now) && isFree && !this.cluster.strayOn.has(machine);
+    return this.usable(machine, now) && isFree && !this.cluster.orphanedAttemptCounts.has(machine);
   }
 
   /** Whether the machine's shard is being handed over: it gets no commands, but may be asked for heartbeats. */
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -1,6 +1,6 @@
 /**
  * The leader's core: events in, decisions out. It reads no clock, draws no random number and touches no socket.
- * Safety rests on one invariant: a task is started only while nothing holds it, where a hold is removed only once it is
+ * Safety rests on one invariant: a task is started only while nothing holds it, where an attempt is removed only once it is
  * certain that the attempt neither runs nor can still start (S4 in docs/design.md). The class only brings the parts of
  * the core together; each has a module of its own, and all share the `SchedulerContext`.
  */
@@ -73,7 +73,7 @@
     this.fleetDecisions = new FleetDecisions(this.scope, this.fleet, returns, this.queue);
   }
 
-  /** Jobs, machines and holds. */
+  /** Jobs, machines and attempts. */
   get cluster(): Cluster {
     return this.scope.cluster;
   }
@@ -223,7 +223,7 @@
     for (const text of notes) decisions.push({ kind: "note", text });
     this.commit(decisions);
     this.record(decisions);
-    this.commands.settleDoubts();
+    this.commands.settleUnacknowledgedStarts();
     this.commands.send(now, pendingCommands, decisions);
     return decisions;
   }
--- a/src/core/shard-drain.ts
+++ b/src/core/shard-drain.ts
@@ -4,7 +4,7 @@
  * last command: whatever was sent before is refused from then on (S2 in docs/design.md).
  */
 import { Refusal, type ShardFacts } from "#shards";
-import type { Hold, Machine } from "./cluster.js";
+import type { TaskAttempt, Machine } from "./cluster.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { fencingTokenOf } from "./term.js";
 
@@ -61,19 +61,20 @@
       const { id } = machine;
       if (!machine.confirmed || machine.addr === null) return Refusal.MachineNotHeard({ machine: id });
       if (machine.unanswered > 0) return Refusal.CommandInDoubt({ machine: id });
-      for (const hold of machine.holds.values()) {
-        const refusal = this.obstacleOfHold(hold);
+      for (const attempt of machine.attempts.values()) {
+        const refusal = this.obstacleOfHold(attempt);
         if (refusal !== null) return refusal;
       }
     }
     return null;
   }
 
-  private obstacleOfHold(hold: Hold): Refusal | null {
-    if (hold.doubt !== null) return Refusal.CommandInDoubt({ machine: hold.machine });
-    if (hold.spec?.kind !== "gang") return null;
-    if (hold.state === "saving") return Refusal.GangSaving({ job: hold.job });
-    const isAssembling = hold.state === "dispatched" || hold.state === "fetching" || hold.state === "waiting";
-    return isAssembling ? Refusal.GangAssembling({ job: hold.job }) : null;
+  private obstacleOfHold(attempt: TaskAttempt): Refusal | null {
+    if (attempt.unacknowledgedToken !== null) return Refusal.CommandInDoubt({ machine: attempt.machine });
+    if (attempt.spec?.kind !== "gang") return null;
+    if (attempt.state === "saving") return Refusal.GangSaving({ job: attempt.job });
+    const isAssembling =
+      attempt.state === "dispatched" || attempt.state === "fetching" || attempt.state === "waiting";
+    return isAssembling ? Refusal.GangAssembling({ job: attempt.job }) : null;
   }
 }
--- a/src/core/slow-machine-detector.ts
+++ b/src/core/slow-machine-detector.ts
@@ -3,7 +3,7 @@
  * empty, and what is overdue there starts anew elsewhere, once.
  */
 import * as Duration from "effect/Duration";
-import { type Hold, type Job, type Machine } from "./cluster.js";
+import { type TaskAttempt, type Job, type Machine } from "./cluster.js";
 import type { PendingCommands } from "./pending-commands.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed } from "./time.js";
@@ -29,13 +29,13 @@
   }
 
   /** A running task was seen to be done. */
-  done(m: Machine, hold: Hold, now: Instant): void {
-    if (hold.spec?.kind !== "array" || hold.began === null) return;
-    const ms = now - hold.began;
-    const job = this.scope.cluster.jobs.get(hold.job);
+  done(m: Machine, attempt: TaskAttempt, now: Instant): void {
+    if (attempt.spec?.kind !== "array" || attempt.runningSince === null) return;
+    const ms = now - attempt.runningSince;
+    const job = this.scope.cluster.jobs.get(attempt.job);
     if (job !== undefined && this.isOverdue(job, ms)) this.setAside(m, now);
-    const row = this.ran.get(hold.job);
-    if (row === undefined) this.ran.set(hold.job, { tasks: 1, ms });
+    const row = this.ran.get(attempt.job);
+    if (row === undefined) this.ran.set(attempt.job, { tasks: 1, ms });
     else {
       row.tasks++;
       row.ms += ms;
@@ -67,11 +67,11 @@
     for (const [id, row] of this.ran) {
       const job = cluster.jobs.get(id);
       if (job === undefined || row.tasks < Math.max(ENOUGH, job.running)) continue;
-      for (const holds of job.holds.values())
-        for (const hold of holds) {
-          if (hold.state !== "running" || hold.stopping || hold.began === null) continue;
-          if (!this.isOverdue(job, now - hold.began)) continue;
-          const m = cluster.machines.get(hold.machine)!;
+      for (const attempts of job.attempts.values())
+        for (const attempt of attempts) {
+          if (attempt.state !== "running" || attempt.stopping || attempt.runningSince === null) continue;
+          if (!this.isOverdue(job, now - attempt.runningSince)) continue;
+          const m = cluster.machines.get(attempt.machine)!;
           // a silent machine is another matter; so is a task that was slow before
           if (
             m.inFlight ||
@@ -79,8 +79,8 @@
             hasElapsed(now, m.lastHeartbeatAt, this.scope.fresh)
           )
             continue;
-          if (!this.setAside(m, now) || this.wasRenewed(id, hold.index)) continue;
-          pendingCommands.stop(hold);
+          if (!this.setAside(m, now) || this.wasRenewed(id, attempt.index)) continue;
+          pendingCommands.stop(attempt);
         }
     }
   }
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -7,7 +7,7 @@
 const cpusByState = (machine: Machine): { starting: number; replicas: number } => {
   let starting = 0;
   let replicas = 0;
-  for (const { spec, state } of machine.holds.values()) {
+  for (const { spec, state } of machine.attempts.values()) {
     if (spec === null) continue;
     if (state === "dispatched" || state === "fetching") starting += spec.cpus;
     else if (state === "running" && spec.kind === "service") replicas += spec.cpus;
@@ -65,7 +65,7 @@
     booting,
     unconfirmed: cluster.unconfirmed.size,
     mute: cluster.mute.size,
-    doubts: cluster.doubts.size,
+    doubts: cluster.unacknowledgedStarts.size,
     spot,
     ...cpus,
     waiting: waitingCpus(cluster),
--- a/src/core/task-starter.ts
+++ b/src/core/task-starter.ts
@@ -1,5 +1,5 @@
-/** Decides on starts: each gets a hold first (S4) and an attempt number that is never used again. */
-import { addHold, type Hold, type Job, type Machine } from "./cluster.js";
+/** Decides on starts: each gets an attempt first (S4) and an attempt number that is never used again. */
+import { addAttempt, type TaskAttempt, type Job, type Machine } from "./cluster.js";
 import type { PendingCommands } from "./pending-commands.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { attemptOf, ATTEMPTS_PER_TERM } from "./term.js";
@@ -52,28 +52,28 @@
     machine: Machine,
     now: Instant,
     pendingCommands: PendingCommands,
-  ): Hold {
+  ): TaskAttempt {
     const { cluster } = this.scope;
-    const hold: Hold = {
+    const taskAttempt: TaskAttempt = {
       job: job.spec.id,
       index,
       attempt,
       machine: machine.id,
       spec: job.spec,
       state: "dispatched",
-      why: null,
-      since: now,
-      began: null,
-      doubt: null,
-      answered: null,
+      exitReason: null,
+      stateSince: now,
+      runningSince: null,
+      unacknowledgedToken: null,
+      acknowledgedBy: null,
       stopping: false,
       stored: false,
     };
-    addHold(cluster, hold);
+    addAttempt(cluster, taskAttempt);
     // gangs are never stopped for others
-    if (job.spec.kind !== "gang") cluster.started.push(hold);
+    if (job.spec.kind !== "gang") cluster.started.push(taskAttempt);
     if (cluster.started.length > MAX_REMEMBERED) cluster.started.splice(0, MAX_REMEMBERED / 2);
     pendingCommands.start(machine.id, job.spec.id, index, attempt);
-    return hold;
+    return taskAttempt;
   }
 }
--- a/src/service/leader.ts
+++ b/src/service/leader.ts
@@ -698,7 +698,7 @@
       this.guarded?.with((s) => {
         for (const id of machines) {
           const m = s.cluster.machines.get(id);
-          if (m !== undefined && m.confirmed && m.holds.size === 0) this.blocks.remove(id);
+          if (m !== undefined && m.confirmed && m.attempts.size === 0) this.blocks.remove(id);
         }
       });
       const gone = yield* this.cloud.release(machines).pipe(
--- a/test/controller-process.ts
+++ b/test/controller-process.ts
@@ -36,9 +36,9 @@
   });
 
 /** Repeats until the condition holds, for a bounded number of attempts. Nothing is asserted about how long that takes. */
-export const until = async (what: string, holds: () => Promise<boolean> | boolean): Promise<void> => {
+export const until = async (what: string, attempts: () => Promise<boolean> | boolean): Promise<void> => {
   for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
-    if (await Promise.resolve(holds()).catch(() => false)) return;
+    if (await Promise.resolve(attempts()).catch(() => false)) return;
     await new Promise((done) => setTimeout(done, ATTEMPT_EVERY_MS));
   }
   assert.fail(`never: ${what}`);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -38,9 +38,9 @@
   standIn.put(key, { zone: "east", permit: earlier } satisfies MemberRecord, earlier);
   const member = new Membership("one", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
-  const holds = (): boolean => standIn.rows.get(key)?.stamp === member.incarnation;
+  const attempts = (): boolean => standIn.rows.get(key)?.stamp === member.incarnation;
   try {
-    await until("it joined", () => member.permit !== null && holds());
+    await until("it joined", () => member.permit !== null && attempts());
     // the dead process's lease was ended by its successor
     assert.equal(standIn.grants.has(earlier), false);
     // its write comes late, conditional as every process's is: refused
@@ -52,7 +52,7 @@
     const before = member.incarnation;
     const other = await Effect.runPromise(state.grant(Duration.seconds(600)));
     standIn.put(key, { zone: "east", permit: other } satisfies MemberRecord, other);
-    await until("it joined anew", () => member.incarnation > before && holds());
+    await until("it joined anew", () => member.incarnation > before && attempts());
   } finally {
     await Effect.runPromise(Fiber.interrupt(running));
   }
--- a/test/model-pipelines.ts
+++ b/test/model-pipelines.ts
@@ -109,7 +109,7 @@
   /** Done when the process doesn't stand still. */
   on(node: N, run: () => void): () => void;
   reaches(node: N): boolean;
-  transact(node: N, holds: (late: boolean) => boolean, apply: () => void): boolean | null;
+  transact(node: N, attempts: (late: boolean) => boolean, apply: () => void): boolean | null;
   nextStamp(): number;
   commit(id: string, outcome: Outcome): void;
   count(what: string): void;
@@ -353,13 +353,13 @@
   }
   private transact(
     node: N,
-    holds: (late: boolean) => boolean,
+    attempts: (late: boolean) => boolean,
     apply: () => void,
     then: (ok: boolean | null) => void,
   ): void {
     this.request(
       node,
-      () => ({ ok: this.host.transact(node, holds, apply) }),
+      () => ({ ok: this.host.transact(node, attempts, apply) }),
       (answer) => then(answer?.ok ?? null),
     );
   }
@@ -806,14 +806,14 @@
     );
     // somebody else's add came first
     let isOther = false;
-    const holds = (): boolean =>
+    const attempts = (): boolean =>
       this.fanins.get(id)?.stamp === set.stamp &&
       this.waiting.get(id)?.stamp === job.stamp &&
       !host.commits.has(id);
     this.transact(
       node,
       (late) => {
-        if (host.without("filling") || holds()) return true;
+        if (host.without("filling") || attempts()) return true;
         if (late) host.count("late joins refused");
         isOther = this.fanins.get(id)?.stamp !== set.stamp;
         return false;
--- a/test/model.ts
+++ b/test/model.ts
@@ -301,7 +301,7 @@
       after: (ms, run) => void this.messages.push({ at: this.now + ms, run }),
       on: (node, run) => this.on(node, run),
       reaches: (node) => this.reachesState(node),
-      transact: (node, holds, apply) => this.transact(node, holds, apply),
+      transact: (node, attempts, apply) => this.transact(node, attempts, apply),
       nextStamp: () => ++this.revision,
       commit: (id, outcome) => this.commit(id, outcome),
       count: (what) => this.count(what),
@@ -379,27 +379,27 @@
    * A transaction to the state service: true: carried out; false: a condition failed; null: no answer, and it may be
    * carried out yet, after newer ones, if its conditions hold then.
    */
-  private transact(node: Node, holds: (late: boolean) => boolean, apply: () => void): boolean | null {
+  private transact(node: Node, attempts: (late: boolean) => boolean, apply: () => void): boolean | null {
     if (!this.reachesState(node)) return null;
     if (this.lateWrites > 0 && this.extra() < this.lateWrites) {
-      this.carryOutLate(holds, apply);
+      this.carryOutLate(attempts, apply);
       return null;
     }
     this.writes++;
-    if (!holds(false)) return false;
+    if (!attempts(false)) return false;
     apply();
     if (this.lostAnswers === 0 || this.extra() >= this.lostAnswers) return true;
     this.count("answers lost");
     this.unread.push({ writer: node.name, write: this.writes });
     return null;
   }
-  private carryOutLate(holds: (late: boolean) => boolean, apply: () => void): void {
+  private carryOutLate(attempts: (late: boolean) => boolean, apply: () => void): void {
     const { writes } = this;
     const run = (): void => {
       if (this.now < this.stateDownUntil) return void this.messages.push({ at: this.stateDownUntil, run });
       if (this.writes > writes) this.count("late writes after newer ones");
       this.writes++;
-      if (holds(true)) apply();
+      if (attempts(true)) apply();
       else this.count("late writes refused");
     };
     this.messages.push({ at: this.now + 2000 + this.extra() * 10_000, run });
--- a/test/recount.ts
+++ b/test/recount.ts
@@ -1,6 +1,6 @@
 /** Checks the core's indices against a recount of the whole picture. */
 import assert from "node:assert/strict";
-import { type Cluster, type Hold, occupies } from "../src/core/cluster.js";
+import { type Cluster, type TaskAttempt, occupiesCapacity } from "../src/core/cluster.js";
 import { RANK } from "../src/core/records.js";
 
 const ids = (set: Iterable<{ id: string }>): string[] => [...set].map((m) => m.id).sort();
@@ -32,19 +32,22 @@
     where((m) => room(m) && Math.floor(m.cpus - m.used.cpus + 1e-6) >= 4),
   );
 
-  const holds: Hold[] = machines.flatMap((m) => [...m.holds.values()]);
-  assert.deepEqual([...c.doubts].length, holds.filter((h) => h.doubt !== null).length);
-  const strays = holds.filter((h) => h.spec === null);
+  const attempts: TaskAttempt[] = machines.flatMap((m) => [...m.attempts.values()]);
+  assert.deepEqual(
+    [...c.unacknowledgedStarts].length,
+    attempts.filter((h) => h.unacknowledgedToken !== null).length,
+  );
+  const orphans = attempts.filter((h) => h.spec === null);
   assert.equal(
-    [...c.strays.values()].reduce((n, set) => n + set.size, 0),
-    strays.length,
+    [...c.orphanedAttempts.values()].reduce((n, set) => n + set.size, 0),
+    orphans.length,
   );
-  const live = holds.filter(occupies);
+  const live = attempts.filter(occupiesCapacity);
   for (const m of machines) {
     const mine = live.filter((h) => h.machine === m.id);
     const cpus = mine.reduce((sum, h) => sum + (h.spec?.cpus ?? 0), 0);
     assert.ok(Math.abs(cpus - m.used.cpus) < 1e-6, `${m.id}: ${m.used.cpus} for ${cpus}`);
-    assert.equal(c.strayOn.get(m) ?? 0, mine.filter((h) => h.spec === null).length);
+    assert.equal(c.orphanedAttemptCounts.get(m) ?? 0, mine.filter((h) => h.spec === null).length);
   }
   const byRank = [0, 0, 0, 0];
   const byClass = new Map<string, number>();
@@ -57,8 +60,8 @@
   assert.deepEqual(new Map([...c.classes].sort()), new Map([...byClass].sort()));
 
   for (const job of c.jobs.values()) {
-    const mine = holds.filter((h) => h.job === job.spec.id);
-    const listed = [...job.holds.values()].flat();
+    const mine = attempts.filter((h) => h.job === job.spec.id);
+    const listed = [...job.attempts.values()].flat();
     assert.deepEqual(new Set(listed), new Set(mine));
     const running = mine.filter((h) => h.state === "running" || h.state === "saving").length;
     assert.equal(job.running, running, job.spec.id);
@@ -66,7 +69,7 @@
     const done = job.done.covers(job.spec.tasks);
     if (c.covered.has(job)) assert.ok(done && !job.committing);
     for (let n = 0; n < job.spec.tasks; n++) {
-      const held = mine.some((h) => h.index === n && (occupies(h) || h.why === "done"));
+      const held = mine.some((h) => h.index === n && (occupiesCapacity(h) || h.exitReason === "done"));
       assert.equal(job.pending.has(n), !held && !job.done.has(n), `${job.spec.id}/${n}`);
     }
   }
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -732,7 +732,7 @@
   assert.equal(stops(), 1);
 });
 
-test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and holds places for its gang", () => {
+test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
   const firstStarted = (urgent: boolean): string => {
     const scene = new Scene(EAST);
     scene.now = 200_000;
