--- a/src/core/admission.ts
+++ b/src/core/admission.ts
@@ -1,6 +1,6 @@
 /** Can this job ever run? */
 import type { JobSpec, MachineType, Team } from "./records.js";
-import { fitsLimit } from "./quota.js";
+import { isWithinLimit } from "./quota.js";
 
 export const allowsType = (job: JobSpec, type: MachineType): boolean =>
   (job.types === null || job.types.includes(type.name)) &&
@@ -11,7 +11,7 @@
 export const allowsZone = (job: JobSpec, zone: string): boolean => job.zone === null || job.zone === zone;
 
 /** The reason why a job can never run, or null. */
-export const hopeless = (
+export const unschedulableReason = (
   job: JobSpec,
   teams: ReadonlyMap<string, Team>,
   types: readonly MachineType[],
@@ -21,6 +21,6 @@
   const fits = types.some((t) => allowsType(job, t) && t.zones.some((zone) => allowsZone(job, zone)));
   if (!fits) return "a task fits no allowed machine type";
   const atOnce = job.kind === "array" ? 1 : job.tasks;
-  if (!fitsLimit(team, { cpus: 0, gpus: 0 }, job, atOnce)) return "more than the team's limit";
+  if (!isWithinLimit(team, { cpus: 0, gpus: 0 }, job, atOnce)) return "more than the team's limit";
   return null;
 };
--- a/src/core/attempt-results.ts
+++ b/src/core/attempt-results.ts
@@ -34,7 +34,7 @@
  * tried one task at a time, after growing pauses, and holds no room that others need.
  */
 export const isSuspect = (job: Job, now: Instant): boolean =>
-  job.errorsOn.size >= SUSPECT_AFTER && job.done.size === 0 && !isProven(job, now);
+  job.failedOn.size >= SUSPECT_AFTER && job.done.size === 0 && !isProven(job, now);
 
 /** How many of a job's tasks are worth starting now, room and limits aside. */
 export const startableTasks = (job: Job, now: Instant): number => {
@@ -77,22 +77,22 @@
 
 const noteSuccess = (cluster: Cluster, machine: Machine, attempt: TaskAttempt): void => {
   noteImage(machine, attempt.spec);
-  machine.blame.clear();
-  if (machine.setAside === null || machine.slow) return;
-  machine.setAside = null;
-  cluster.chances++;
+  machine.failuresByJob.clear();
+  if (machine.cordonedAt === null || machine.cordonedAsSlow) return;
+  machine.cordonedAt = null;
+  cluster.capacityVersion++;
 };
 
 const noteFailure = (cluster: Cluster, machine: Machine, job: Job, now: Instant): void => {
   const { id } = job.spec;
-  job.errorsOn.set(machine.id, now);
-  machine.blame.set(id, (machine.blame.get(id) ?? 0) + 1);
+  job.failedOn.set(machine.id, now);
+  machine.failuresByJob.set(id, (machine.failuresByJob.get(id) ?? 0) + 1);
   if (isSuspect(job, now)) {
     pauseBetweenTries(job, now);
     // the machines it failed on are used again
     clearMachines(cluster, job, now);
   }
-  if (machine.setAside === null && isFaulty(cluster, machine, now)) machine.setAside = now;
+  if (machine.cordonedAt === null && isFaulty(cluster, machine, now)) machine.cordonedAt = now;
 };
 
 /** Tasks that fail during a pause were started before it: they are part of the same try. */
@@ -104,16 +104,17 @@
 };
 
 const clearMachines = (cluster: Cluster, job: Job, now: Instant): void => {
-  for (const id of job.errorsOn.keys()) {
+  for (const id of job.failedOn.keys()) {
     const machine = cluster.machines.get(id);
-    if (machine !== undefined && !machine.slow && !isFaulty(cluster, machine, now)) machine.setAside = null;
+    if (machine !== undefined && !machine.cordonedAsSlow && !isFaulty(cluster, machine, now))
+      machine.cordonedAt = null;
   }
 };
 
 /** Several failures that aren't the fault of a job that fails wherever it runs. */
 const isFaulty = (cluster: Cluster, machine: Machine, now: Instant): boolean => {
   let failures = 0;
-  for (const [id, count] of machine.blame) {
+  for (const [id, count] of machine.failuresByJob) {
     const job = cluster.jobs.get(id);
     if (job === undefined || !isSuspect(job, now)) failures += count;
   }
--- a/src/core/fleet-decisions.ts
+++ b/src/core/autoscaler-decisions.ts
@@ -2,10 +2,10 @@
 import { startableTasks } from "./attempt-results.js";
 import type { Job, Machine } from "./cluster.js";
 import type { Decision } from "./decisions.js";
-import type { Fleet } from "./fleet.js";
+import type { Autoscaler } from "./autoscaler.js";
 import type { JobQueue } from "./job-queue.js";
-import { roomInLimit } from "./quota.js";
-import type { MachineReturns } from "./machine-returns.js";
+import { tasksWithinLimit } from "./quota.js";
+import type { ScaleIn } from "./scale-in.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import type { Instant } from "./time.js";
 
@@ -13,11 +13,11 @@
 const MAX_RELEASE = 100;
 
 /** Brings together what is returned for cause (`MachineReturns`), what is idle, and what is to be rented (`Fleet`). */
-export class FleetDecisions {
+export class AutoscalerDecisions {
   constructor(
     private readonly scope: SchedulerContext,
-    private readonly fleet: Fleet,
-    private readonly returns: MachineReturns,
+    private readonly fleet: Autoscaler,
+    private readonly returns: ScaleIn,
     private readonly queue: JobQueue,
   ) {}
 
@@ -41,7 +41,7 @@
   private releaseSome(machines: string[], reason: string, now: Instant): Decision {
     for (const id of machines) {
       const machine = this.scope.cluster.machines.get(id);
-      if (machine !== undefined) machine.releasing = now;
+      if (machine !== undefined) machine.releaseRequestedAt = now;
     }
     return { kind: "release", machines, reason };
   }
@@ -61,7 +61,7 @@
     for (const job of this.queue.sorted(now)) {
       const team = this.scope.options.teams.get(job.spec.team);
       if (team === undefined) continue;
-      const room = roomInLimit(team, this.scope.usageOf(job.spec.team), job.spec);
+      const room = tasksWithinLimit(team, this.scope.usageOf(job.spec.team), job.spec);
       const tasks = Math.min(startableTasks(job, now), room);
       if (tasks > 0) wanted.push({ job, tasks });
     }
--- a/src/core/fleet.ts
+++ b/src/core/autoscaler.ts
@@ -5,7 +5,7 @@
 import type { Cluster, Job, Machine } from "./cluster.js";
 import { occupiesCapacity } from "./cluster.js";
 import { type JobSpec, type MachineType, RANK } from "./records.js";
-import { allowed, freeRoom, type Room, slots, takeRoom } from "./placement.js";
+import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "./placement.js";
 
 export interface Offer {
   readonly type: MachineType;
@@ -24,7 +24,7 @@
   readonly warmFor: Duration.Duration;
 }
 
-export interface Rent extends Offer {
+export interface ScaleOutRequest extends Offer {
   readonly count: number;
 }
 
@@ -35,10 +35,10 @@
 const MAX_RENTALS = 3;
 
 /** Remembers refusals, arrivals and requests under way. Pure: time comes in as an argument. */
-export class Fleet {
+export class Autoscaler {
   private refusedUntil = new Map<string, Instant>();
   /** Rentals asked for but not yet answered, by rental name. */
-  readonly asked = new Map<string, { offer: Offer; count: number; at: Instant }>();
+  readonly outstanding = new Map<string, { offer: Offer; count: number; at: Instant }>();
   private arrivals: { at: Instant; job: Job }[] = [];
 
   constructor(private readonly options: FleetOptions) {}
@@ -48,7 +48,7 @@
   }
 
   arrived(job: Job): void {
-    this.arrivals.push({ at: job.seen, job });
+    this.arrivals.push({ at: job.releasedAt, job });
     if (this.arrivals.length > 2000) this.arrivals.splice(0, 1000);
   }
 
@@ -74,8 +74,8 @@
     types: readonly MachineType[],
     now: Instant,
     isUsable: (m: Machine) => boolean,
-  ): Rent[] {
-    const rooms: { type: string; zone: string; spot: boolean; room: Room; short: Room }[] = [];
+  ): ScaleOutRequest[] {
+    const rooms: { type: string; zone: string; spot: boolean; room: Capacity; short: Capacity }[] = [];
     const byName = new Map(types.map((t) => [t.name, t]));
     for (const m of cluster.machines.values()) {
       const type = byName.get(m.type);
@@ -83,15 +83,15 @@
       const booting =
         m.lastHeartbeatAt === null &&
         m.confirmed &&
-        m.releasing === null &&
+        m.releaseRequestedAt === null &&
         !m.failed &&
-        !hasElapsed(now, m.created, Duration.times(type.boot, 2));
+        !hasElapsed(now, m.createdAt, Duration.times(type.boot, 2));
       if (!isUsable(m) && !booting) continue;
-      const room = booting ? { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb } : freeRoom(m);
-      const short: Room = { cpus: 0, gpus: 0, memoryGb: 0 };
+      const room = booting ? { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb } : freeCapacity(m);
+      const short: Capacity = { cpus: 0, gpus: 0, memoryGb: 0 };
       for (const attempt of m.attempts.values())
         if (attempt.spec !== null && attempt.spec.kind !== "service" && occupiesCapacity(attempt))
-          takeRoom(attempt.spec, short, -this.options.reuse);
+          reserve(attempt.spec, short, -this.options.reuse);
       if (room.cpus <= 1e-6 && short.cpus <= 1e-6) continue;
       rooms.push({ type: m.type, zone: m.zone, spot: m.spot, room, short });
     }
@@ -106,7 +106,7 @@
           short: { cpus: 0, gpus: 0, memoryGb: 0 },
         });
     };
-    for (const { offer, count } of this.asked.values()) coming(offer, count);
+    for (const { offer, count } of this.outstanding.values()) coming(offer, count);
 
     const take = (spec: JobSpec, tasks: number, useShort: boolean): number => {
       let left = tasks;
@@ -114,15 +114,15 @@
         if (left <= 0) break;
         if (!allowed(spec, r)) continue;
         for (const room of useShort ? [r.room, r.short] : [r.room]) {
-          const n = Math.min(left, slots(spec, room));
-          takeRoom(spec, room, n);
+          const n = Math.min(left, tasksThatFit(spec, room));
+          reserve(spec, room, n);
           left -= n;
         }
       }
       return left;
     };
     // what several jobs need of the same kind is rented together: requests are few, machines many
-    const out = new Map<string, Rent>();
+    const out = new Map<string, ScaleOutRequest>();
     const want = (spec: JobSpec, tasks: number, useShort: boolean): void => {
       let left = take(spec, tasks, useShort);
       while (left > 0) {
@@ -171,12 +171,12 @@
     tasks: number,
     now: Instant,
     left: (key: string) => number,
-  ): Rent | null {
-    let best: Rent | null = null;
+  ): ScaleOutRequest | null {
+    let best: ScaleOutRequest | null = null;
     let bestCost = Infinity;
     for (const offer of this.offers(types, spec, now)) {
       const { type, spot } = offer;
-      const each = slots(spec, type);
+      const each = tasksThatFit(spec, type);
       const most = left(offerKey(type.name, offer.zone, spot));
       const count = Math.min(most, Math.ceil(tasks / each));
       if (count <= 0) continue;
@@ -201,10 +201,10 @@
     const patience = (m: Machine): Duration.Duration =>
       Duration.times(types.get(m.type)?.boot ?? Duration.zero, this.options.idleBoots);
     for (const m of cluster.machines.values())
-      if (m.idleSince !== null && m.releasing === null && hasElapsed(now, m.idleSince, patience(m)))
+      if (m.idleSince !== null && m.releaseRequestedAt === null && hasElapsed(now, m.idleSince, patience(m)))
         idle.push(m);
     if (idle.length === 0) return [];
-    const rooms = [...cluster.machines.values()].filter(isUsable).map((m) => ({ m, room: freeRoom(m) }));
+    const rooms = [...cluster.machines.values()].filter(isUsable).map((m) => ({ m, room: freeCapacity(m) }));
     const needed = new Set<string>();
     // fullest first: what fits beside running work needs no idle machine
     rooms.sort((a, b) => a.room.cpus / a.m.cpus - b.room.cpus / b.m.cpus);
@@ -213,9 +213,9 @@
       for (const { m, room } of rooms) {
         if (left <= 0) break;
         if (!allowed(spec, m)) continue;
-        const n = Math.min(left, slots(spec, room));
+        const n = Math.min(left, tasksThatFit(spec, room));
         if (n <= 0) continue;
-        takeRoom(spec, room, n);
+        reserve(spec, room, n);
         left -= n;
         needed.add(m.id);
       }
--- a/src/core/free.ts
+++ b/src/core/capacity-index.ts
@@ -1,7 +1,7 @@
 /** Machines with room, by how many whole processors are free: a search meets only those where a task may fit. */
 import type { Machine } from "./cluster.js";
 
-export class FreeMachines {
+export class CapacityIndex {
   readonly buckets: Set<Machine>[] = [];
   private readonly at = new Map<Machine, number>();
 
--- a/src/core/cluster-attempts.ts
+++ b/src/core/cluster-attempts.ts
@@ -2,7 +2,7 @@
  * Adds, changes and removes holds, and keeps consistent what follows from them: the room taken on machines and by teams,
  * the counts by class and rank, and which tasks are pending. A task is pending only while nothing holds it (S4).
  */
-import { indexMachine, machineOf, removePending, tidyTask } from "./cluster-indices.js";
+import { indexMachine, machineOf, removePending, scheduleReconciliation } from "./cluster-indices.js";
 import {
   type Cluster,
   type TaskAttempt,
@@ -41,11 +41,11 @@
   machine.used.gpus += sign * spec.gpus;
   machine.used.memoryGb += sign * spec.memoryGb;
   countUsage(cluster, spec, sign);
-  count(machine.classes, spec.className, sign);
-  count(cluster.classes, spec.className, sign);
+  count(machine.attemptsByClass, spec.className, sign);
+  count(cluster.attemptsByClass, spec.className, sign);
   const rank = RANK[spec.priority];
-  cluster.ranks[rank] = (cluster.ranks[rank] ?? 0) + sign;
-  if (sign < 0) cluster.chances++;
+  cluster.attemptsByRank[rank] = (cluster.attemptsByRank[rank] ?? 0) + sign;
+  if (sign < 0) cluster.capacityVersion++;
   indexMachine(cluster, machine);
 };
 
@@ -53,7 +53,7 @@
   const job = cluster.jobs.get(attempt.job);
   if (job === undefined) return;
   job.running += by;
-  cluster.progressed(job);
+  cluster.onProgress(job);
 };
 
 const indexUnacknowledgedStart = (cluster: Cluster, attempt: TaskAttempt): void => {
@@ -79,7 +79,7 @@
   const attempts = job.attempts.get(index);
   if (attempts?.some((attempt) => occupiesCapacity(attempt) || attempt.exitReason === "done")) return;
   job.pending.add(index);
-  cluster.waiting.add(job);
+  cluster.pendingJobs.add(job);
 };
 
 const addToJob = (cluster: Cluster, job: Job, attempt: TaskAttempt): void => {
@@ -87,7 +87,7 @@
   if (attempts === undefined) job.attempts.set(attempt.index, [attempt]);
   else {
     attempts.push(attempt);
-    tidyTask(cluster, job, attempt.index);
+    scheduleReconciliation(cluster, job, attempt.index);
   }
   if (occupiesCapacity(attempt) || attempt.exitReason === "done") removePending(cluster, job, attempt.index);
 };
@@ -104,7 +104,7 @@
   const machine = machineOf(cluster, attempt);
   machine.attempts.set(attemptKey(attempt.job, attempt.index, attempt.attempt), attempt);
   machine.idleSince = null;
-  cluster.attention.add(machine);
+  cluster.reconcileQueue.add(machine);
   if (attempt.spec === null) addOrphan(cluster, attempt);
   if (attempt.unacknowledgedToken !== null) cluster.unacknowledgedStarts.add(attempt);
   if (occupiesCapacity(attempt)) account(cluster, machine, attempt, 1);
@@ -119,7 +119,7 @@
   const occupied = occupiesCapacity(attempt);
   const wasActive = isActive(attempt);
   Object.assign(attempt, change);
-  cluster.attention.add(machine);
+  cluster.reconcileQueue.add(machine);
   indexUnacknowledgedStart(cluster, attempt);
   if (wasActive !== isActive(attempt)) countRunning(cluster, attempt, wasActive ? -1 : 1);
   if (occupied === occupiesCapacity(attempt)) return;
@@ -134,7 +134,7 @@
 export const removeAttempt = (cluster: Cluster, attempt: TaskAttempt): void => {
   const machine = machineOf(cluster, attempt);
   machine.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.attempt));
-  cluster.attention.add(machine);
+  cluster.reconcileQueue.add(machine);
   cluster.unacknowledgedStarts.delete(attempt);
   if (attempt.spec === null) removeOrphan(cluster, attempt);
   if (occupiesCapacity(attempt)) account(cluster, machine, attempt, -1);
--- a/src/core/cluster-jobs.ts
+++ b/src/core/cluster-jobs.ts
@@ -1,6 +1,6 @@
 /** Adds and drops jobs, and marks their tasks as finished, with the indices that follow from them. */
 import { addAttempt, removeAttempt } from "./cluster-attempts.js";
-import { machineOf, removePending, tidyTask } from "./cluster-indices.js";
+import { machineOf, removePending, scheduleReconciliation } from "./cluster-indices.js";
 import { type Cluster, type Job, newJob } from "./cluster-state.js";
 import type { JobSpec } from "./records.js";
 import type { Instant } from "./time.js";
@@ -17,31 +17,31 @@
   const orphans = [...(cluster.orphanedAttempts.get(spec.id) ?? [])];
   for (const attempt of orphans) removeAttempt(cluster, attempt);
   cluster.jobs.set(spec.id, job);
-  cluster.waiting.add(job);
-  cluster.jobChanges++;
-  cluster.chances++;
+  cluster.pendingJobs.add(job);
+  cluster.jobSetVersion++;
+  cluster.capacityVersion++;
   for (const attempt of orphans) addAttempt(cluster, { ...attempt, spec });
   return job;
 };
 
 /** Drops a job that is over. Its holds stay until the reconciler has stopped them. */
-export const dropJob = (cluster: Cluster, job: Job): void => {
+export const removeJob = (cluster: Cluster, job: Job): void => {
   cluster.jobs.delete(job.spec.id);
-  cluster.waiting.delete(job);
-  cluster.covered.delete(job);
-  cluster.jobChanges++;
+  cluster.pendingJobs.delete(job);
+  cluster.awaitingCommit.delete(job);
+  cluster.jobSetVersion++;
   for (const attempts of job.attempts.values())
-    for (const attempt of attempts) cluster.attention.add(machineOf(cluster, attempt));
+    for (const attempt of attempts) cluster.reconcileQueue.add(machineOf(cluster, attempt));
 };
 
 /** The tasks from `from` up to `to` are finished, for ever (S7): none of them is started again. */
-export const finish = (cluster: Cluster, job: Job, from: number, to: number): void => {
+export const markFinished = (cluster: Cluster, job: Job, from: number, to: number): void => {
   if (to === from + 1 && job.done.has(from)) return;
   job.done.add(from, to);
   for (let index = from; index < to; index++) {
     removePending(cluster, job, index);
-    tidyTask(cluster, job, index);
+    scheduleReconciliation(cluster, job, index);
   }
-  if (!job.committing && job.done.covers(job.spec.tasks)) cluster.covered.add(job);
-  cluster.progressed(job);
+  if (!job.committing && job.done.covers(job.spec.tasks)) cluster.awaitingCommit.add(job);
+  cluster.onProgress(job);
 };
--- a/src/core/cluster-machines.ts
+++ b/src/core/cluster-machines.ts
@@ -21,8 +21,8 @@
 export const setMachine = (cluster: Cluster, machine: Machine, change: MachineChange): void => {
   Object.assign(machine, change);
   indexMachine(cluster, machine);
-  cluster.attention.add(machine);
-  cluster.chances++;
+  cluster.reconcileQueue.add(machine);
+  cluster.capacityVersion++;
 };
 
 /** A newer message of its worker came at `at`; moves it to the end of `hearing`. */
@@ -34,8 +34,8 @@
   cluster.byLastHeartbeat.add(machine);
   if (!first) return;
   indexMachine(cluster, machine);
-  cluster.attention.add(machine);
-  cluster.chances++;
+  cluster.reconcileQueue.add(machine);
+  cluster.capacityVersion++;
 };
 
 /** Counts a command batch without an answer, or resets the count once one is answered. */
@@ -46,27 +46,27 @@
   now: Instant,
 ): void => {
   if (!answered) {
-    machine.unanswered++;
-    machine.mute ??= now;
-    cluster.mute.add(machine);
+    machine.unansweredBatches++;
+    machine.unreachableSince ??= now;
+    cluster.unreachable.add(machine);
     return;
   }
-  if (machine.unanswered > 0) cluster.chances++;
-  machine.unanswered = 0;
-  machine.mute = null;
-  cluster.mute.delete(machine);
+  if (machine.unansweredBatches > 0) cluster.capacityVersion++;
+  machine.unansweredBatches = 0;
+  machine.unreachableSince = null;
+  cluster.unreachable.delete(machine);
 };
 
 /** Drops a machine that is gone for certain (S3), with all that it held. */
-export const dropMachine = (cluster: Cluster, machine: Machine): void => {
+export const removeMachine = (cluster: Cluster, machine: Machine): void => {
   for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
   cluster.machines.delete(machine.id);
-  cluster.free.set(machine, 0);
-  cluster.attention.delete(machine);
+  cluster.capacityIndex.set(machine, 0);
+  cluster.reconcileQueue.delete(machine);
   cluster.unconfirmed.delete(machine);
   cluster.unrecorded.delete(machine);
   cluster.byLastHeartbeat.delete(machine);
-  cluster.mute.delete(machine);
-  cluster.fencing.delete(machine);
+  cluster.unreachable.delete(machine);
+  cluster.awaitingFence.delete(machine);
   cluster.orphanedAttemptCounts.delete(machine);
 };
--- a/src/core/cluster-state.ts
+++ b/src/core/cluster-state.ts
@@ -3,7 +3,7 @@
  * predicates only. What changes several of these fields together is in the other `cluster-*` modules, which keep the
  * indices of `Cluster` consistent.
  */
-import { FreeMachines } from "./free.js";
+import { CapacityIndex } from "./capacity-index.js";
 import type { Usage } from "./quota.js";
 import { RangeSet } from "./ranges.js";
 import { type JobSpec, type MachineRecord, RANK, type TaskState, type ExitReason } from "./records.js";
@@ -48,11 +48,11 @@
 export interface Job {
   readonly spec: JobSpec;
   /** When it was accepted: its deadline counts from there. */
-  readonly accepted: Instant;
+  readonly acceptedAt: Instant;
   /** When it could first start, all that it awaits being done: its age in the queue counts from there. */
-  readonly seen: Instant;
+  readonly releasedAt: Instant;
   /** Revision of the job record. A job younger than the leader's own key was never in an earlier leader's hands (S5). */
-  readonly stamp: number;
+  readonly revision: number;
   /** Tasks that are finished: stored as ranges, or reported as done by a worker. Never shrinks (S7). */
   readonly done: RangeSet;
   /** Those of them that are stored: only they may be forgotten by workers. */
@@ -62,7 +62,7 @@
   /** Every attempt of the job, by task number. */
   readonly attempts: Map<number, TaskAttempt[]>;
   /** Machines on which its tasks failed, and when last. */
-  readonly errorsOn: Map<string, Instant>;
+  readonly failedOn: Map<string, Instant>;
   /** Machines that turned its tasks down for lack of room, and when last. */
   readonly refusedOn: Map<string, Instant>;
   /** Nothing of it is started before this; null: at once. */
@@ -76,7 +76,7 @@
   /** The highest rank of the job itself and of the unfinished jobs that need it. */
   rank: number;
   /** When it has to be done: for its own deadline, or for the jobs that need it. */
-  due: Instant | null;
+  deadlineAt: Instant | null;
 }
 
 /** A machine: what it is, what its worker last reported, and what is decided about it. */
@@ -111,34 +111,34 @@
   readonly lastHeartbeatAt: Instant | null;
   /** When a member last answered a heartbeat, which alone renews the worker's lease; null: not since this leader began. */
   leaseRenewedAt: Instant | null;
-  created: Instant;
+  createdAt: Instant;
   /** The cloud lists it as failed. */
   failed: boolean;
   /** When its release was last requested; null: not requested. */
-  releasing: Instant | null;
+  releaseRequestedAt: Instant | null;
   /** Since when it has had no attempts. */
   idleSince: Instant | null;
   /** Tasks that failed here since one last completed, by job. */
-  readonly blame: Map<string, number>;
+  readonly failuresByJob: Map<string, number>;
   /** Since when it gets no new work because of failures or slowness; null: it does. */
-  setAside: Instant | null;
+  cordonedAt: Instant | null;
   /** Set aside for its speed, not for failures: tasks that complete on it are no reason to use it again. */
-  slow: boolean;
+  cordonedAsSlow: boolean;
   /** Its replicas are being moved to other machines, so that it can be returned. */
   draining: boolean;
   /** A batch of commands is on its way: nothing more is sent until it is answered. */
-  inFlight: boolean;
+  commandsInFlight: boolean;
   /** When it was last sent a batch without commands, whose answer is a heartbeat. */
   probedAt: Instant | null;
   /** Consecutive command batches without an answer. Heartbeats that arrive by themselves don't reset it. */
-  unanswered: number;
+  unansweredBatches: number;
   /** Since when command batches have gone unanswered; null: the last one was answered. */
-  mute: Instant | null;
+  unreachableSince: Instant | null;
   /** Room taken by its attempts. */
   readonly used: { cpus: number; gpus: number; memoryGb: number };
   readonly attempts: Map<string, TaskAttempt>;
   /** How many tasks of each class it holds. */
-  readonly classes: Map<string, number>;
+  readonly attemptsByClass: Map<string, number>;
   /** Images in its cache and their sizes, the least recently used first. */
   readonly images: Map<string, number>;
 }
@@ -150,13 +150,13 @@
   /** Room taken by each team's attempts (S6). */
   readonly usage: Map<string, Usage>;
   /** Jobs with tasks to be started. */
-  readonly waiting: Set<Job>;
+  readonly pendingJobs: Set<Job>;
   /** Jobs that are finished and have no commit yet. */
-  readonly covered: Set<Job>;
+  readonly awaitingCommit: Set<Job>;
   /** Machines with room. */
-  readonly free: FreeMachines;
+  readonly capacityIndex: CapacityIndex;
   /** Machines that the reconciler has to look at: tasks to stop or to forget, notices, drains. */
-  readonly attention: Set<Machine>;
+  readonly reconcileQueue: Set<Machine>;
   /** Recorded machines that may hold tasks this leader doesn't know of (S5). */
   readonly unconfirmed: Set<Machine>;
   /** Machines heard of that have no record yet. */
@@ -164,9 +164,9 @@
   /** Machines that this leader heard, the longest silent first. */
   readonly byLastHeartbeat: Set<Machine>;
   /** Machines whose last command batch went unanswered. */
-  readonly mute: Set<Machine>;
+  readonly unreachable: Set<Machine>;
   /** Machines whose raised token has to be seen before their shard is handed over. */
-  readonly fencing: Set<Machine>;
+  readonly awaitingFence: Set<Machine>;
   /** Attempts whose start got no answer (S4). */
   readonly unacknowledgedStarts: Set<TaskAttempt>;
   /** Attempts whose job record is not known, by job. */
@@ -174,17 +174,17 @@
   /** How many such holds each machine has; their size is not known (S6). */
   readonly orphanedAttemptCounts: Map<Machine, number>;
   /** How many tasks of each class are, or may be, on machines. */
-  readonly classes: Map<string, number>;
+  readonly attemptsByClass: Map<string, number>;
   /** The same by the tasks' own rank. Inherited ranks are never lower: where this counts nothing low, nothing is. */
-  readonly ranks: number[];
+  readonly attemptsByRank: number[];
   /** The latest starts, oldest first: what was started last costs the least to stop. */
-  readonly started: TaskAttempt[];
+  readonly recentStarts: TaskAttempt[];
   /** Grows whenever a waiting task might fit where it didn't before. */
-  chances: number;
+  capacityVersion: number;
   /** Grows whenever jobs come or go. */
-  jobChanges: number;
+  jobSetVersion: number;
   /** Called when a job's finished or running tasks change. */
-  progressed: (job: Job) => void;
+  onProgress: (job: Job) => void;
 }
 
 /** A cluster without jobs and machines. */
@@ -192,24 +192,24 @@
   jobs: new Map(),
   machines: new Map(),
   usage: new Map(),
-  waiting: new Set(),
-  covered: new Set(),
-  free: new FreeMachines(),
-  attention: new Set(),
+  pendingJobs: new Set(),
+  awaitingCommit: new Set(),
+  capacityIndex: new CapacityIndex(),
+  reconcileQueue: new Set(),
   unconfirmed: new Set(),
   unrecorded: new Set(),
   byLastHeartbeat: new Set(),
-  mute: new Set(),
-  fencing: new Set(),
+  unreachable: new Set(),
+  awaitingFence: new Set(),
   unacknowledgedStarts: new Set(),
   orphanedAttempts: new Map(),
   orphanedAttemptCounts: new Map(),
-  classes: new Map(),
-  ranks: [0, 0, 0, 0],
-  started: [],
-  chances: 0,
-  jobChanges: 0,
-  progressed: () => undefined,
+  attemptsByClass: new Map(),
+  attemptsByRank: [0, 0, 0, 0],
+  recentStarts: [],
+  capacityVersion: 0,
+  jobSetVersion: 0,
+  onProgress: () => undefined,
 });
 
 /** A machine of which only the record is known. Its size follows from its type (`SchedulerContext.applyType`). */
@@ -234,42 +234,42 @@
   confirmed: false,
   lastHeartbeatAt: null,
   leaseRenewedAt: null,
-  created: now,
+  createdAt: now,
   failed: false,
-  releasing: null,
+  releaseRequestedAt: null,
   idleSince: null,
-  blame: new Map(),
-  setAside: null,
-  slow: false,
+  failuresByJob: new Map(),
+  cordonedAt: null,
+  cordonedAsSlow: false,
   draining: false,
-  inFlight: false,
+  commandsInFlight: false,
   probedAt: null,
-  unanswered: 0,
-  mute: null,
+  unansweredBatches: 0,
+  unreachableSince: null,
   used: { cpus: 0, gpus: 0, memoryGb: 0 },
   attempts: new Map(),
-  classes: new Map(),
+  attemptsByClass: new Map(),
   images: new Map(),
 });
 
 /** A job of which every task is still to be started. */
-export const newJob = (spec: JobSpec, stamp: number, accepted: Instant, seen: Instant): Job => ({
+export const newJob = (spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant): Job => ({
   spec,
-  accepted,
-  seen,
-  stamp,
+  acceptedAt,
+  releasedAt,
+  revision,
   done: new RangeSet(),
   stored: new RangeSet(),
   pending: RangeSet.of([[0, spec.tasks]]),
   attempts: new Map(),
-  errorsOn: new Map(),
+  failedOn: new Map(),
   refusedOn: new Map(),
   retryAt: null,
   failedTries: 0,
   committing: false,
   running: 0,
   rank: RANK[spec.priority],
-  due: spec.deadline === null ? null : plus(accepted, spec.deadline),
+  deadlineAt: spec.deadline === null ? null : plus(acceptedAt, spec.deadline),
 });
 
 /** The key of an attempt in `Machine.holds`. */
--- a/src/core/cluster.ts
+++ b/src/core/cluster.ts
@@ -4,12 +4,12 @@
  * check each index against a full count.
  */
 export { addAttempt, updateAttempt, removeAttempt } from "./cluster-attempts.js";
-export { machineOf, tidyTask } from "./cluster-indices.js";
-export { addJob, dropJob, finish } from "./cluster-jobs.js";
+export { machineOf, scheduleReconciliation } from "./cluster-indices.js";
+export { addJob, removeJob, markFinished } from "./cluster-jobs.js";
 export {
   addMachine,
   recordCommandAnswer,
-  dropMachine,
+  removeMachine,
   recordHeartbeat,
   type MachineChange,
   setMachine,
--- a/src/core/command-sender.ts
+++ b/src/core/command-sender.ts
@@ -59,9 +59,9 @@
       if (now < until) continue;
       this.blockedUntil.delete(machine);
       if (cluster.machines.get(machine.id) !== machine) continue;
-      machine.inFlight = false;
-      cluster.attention.add(machine);
-      cluster.chances++;
+      machine.commandsInFlight = false;
+      cluster.reconcileQueue.add(machine);
+      cluster.capacityVersion++;
     }
   }
 
@@ -84,7 +84,7 @@
       const machine = this.scope.cluster.machines.get(id);
       const commands = pendingCommands.take(id);
       if (machine === undefined || commands === null) continue;
-      const isFree = !machine.inFlight && !this.scope.isPaused(machine);
+      const isFree = !machine.commandsInFlight && !this.scope.isPaused(machine);
       const sent = isFree && this.sendBatch(machine, commands, decisions);
       // one batch at a time: what can't be sent now is decided on again
       if (!sent) this.answered(id, notSent(commands), now);
@@ -95,13 +95,13 @@
   /** Whether the machine has an address to send to. */
   private sendBatch(machine: Machine, commands: Command[], decisions: Decision[]): boolean {
     if (machine.addr === null) return false;
-    machine.inFlight = true;
+    machine.commandsInFlight = true;
     decisions.push({
       kind: "commands",
       machine: machine.id,
       zone: machine.zone,
       // what got no answer by one way is sent by the other
-      via: machine.unanswered % 2 === 1 ? this.otherWay(machine) : this.usualWay(machine),
+      via: machine.unansweredBatches % 2 === 1 ? this.otherWay(machine) : this.usualWay(machine),
       addr: machine.addr,
       workerEpoch: Math.max(1, machine.workerEpoch),
       fencingToken: fencingTokenOf(this.scope.term.token, machine.fencingTokenStep),
@@ -156,8 +156,8 @@
       if (!this.isSilent(machine, now)) break;
       yield machine;
     }
-    yield* cluster.mute;
-    yield* cluster.fencing;
+    yield* cluster.unreachable;
+    yield* cluster.awaitingFence;
   }
 
   private isSilent(machine: Machine, now: Instant): boolean {
@@ -166,8 +166,8 @@
 
   private mayAsk(machine: Machine, now: Instant): boolean {
     if (!machine.recorded || machine.addr === null) return false;
-    if (machine.inFlight || machine.releasing !== null) return false;
-    const isOften = machine.unanswered < ASKED_OFTEN || !this.isSilent(machine, now);
+    if (machine.commandsInFlight || machine.releaseRequestedAt !== null) return false;
+    const isOften = machine.unansweredBatches < ASKED_OFTEN || !this.isSilent(machine, now);
     const pause = isOften ? ASK_AGAIN : ASK_SELDOM;
     return machine.probedAt === null || hasElapsed(now, machine.probedAt, pause);
   }
@@ -181,9 +181,9 @@
     // a node whose queue is full, or that may not send now, won't send a moment later
     if (outcome === "barred" && fencingToken !== NOT_SENT)
       this.blockedUntil.set(machine, plus(now, BLOCKED_FOR));
-    else if (termNumberOf(fencingToken) === this.scope.term.token) machine.inFlight = false;
-    cluster.attention.add(machine);
-    cluster.chances++;
+    else if (termNumberOf(fencingToken) === this.scope.term.token) machine.commandsInFlight = false;
+    cluster.reconcileQueue.add(machine);
+    cluster.capacityVersion++;
     const isAnswer = outcome === "done" || outcome === "rejected";
     if (outcome !== "barred") recordCommandAnswer(cluster, machine, isAnswer, now);
     for (const command of result.commands) {
--- a/src/core/decisions.ts
+++ b/src/core/decisions.ts
@@ -1,5 +1,5 @@
 /** What the leader's core decides, and what it is told of the outcome. */
-import type { Rent } from "./fleet.js";
+import type { ScaleOutRequest } from "./autoscaler.js";
 import type { MachineRecord, Command } from "./records.js";
 
 /** Something to be done outside the core. The caller carries each out, or tells the core that it failed. */
@@ -20,7 +20,7 @@
   /** Store a machine's record, before anything is started on it (S5). */
   | { kind: "record"; machine: string; record: MachineRecord }
   /** Rent machines (S10). */
-  | { kind: "rent"; rent: Rent }
+  | { kind: "rent"; rent: ScaleOutRequest }
   /** Return machines to the cloud (S3). */
   | { kind: "release"; machines: string[]; reason: string }
   /** A line for the log. */
--- a/src/core/pipelines.ts
+++ b/src/core/dependency-graph.ts
@@ -40,7 +40,7 @@
   return due === null ? null : minus(due, node.time);
 };
 
-export class Pipelines {
+export class DependencyGraph {
   private readonly nodes = new Map<string, Node>();
   /** Known jobs by the jobs that they name, known or not: a child may be heard of before its parent. */
   private readonly children = new Map<string, Set<Node>>();
@@ -101,7 +101,7 @@
     this.changed.add(node.id);
     // a job that nobody named before can't close a cycle, and that is the usual order
     const named = this.children.has(node.id);
-    for (const parent of spec.awaits) {
+    for (const parent of spec.dependsOn) {
       if (parent === node.id || (named && this.needs(parent, node.id))) continue;
       node.parents.add(parent);
       const siblings = this.children.get(parent);
--- a/src/core/heartbeat-handler.ts
+++ b/src/core/heartbeat-handler.ts
@@ -12,7 +12,7 @@
   isSameOrNewer,
   removeAttempt,
   setMachine,
-  tidyTask,
+  scheduleReconciliation,
 } from "./cluster.js";
 import type { TaskAttempt, Machine } from "./cluster.js";
 import { finishTask } from "./job-intake.js";
@@ -83,11 +83,11 @@
   private updateNotice(machine: Machine, reclaimNoticeSeconds: number | null, now: Instant): void {
     const { cluster } = this.scope;
     if (reclaimNoticeSeconds === null) {
-      if (machine.reclaimAt !== null) cluster.chances++;
+      if (machine.reclaimAt !== null) cluster.capacityVersion++;
       machine.reclaimAt = null;
     } else if (machine.reclaimAt === null) {
       machine.reclaimAt = plus(now, Duration.seconds(reclaimNoticeSeconds));
-      cluster.attention.add(machine);
+      cluster.reconcileQueue.add(machine);
     }
   }
 
@@ -178,7 +178,7 @@
     setMachine(cluster, machine, { confirmed: true });
     for (const attempt of machine.attempts.values()) {
       const job = cluster.jobs.get(attempt.job);
-      if (job !== undefined) tidyTask(cluster, job, attempt.index);
+      if (job !== undefined) scheduleReconciliation(cluster, job, attempt.index);
     }
   }
 }
--- a/src/core/job-intake.ts
+++ b/src/core/job-intake.ts
@@ -1,19 +1,26 @@
 /** Takes in what the leader hears of jobs: beginnings, releases, stored finishes and ends. */
-import { addJob, type Cluster, dropJob, finish, type Job, tidyTask } from "./cluster.js";
-import { Pipelines } from "./pipelines.js";
+import {
+  addJob,
+  type Cluster,
+  removeJob,
+  markFinished,
+  type Job,
+  scheduleReconciliation,
+} from "./cluster.js";
+import { DependencyGraph } from "./dependency-graph.js";
 import type { Range } from "./ranges.js";
 import type { JobSpec } from "./records.js";
 import type { Instant } from "./time.js";
 
 /** Marks a task as finished. The tasks of a gang complete together: if one is done, so are all. */
 export const finishTask = (cluster: Cluster, job: Job, index: number): void => {
-  if (job.spec.kind === "gang") finish(cluster, job, 0, job.spec.tasks);
-  else finish(cluster, job, index, index + 1);
+  if (job.spec.kind === "gang") markFinished(cluster, job, 0, job.spec.tasks);
+  else markFinished(cluster, job, index, index + 1);
 };
 
 /** The unfinished jobs: released ones are in the cluster, waiting ones only count for the jobs that they need. */
 export class JobIntake {
-  private readonly pipelines = new Pipelines();
+  private readonly pipelines = new DependencyGraph();
   private readonly waitingForOthers = new Set<string>();
 
   constructor(private readonly cluster: Cluster) {}
@@ -30,7 +37,7 @@
     this.waitingForOthers.delete(spec.id);
     this.pipelines.add(spec, accepted);
     job.rank = this.pipelines.rank(spec.id) ?? job.rank;
-    job.due = this.pipelines.due(spec.id);
+    job.deadlineAt = this.pipelines.due(spec.id);
     this.passOn();
     for (const [index, attempts] of job.attempts)
       if (attempts.some((attempt) => attempt.exitReason === "done")) finishTask(this.cluster, job, index);
@@ -55,7 +62,7 @@
   /** The job has its commit. */
   over(id: string): void {
     const job = this.cluster.jobs.get(id);
-    if (job !== undefined) dropJob(this.cluster, job);
+    if (job !== undefined) removeJob(this.cluster, job);
     this.waitingForOthers.delete(id);
     this.pipelines.remove(id);
     this.passOn();
@@ -70,7 +77,7 @@
     for (const [from, to] of finished) {
       job.stored.add(from, to);
       for (let index = from; index < to; index++) this.markStored(job, index);
-      finish(this.cluster, job, from, to);
+      markFinished(this.cluster, job, from, to);
     }
   }
 
@@ -78,7 +85,7 @@
     const attempts = job.attempts.get(index);
     if (attempts === undefined) return;
     for (const attempt of attempts) attempt.stored = true;
-    tidyTask(this.cluster, job, index);
+    scheduleReconciliation(this.cluster, job, index);
   }
 
   /** The commit could not be made: it is decided on again. */
@@ -86,7 +93,7 @@
     const job = this.cluster.jobs.get(id);
     if (job === undefined) return;
     job.committing = false;
-    if (job.done.covers(job.spec.tasks)) this.cluster.covered.add(job);
+    if (job.done.covers(job.spec.tasks)) this.cluster.awaitingCommit.add(job);
   }
 
   /** Gives released jobs the rank and the deadline that they inherit from the jobs that need them. */
@@ -96,11 +103,11 @@
       const rank = this.pipelines.rank(id);
       if (job === undefined || rank === null) continue;
       const due = this.pipelines.due(id);
-      if (job.rank === rank && job.due === due) continue;
+      if (job.rank === rank && job.deadlineAt === due) continue;
       job.rank = rank;
-      job.due = due;
+      job.deadlineAt = due;
       // the queue's order changes, and what may be stopped for whom
-      this.cluster.chances++;
+      this.cluster.capacityVersion++;
     }
   }
 }
--- a/src/core/job-queue.ts
+++ b/src/core/job-queue.ts
@@ -5,8 +5,8 @@
 import * as Duration from "effect/Duration";
 import { isSuspect } from "./attempt-results.js";
 import type { Job } from "./cluster.js";
-import { timeFor } from "./pipelines.js";
-import { fitsGuarantee, type Usage } from "./quota.js";
+import { timeFor } from "./dependency-graph.js";
+import { isWithinGuarantee, type Usage } from "./quota.js";
 import { RANK } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed, plus } from "./time.js";
@@ -32,7 +32,7 @@
   Number(b.isOverdue) - Number(a.isOverdue) ||
   b.rank - a.rank ||
   Number(b.isGuaranteed) - Number(a.isGuaranteed) ||
-  a.job.stamp - b.job.stamp;
+  a.job.revision - b.job.revision;
 
 /** A job that fails wherever it runs was started often enough: it goes before no others. */
 const hasStarted = (job: Job, now: Instant): boolean =>
@@ -40,7 +40,7 @@
 
 /** Whether a job above the lowest rank has waited long for its first start. */
 const isStarved = (job: Job, now: Instant): boolean =>
-  job.rank > RANK.low && !hasStarted(job, now) && hasElapsed(now, job.seen, STARVED_AFTER);
+  job.rank > RANK.low && !hasStarted(job, now) && hasElapsed(now, job.releasedAt, STARVED_AFTER);
 
 /** Sorts the cluster's waiting jobs; a look at each of them, and no more. */
 export class JobQueue {
@@ -55,7 +55,7 @@
   sorted(now: Instant): Job[] {
     const { cluster } = this.scope;
     this.updateGuaranteed();
-    const waiting = [...cluster.waiting];
+    const waiting = [...cluster.pendingJobs];
     this.someStarved = waiting.some((job) => isStarved(job, now));
     return waiting
       .filter((job) => job.retryAt === null || now >= job.retryAt)
@@ -76,25 +76,25 @@
 
   /** Whether the job waited so long for its first start that one task of it goes before all others. */
   isOverdue(job: Job, now: Instant): boolean {
-    return hasElapsed(now, job.seen, OVERDUE_AFTER) && !hasStarted(job, now);
+    return hasElapsed(now, job.releasedAt, OVERDUE_AFTER) && !hasStarted(job, now);
   }
 
   /** Started now it can just be done by its deadline: waiting behind what has no deadline would be for nothing. */
   isUrgent(job: Job, now: Instant): boolean {
-    const { due, spec } = job;
-    if (due === null || this.someStarved || now >= due) return false;
-    return plus(now, timeFor(spec)) >= due;
+    const { deadlineAt, spec } = job;
+    if (deadlineAt === null || this.someStarved || now >= deadlineAt) return false;
+    return plus(now, timeFor(spec)) >= deadlineAt;
   }
 
   private rankNow(job: Job, now: Instant): number {
-    const isLongWaiting = !hasStarted(job, now) && hasElapsed(now, job.seen, LONG_WAIT);
+    const isLongWaiting = !hasStarted(job, now) && hasElapsed(now, job.releasedAt, LONG_WAIT);
     return job.rank + (isLongWaiting || this.isUrgent(job, now) ? 1 : 0);
   }
 
   private updateGuaranteed(): void {
     const { cluster } = this.scope;
-    if (this.guaranteedAt === cluster.jobChanges) return;
-    this.guaranteedAt = cluster.jobChanges;
+    if (this.guaranteedAt === cluster.jobSetVersion) return;
+    this.guaranteedAt = cluster.jobSetVersion;
     this.guaranteed = this.guaranteedJobs();
   }
 
@@ -102,14 +102,14 @@
     const { cluster, options } = this.scope;
     const guaranteed = new Set<Job>();
     const usageByTeam = new Map<string, Usage>();
-    const byAge = [...cluster.jobs.values()].sort((a, b) => a.stamp - b.stamp);
+    const byAge = [...cluster.jobs.values()].sort((a, b) => a.revision - b.revision);
     for (const job of byAge) {
       const { spec } = job;
       const team = options.teams.get(spec.team);
-      if (team === undefined || (team.cpus <= 0 && team.gpus <= 0)) continue;
+      if (team === undefined || (team.guaranteedCpus <= 0 && team.guaranteedGpus <= 0)) continue;
       const usage = usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
       usageByTeam.set(spec.team, usage);
-      if (fitsGuarantee(team, usage, spec, spec.tasks)) guaranteed.add(job);
+      if (isWithinGuarantee(team, usage, spec, spec.tasks)) guaranteed.add(job);
       usage.cpus += spec.cpus * spec.tasks;
       usage.gpus += spec.gpus * spec.tasks;
     }
--- a/src/core/lease-expiry.ts
+++ b/src/core/lease-expiry.ts
@@ -75,7 +75,7 @@
       const open = !m.confirmed || [...m.attempts.values()].some(occupiesCapacity);
       if (open && this.isOver(m)) {
         setMachine(cluster, m, { confirmed: true });
-        m.inFlight = false;
+        m.commandsInFlight = false;
         for (const attempt of [...m.attempts.values()]) removeAttempt(cluster, attempt);
       }
     }
--- a/src/core/machine-intake.ts
+++ b/src/core/machine-intake.ts
@@ -1,6 +1,6 @@
 /** Takes in what the leader hears of machines from the state service and the cloud. */
 import * as Duration from "effect/Duration";
-import { addMachine, dropMachine, type Machine, newMachine, setMachine } from "./cluster.js";
+import { addMachine, removeMachine, type Machine, newMachine, setMachine } from "./cluster.js";
 import type { MachineRecord } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, plus } from "./time.js";
@@ -64,7 +64,7 @@
       const created = plus(now, Duration.millis(-row.ageMs));
       const machine = this.discovered(row.id, row.record, created);
       if (machine === null) continue;
-      if (machine.lastHeartbeatAt === null && created < machine.created) machine.created = created;
+      if (machine.lastHeartbeatAt === null && created < machine.createdAt) machine.createdAt = created;
       machine.addr ??= row.record.addr;
       if (row.failed) machine.failed = true;
     }
@@ -77,14 +77,14 @@
     if (machine === undefined) return false;
     this.gone.add(id);
     this.forgetOldest();
-    dropMachine(cluster, machine);
+    removeMachine(cluster, machine);
     return true;
   }
 
   /** The release was not carried out: it is requested again a while from now. */
   releaseFailed(id: string, now: Instant): void {
     const machine = this.scope.cluster.machines.get(id);
-    if (machine !== undefined) machine.releasing = now;
+    if (machine !== undefined) machine.releaseRequestedAt = now;
   }
 
   private forgetOldest(): void {
--- a/src/core/placement-round.ts
+++ b/src/core/placement-round.ts
@@ -1,7 +1,7 @@
 /** What one step of the placer works with: the machines that may be used, and what was found out so far. */
 import type { Job, Machine } from "./cluster.js";
 import type { PendingCommands } from "./pending-commands.js";
-import { noEasier } from "./placement.js";
+import { isAtLeastAsDemanding } from "./placement.js";
 import type { Usage } from "./quota.js";
 import type { JobSpec } from "./records.js";
 import type { Instant } from "./time.js";
@@ -56,7 +56,7 @@
 
   /** Whether a search for a job that is no harder to place has found nothing. */
   isHopeless(spec: JobSpec): boolean {
-    return this.noRoomFor.some((failed) => noEasier(spec, failed));
+    return this.noRoomFor.some((failed) => isAtLeastAsDemanding(spec, failed));
   }
 
   /** A search for room found too little. */
@@ -66,7 +66,9 @@
 
   /** Whether nothing could be stopped for a job of at least this rank that is no harder to place. */
   isNothingToStop(job: Job): boolean {
-    return this.nothingToStopFor.some((failed) => failed.rank >= job.rank && noEasier(job.spec, failed.spec));
+    return this.nothingToStopFor.some(
+      (failed) => failed.rank >= job.rank && isAtLeastAsDemanding(job.spec, failed.spec),
+    );
   }
 
   /** A search for tasks to stop found none. */
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -12,22 +12,22 @@
 } from "./cluster.js";
 import type { JobSpec } from "./records.js";
 
-export interface Room {
+export interface Capacity {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-export const freeRoom = (m: Machine): Room => ({
+export const freeCapacity = (m: Machine): Capacity => ({
   cpus: m.cpus - m.used.cpus,
   gpus: m.gpus - m.used.gpus,
   memoryGb: m.memoryGb - m.used.memoryGb,
 });
 
-export const fits = (spec: JobSpec, room: Room): boolean =>
+export const fits = (spec: JobSpec, room: Capacity): boolean =>
   spec.cpus <= room.cpus + 1e-6 && spec.gpus <= room.gpus + 1e-6 && spec.memoryGb <= room.memoryGb + 1e-6;
 
-export const slots = (spec: JobSpec, room: Room): number =>
+export const tasksThatFit = (spec: JobSpec, room: Capacity): number =>
   Math.max(
     0,
     Math.floor(
@@ -39,7 +39,7 @@
     ),
   );
 
-export const takeRoom = (spec: JobSpec, room: Room, tasks: number): void => {
+export const reserve = (spec: JobSpec, room: Capacity, tasks: number): void => {
   room.cpus -= tasks * spec.cpus;
   room.gpus -= tasks * spec.gpus;
   room.memoryGb -= tasks * spec.memoryGb;
@@ -50,7 +50,7 @@
   (spec.types === null || spec.types.includes(m.type)) && allowsZone(spec, m.zone) && (spec.spot || !m.spot);
 
 /** Where no task of `failed` could go, none of `spec` can: it wants as much, and may go nowhere else. */
-export const noEasier = (spec: JobSpec, failed: JobSpec): boolean =>
+export const isAtLeastAsDemanding = (spec: JobSpec, failed: JobSpec): boolean =>
   failed.cpus <= spec.cpus &&
   failed.gpus <= spec.gpus &&
   failed.memoryGb <= spec.memoryGb &&
@@ -71,13 +71,13 @@
   m.recorded &&
   m.confirmed &&
   !m.failed &&
-  m.releasing === null &&
+  m.releaseRequestedAt === null &&
   m.reclaimAt === null &&
-  m.setAside === null &&
+  m.cordonedAt === null &&
   !m.draining &&
   m.cpus > 0 &&
   m.addr !== null &&
-  m.unanswered < MUTE_AFTER &&
+  m.unansweredBatches < MUTE_AFTER &&
   m.lastHeartbeatAt !== null &&
   !hasElapsed(now, m.lastHeartbeatAt, freshFor);
 
@@ -94,12 +94,12 @@
 };
 
 /** Whether the job's tasks are told apart by zone. */
-export const zoned = (spec: JobSpec): boolean => spec.oneZone || spec.spread;
+export const hasZoneConstraint = (spec: JobSpec): boolean => spec.oneZone || spec.spread;
 
 /** Zone rules given the other tasks of the job at this moment. */
 const zoneRule = (cluster: Cluster, job: Job): ((zone: string) => boolean) => {
   const { spec } = job;
-  if (!zoned(spec)) return () => true;
+  if (!hasZoneConstraint(spec)) return () => true;
   const zones = zonesInUse(cluster, job);
   return (zone) =>
     !(spec.oneZone && [...zones.keys()].some((z) => z !== zone)) &&
@@ -118,7 +118,7 @@
 
 /** How many replicas of a class one machine should hold, so that its loss costs a small part of them. */
 const fairShare = (cluster: Cluster, spec: JobSpec): number => {
-  const all = cluster.classes.get(spec.className) ?? 0;
+  const all = cluster.attemptsByClass.get(spec.className) ?? 0;
   return Math.max(2, Math.ceil(Math.min(all * 0.15, (3 * all) / Math.max(1, cluster.byLastHeartbeat.size))));
 };
 
@@ -141,7 +141,7 @@
   const most = fairShare(cluster, spec);
   const zones = spec.tasks > 1 ? zonesInUse(cluster, job) : new Map<string, number>();
   return (m) => {
-    const same = m.classes.get(spec.className) ?? 0;
+    const same = m.attemptsByClass.get(spec.className) ?? 0;
     return [
       m.images.has(spec.image) ? 1 : 0,
       same < most ? 1 : 0,
@@ -168,17 +168,17 @@
   const out: { m: Machine }[] = [];
   const lastResort: { m: Machine }[] = [];
   for (const m of candidates) {
-    if (!fits(job.spec, freeRoom(m)) || !allowed(job.spec, m) || !zoneAllows(m.zone)) continue;
+    if (!fits(job.spec, freeCapacity(m)) || !allowed(job.spec, m) || !zoneAllows(m.zone)) continue;
     if (within(job.refusedOn, m, now, REFUSED_MEMORY)) continue;
-    if (!within(job.errorsOn, m, now, ERROR_MEMORY)) out.push({ m });
-    else if (!within(job.errorsOn, m, now, LAST_RESORT_AFTER)) lastResort.push({ m });
+    if (!within(job.failedOn, m, now, ERROR_MEMORY)) out.push({ m });
+    else if (!within(job.failedOn, m, now, LAST_RESORT_AFTER)) lastResort.push({ m });
   }
   // the fleet counts that room, so nothing more is rented: a job must not wait for its memory to end
   return out.length > 0 ? out : lastResort;
 };
 
 /** The best machine for one task. */
-export const choose = (
+export const chooseMachine = (
   cluster: Cluster,
   job: Job,
   candidates: Iterable<Machine>,
@@ -199,7 +199,7 @@
 };
 
 /** Machines for many tasks of one array, scored once and then filled one after the other. */
-export const fill = (
+export const packTasks = (
   cluster: Cluster,
   job: Job,
   candidates: Iterable<Machine>,
@@ -214,7 +214,7 @@
   let left = tasks;
   for (const { m } of rows) {
     if (left <= 0) break;
-    const n = Math.min(left, slots(job.spec, freeRoom(m)));
+    const n = Math.min(left, tasksThatFit(job.spec, freeCapacity(m)));
     out.push({ machine: m, tasks: n });
     left -= n;
   }
@@ -236,7 +236,7 @@
   const zoneAllows = zoneRule(cluster, job);
   for (const machine of candidates) {
     if (!allowed(job.spec, machine) || !zoneAllows(machine.zone)) continue;
-    const room = freeRoom(machine);
+    const room = freeCapacity(machine);
     const options = [...machine.attempts.values()]
       .filter(isKnown)
       .filter((h) => occupiesCapacity(h) && !h.stopping && h.unacknowledgedToken === null && mayStop(h))
--- a/src/core/placer.ts
+++ b/src/core/placer.ts
@@ -4,10 +4,17 @@
 import { type TaskAttempt, type Job, type Machine, removeAttempt } from "./cluster.js";
 import type { JobQueue } from "./job-queue.js";
 import { PendingCommands } from "./pending-commands.js";
-import { allowed, choose, fill, freeRoom, slots, zoned } from "./placement.js";
+import {
+  allowed,
+  chooseMachine,
+  packTasks,
+  freeCapacity,
+  tasksThatFit,
+  hasZoneConstraint,
+} from "./placement.js";
 import { PlacementRound } from "./placement-round.js";
 import { Preemption } from "./preemption.js";
-import { fitsLimit, roomInLimit, type Usage } from "./quota.js";
+import { isWithinLimit, tasksWithinLimit, type Usage } from "./quota.js";
 import type { Team } from "./records.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { TaskStarter } from "./task-starter.js";
@@ -62,10 +69,10 @@
 
   private isWorthTrying(now: Instant): boolean {
     const { cluster } = this.scope;
-    if (cluster.waiting.size === 0) return false;
-    const isUnchanged = this.triedChances === cluster.chances;
+    if (cluster.pendingJobs.size === 0) return false;
+    const isUnchanged = this.triedChances === cluster.capacityVersion;
     if (isUnchanged && this.triedAt !== null && !hasElapsed(now, this.triedAt, TRY_AGAIN)) return false;
-    this.triedChances = cluster.chances;
+    this.triedChances = cluster.capacityVersion;
     this.triedAt = now;
     return true;
   }
@@ -78,7 +85,7 @@
   ): PlacementRound {
     const round = new PlacementRound(now, pendingCommands, notes, this.unseen(), this.starter.startsLeft);
     const leastCpus = queue.reduce((least, job) => Math.min(least, job.spec.cpus), Infinity);
-    for (const machine of this.scope.cluster.free.atLeast(leastCpus))
+    for (const machine of this.scope.cluster.capacityIndex.atLeast(leastCpus))
       if (this.scope.isReady(machine, now)) round.addCandidate(machine);
     return round;
   }
@@ -101,7 +108,7 @@
 
   /** Whether a machine that has not reported under this term may hold tasks of the job (S5). */
   private isBlocked(job: Job): boolean {
-    if (job.stamp > this.scope.since) return false;
+    if (job.revision > this.scope.since) return false;
     for (const machine of this.scope.cluster.unconfirmed) if (allowed(job.spec, machine)) return true;
     return false;
   }
@@ -110,7 +117,7 @@
     const { spec } = job;
     const used = round.mostUsed(this.scope.usageOf(spec.team));
     const startable = this.queue.isOverdue(job, round.now) ? 1 : startableTasks(job, round.now);
-    let left = Math.min(startable, round.startsLeft, roomInLimit(team, used, spec));
+    let left = Math.min(startable, round.startsLeft, tasksWithinLimit(team, used, spec));
     if (left <= 0) return;
     if (!round.isHopeless(spec)) {
       const placed = this.placeTasks(job, left, round);
@@ -118,8 +125,8 @@
       left -= placed;
     }
     if (left <= 0) return;
-    const isZoned = zoned(spec);
-    if (job.errorsOn.size + job.refusedOn.size === 0 && !isZoned) round.foundNoRoom(spec);
+    const isZoned = hasZoneConstraint(spec);
+    if (job.failedOn.size + job.refusedOn.size === 0 && !isZoned) round.foundNoRoom(spec);
     // with hundreds of jobs waiting, a search in vain for one isn't repeated for similar ones in the same step
     const isPlain = !this.queue.isGuaranteed(job) && !isZoned;
     if (isPlain && round.isNothingToStop(job)) return;
@@ -128,11 +135,12 @@
 
   /** Starts up to `tasks` of an array's or a service's tasks; says how many were started or have room made for them. */
   private placeTasks(job: Job, tasks: number, round: PlacementRound): number {
-    if (job.spec.kind === "array" && !zoned(job.spec)) return this.fillMachines(job, tasks, round);
+    if (job.spec.kind === "array" && !hasZoneConstraint(job.spec))
+      return this.fillMachines(job, tasks, round);
     const { cluster } = this.scope;
     let placed = 0;
     for (const index of job.pending.take(tasks)) {
-      const machine = choose(cluster, job, round.candidates, round.now, round.partRoom);
+      const machine = chooseMachine(cluster, job, round.candidates, round.now, round.partRoom);
       if (machine === null) break;
       if (this.fetchTooLong(job, machine) && this.preemption.makeRoomWhereCached(job, round)) return tasks;
       this.startTask(job, index, machine, round);
@@ -143,7 +151,7 @@
 
   private fillMachines(job: Job, tasks: number, round: PlacementRound): number {
     let placed = 0;
-    for (const row of fill(this.scope.cluster, job, round.candidates, round.now, round.partRoom, tasks))
+    for (const row of packTasks(this.scope.cluster, job, round.candidates, round.now, round.partRoom, tasks))
       for (const index of job.pending.take(row.tasks)) {
         this.startTask(job, index, row.machine, round);
         placed++;
@@ -158,7 +166,7 @@
 
   /** Free room is no use to a job whose image takes longer to fetch than its start may take. */
   private fetchTooLong(job: Job, machine: Machine): boolean {
-    const goal = this.scope.options.startGoals.get(job.spec.className);
+    const goal = this.scope.options.startLatencyObjectives.get(job.spec.className);
     const type = this.scope.typeByName.get(machine.type);
     if (goal === undefined || type === undefined || machine.images.has(job.spec.image)) return false;
     return job.spec.imageGb / type.fetchGbPerS > Duration.toSeconds(goal);
@@ -167,7 +175,7 @@
   private placeGangOrWait(job: Job, team: Team, round: PlacementRound): void {
     const isPlaced = this.placeGang(job, team, round);
     if (isPlaced) round.startsLeft -= job.spec.tasks;
-    else if (hasElapsed(round.now, job.seen, GANG_PATIENCE) && this.couldHold(job, round.now))
+    else if (hasElapsed(round.now, job.releasedAt, GANG_PATIENCE) && this.couldHold(job, round.now))
       round.gangRank = job.rank;
   }
 
@@ -177,7 +185,7 @@
     if (stopGang([...job.attempts.values()].flat(), round.pendingCommands) > 0) return false;
     if (job.pending.size < spec.tasks) return false;
     const used = round.mostUsed(this.scope.usageOf(spec.team));
-    if (!fitsLimit(team, used, spec, spec.tasks)) return false;
+    if (!isWithinLimit(team, used, spec, spec.tasks)) return false;
     if (!spec.oneZone) return this.placeGangOn(job, round.candidates, round);
     const zones = new Set(round.candidates.map((machine) => machine.zone));
     for (const zone of zones) {
@@ -191,13 +199,14 @@
   private placeGangOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { spec } = job;
     let total = 0;
-    for (const machine of candidates) if (allowed(spec, machine)) total += slots(spec, freeRoom(machine));
+    for (const machine of candidates)
+      if (allowed(spec, machine)) total += tasksThatFit(spec, freeCapacity(machine));
     if (total < spec.tasks) return false;
     const attempt = this.starter.nextAttempt();
     const trial = new PendingCommands();
     const placed: TaskAttempt[] = [];
     for (const index of job.pending.take(spec.tasks)) {
-      const machine = choose(this.scope.cluster, job, candidates, round.now, round.partRoom);
+      const machine = chooseMachine(this.scope.cluster, job, candidates, round.now, round.partRoom);
       if (machine === null) break;
       placed.push(this.starter.start(job, index, attempt, machine, round.now, trial));
     }
@@ -216,7 +225,7 @@
     for (const machine of this.scope.cluster.byLastHeartbeat) {
       if (!this.scope.usable(machine, now) || !allowed(spec, machine)) continue;
       const zone = spec.oneZone ? machine.zone : "";
-      slotsByZone.set(zone, (slotsByZone.get(zone) ?? 0) + slots(spec, machine));
+      slotsByZone.set(zone, (slotsByZone.get(zone) ?? 0) + tasksThatFit(spec, machine));
     }
     return [...slotsByZone.values()].some((free) => free >= spec.tasks);
   }
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -74,14 +74,15 @@
 
   /** Whether some task has a lower rank, or some other team uses more than its guarantee. */
   private mayStopAny(job: Job): boolean {
-    const hasLower = this.scope.cluster.ranks.some((tasks, rank) => rank < job.rank && tasks > 0);
+    const hasLower = this.scope.cluster.attemptsByRank.some((tasks, rank) => rank < job.rank && tasks > 0);
     return hasLower || (this.queue.isGuaranteed(job) && this.someoneBorrows(job.spec.team));
   }
 
   private someoneBorrows(except: string): boolean {
     for (const [name, team] of this.scope.options.teams) {
       const usage = this.scope.usageOf(name);
-      if (name !== except && (usage.cpus > team.cpus || usage.gpus > team.gpus)) return true;
+      if (name !== except && (usage.cpus > team.guaranteedCpus || usage.gpus > team.guaranteedGpus))
+        return true;
     }
     return false;
   }
@@ -89,9 +90,9 @@
   /** Machines on which something was started lately, and that may be given work. */
   private recentMachines(now: Instant): Machine[] {
     const found = new Set<Machine>();
-    const { started, machines } = this.scope.cluster;
-    for (let at = started.length - 1; at >= 0 && found.size < MAX_RECENT_MACHINES; at--) {
-      const attempt = started[at];
+    const { recentStarts, machines } = this.scope.cluster;
+    for (let at = recentStarts.length - 1; at >= 0 && found.size < MAX_RECENT_MACHINES; at--) {
+      const attempt = recentStarts[at];
       const machine = attempt === undefined ? undefined : machines.get(attempt.machine);
       if (attempt !== undefined && machine !== undefined && occupiesCapacity(attempt)) found.add(machine);
     }
@@ -128,6 +129,6 @@
     const team = this.scope.options.teams.get(spec.team);
     if (team === undefined) return false;
     const usage = this.scope.usageOf(spec.team);
-    return usage.cpus - spec.cpus >= team.cpus && usage.gpus - spec.gpus >= team.gpus;
+    return usage.cpus - spec.cpus >= team.guaranteedCpus && usage.gpus - spec.gpus >= team.guaranteedGpus;
   }
 }
--- a/src/core/quota.ts
+++ b/src/core/quota.ts
@@ -2,7 +2,7 @@
 import type { JobSpec, Team } from "./records.js";
 
 /** Sums of fractions of processors and of gigabytes are compared up to this difference. */
-export const ROUNDING = 1e-6;
+export const CAPACITY_EPSILON = 1e-6;
 
 /** Room that is in use. */
 export interface Usage {
@@ -11,24 +11,24 @@
 }
 
 /** 0 means: no limit. */
-const within = (used: number, limit: number): boolean => limit <= 0 || used <= limit + ROUNDING;
+const within = (used: number, limit: number): boolean => limit <= 0 || used <= limit + CAPACITY_EPSILON;
 
 /** Whether so many tasks more would keep the team within its limits. */
-export const fitsLimit = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
-  within(used.cpus + job.cpus * tasks, team.cpusMax) && within(used.gpus + job.gpus * tasks, team.gpusMax);
+export const isWithinLimit = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
+  within(used.cpus + job.cpus * tasks, team.maxCpus) && within(used.gpus + job.gpus * tasks, team.maxGpus);
 
 /** Whether so many tasks more would keep the team within its guarantee; a guarantee of 0 holds nothing. */
-export const fitsGuarantee = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
-  used.cpus + job.cpus * tasks <= team.cpus + ROUNDING &&
-  used.gpus + job.gpus * tasks <= team.gpus + ROUNDING;
+export const isWithinGuarantee = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
+  used.cpus + job.cpus * tasks <= team.guaranteedCpus + CAPACITY_EPSILON &&
+  used.gpus + job.gpus * tasks <= team.guaranteedGpus + CAPACITY_EPSILON;
 
 /** How many tasks of the given size one limit leaves room for. */
 const roomFor = (limit: number, used: number, each: number): number =>
-  limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + ROUNDING) / each);
+  limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + CAPACITY_EPSILON) / each);
 
 /** How many tasks of an array its team's limit allows at once, next to `used`. */
-export const roomInLimit = (team: Team, used: Usage, job: JobSpec): number => {
-  const byCpus = roomFor(team.cpusMax, used.cpus, job.cpus);
-  const byGpus = roomFor(team.gpusMax, used.gpus, job.gpus);
+export const tasksWithinLimit = (team: Team, used: Usage, job: JobSpec): number => {
+  const byCpus = roomFor(team.maxCpus, used.cpus, job.cpus);
+  const byGpus = roomFor(team.maxGpus, used.gpus, job.gpus);
   return Math.max(0, Math.min(byCpus, byGpus));
 };
--- a/src/core/reconciler.ts
+++ b/src/core/reconciler.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "./cluster.js";
 import type { PendingCommands } from "./pending-commands.js";
-import { choose } from "./placement.js";
+import { chooseMachine } from "./placement.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed } from "./time.js";
 
@@ -11,7 +11,7 @@
 const STOP_AGAIN_AFTER = Duration.seconds(3);
 
 /** A replica that has run long enough for its start to count, and that nobody is stopping. */
-export const movable = (h: TaskAttempt, now: Instant): boolean =>
+export const isMovableReplica = (h: TaskAttempt, now: Instant): boolean =>
   h.spec?.kind === "service" &&
   h.state === "running" &&
   !h.stopping &&
@@ -23,13 +23,13 @@
 
   /** Looks at the machines about which something changed; keeps an eye on those where something is under way. */
   step(now: Instant, pendingCommands: PendingCommands): void {
-    const { attention } = this.scope.cluster;
-    for (const m of [...attention]) {
+    const { reconcileQueue } = this.scope.cluster;
+    for (const m of [...reconcileQueue]) {
       m.idleSince = m.attempts.size === 0 && m.lastHeartbeatAt !== null ? (m.idleSince ?? now) : null;
       // whatever ends these states puts the machine back
-      const isBusy = m.inFlight || this.scope.isPaused(m);
+      const isBusy = m.commandsInFlight || this.scope.isPaused(m);
       if (isBusy || !m.confirmed || m.addr === null || !this.machine(m, now, pendingCommands))
-        attention.delete(m);
+        reconcileQueue.delete(m);
     }
   }
 
@@ -52,7 +52,7 @@
         }
         continue;
       }
-      if (m.draining && !moving && movable(attempt, now)) {
+      if (m.draining && !moving && isMovableReplica(attempt, now)) {
         moving = true;
         pendingCommands.stop(attempt);
         continue;
@@ -97,8 +97,8 @@
         continue;
       }
       if (!saves && spec.kind !== "service") continue;
-      room ??= [...cluster.free.atLeast(spec.cpus)].filter((x) => this.scope.usable(x, now));
-      if (saves || choose(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
+      room ??= [...cluster.capacityIndex.atLeast(spec.cpus)].filter((x) => this.scope.usable(x, now));
+      if (saves || chooseMachine(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
     }
   }
 }
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -29,7 +29,7 @@
   /** Counts from the submission, also for a job that waits for others. */
   readonly deadline: Duration.Duration | null;
   /** Jobs that have to be done before any task of this one starts. */
-  readonly awaits: readonly string[];
+  readonly dependsOn: readonly string[];
 }
 
 export type Outcome = "done" | "cancelled";
@@ -96,10 +96,10 @@
 }
 export interface Team {
   readonly name: string;
-  readonly cpus: number;
-  readonly cpusMax: number;
-  readonly gpus: number;
-  readonly gpusMax: number;
+  readonly guaranteedCpus: number;
+  readonly maxCpus: number;
+  readonly guaranteedGpus: number;
+  readonly maxGpus: number;
 }
 
 export type TaskState = "fetching" | "waiting" | "running" | "saving" | "exited";
--- a/src/core/machine-returns.ts
+++ b/src/core/scale-in.ts
@@ -2,10 +2,10 @@
 import * as Duration from "effect/Duration";
 import { isWaitingForRoom } from "./attempt-results.js";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "./cluster.js";
-import { allowed, freeRoom, type Room, slots, takeRoom } from "./placement.js";
+import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "./placement.js";
 import type { LeaseExpiry } from "./lease-expiry.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { movable } from "./reconciler.js";
+import { isMovableReplica } from "./reconciler.js";
 import { type Instant, minus, hasElapsed, plus } from "./time.js";
 
 /** The cloud's answer to a release, and the start elsewhere. */
@@ -36,7 +36,7 @@
   readonly mute: number;
 }
 
-export class MachineReturns {
+export class ScaleIn {
   /** So long after its last answered report a machine's tasks go on for certain; a release takes a moment. */
   private readonly almostALease: Duration.Duration;
   /** How long a worker takes to be heard elsewhere: its next heartbeat, no answer to it, another node, and some room. */
@@ -57,7 +57,7 @@
     const silence = this.silence(now);
     const repeatAfter = this.repeatAfter();
     for (const m of cluster.machines.values()) {
-      if (m.releasing !== null && !hasElapsed(now, m.releasing, repeatAfter)) continue;
+      if (m.releaseRequestedAt !== null && !hasElapsed(now, m.releaseRequestedAt, repeatAfter)) continue;
       const why = this.reason(m, now, silence);
       if (why !== null) (out.get(why) ?? out.set(why, []).get(why)!).push(m.id);
     }
@@ -67,7 +67,8 @@
   /** While many are released, requests wait for their turn: repeated sooner, they would only make the queue longer. */
   private repeatAfter(): Duration.Duration {
     let releasing = 0;
-    for (const machine of this.scope.cluster.machines.values()) if (machine.releasing !== null) releasing++;
+    for (const machine of this.scope.cluster.machines.values())
+      if (machine.releaseRequestedAt !== null) releasing++;
     return Duration.sum(REPEAT_AFTER, Duration.seconds(releasing / RELEASED_PER_SECOND));
   }
 
@@ -79,21 +80,27 @@
       silent++;
     }
     let unrenewed = 0;
-    for (const m of cluster.byLastHeartbeat) if (this.scope.unrenewed(m, now)) unrenewed++;
+    for (const m of cluster.byLastHeartbeat) if (this.scope.isLeaseRenewalOverdue(m, now)) unrenewed++;
     let unheard = 0;
     for (const m of cluster.unconfirmed) if (m.lastHeartbeatAt === null) unheard++;
-    return { heard: cluster.byLastHeartbeat.size, silent, unheard, unrenewed, mute: cluster.mute.size };
+    return {
+      heard: cluster.byLastHeartbeat.size,
+      silent,
+      unheard,
+      unrenewed,
+      mute: cluster.unreachable.size,
+    };
   }
 
   private reason(m: Machine, now: Instant, silence: Silence): string | null {
     const { termBegan, fresh, cluster, options } = this.scope;
-    if (m.releasing !== null) return "repeat";
+    if (m.releaseRequestedAt !== null) return "repeat";
     if (m.failed) return "failed";
     const few = (n: number, of: number): boolean => n <= Math.max(2, of * MANY);
     if (m.lastHeartbeatAt === null) {
       if (m.confirmed) {
         const boot = this.scope.typeByName.get(m.type)?.boot ?? Duration.seconds(60);
-        return hasElapsed(now, m.created, Duration.times(boot, BOOT_PATIENCE)) ? "never came up" : null;
+        return hasElapsed(now, m.createdAt, Duration.times(boot, BOOT_PATIENCE)) ? "never came up" : null;
       }
       // until it is gone, nothing that it may hold can start
       const { heartbeatInterval } = options.timings;
@@ -101,7 +108,7 @@
         const some = silence.unheard > Math.max(2, cluster.machines.size * SOME);
         const patience = Duration.sum(
           some ? this.movesOn : heartbeatInterval,
-          m.unanswered >= 3 ? Duration.zero : heartbeatInterval,
+          m.unansweredBatches >= 3 ? Duration.zero : heartbeatInterval,
         );
         return hasElapsed(now, termBegan, patience) ? "silent since take-over" : null;
       }
@@ -130,7 +137,7 @@
       const almostALease = Math.max(soon + 3000, Duration.toMillis(this.almostALease));
       const many = !few(silence.silent, silence.heard);
       const patience =
-        cut || (many && m.unanswered < DEAF_AFTER) ? almostALease : soon + this.doubtful(m, many);
+        cut || (many && m.unansweredBatches < DEAF_AFTER) ? almostALease : soon + this.doubtful(m, many);
       // when members change, their workers have yet to find another one, and this node has its hands full: questions of
       // its own that time out then say little
       const some = silence.silent > Math.max(2, silence.heard * SOME);
@@ -142,20 +149,24 @@
     if (unrenewed && hasElapsed(now, termBegan, this.almostALease) && few(silence.unrenewed, silence.heard))
       return "reaches no controller";
     // its heartbeats arrive, but nothing that we say does: a release is what it needs, and the proof that it is over
-    if (m.mute !== null && m.unanswered >= DEAF_AFTER && few(silence.mute, silence.heard)) {
-      const since = Math.max(m.mute, termBegan) as Instant;
+    if (
+      m.unreachableSince !== null &&
+      m.unansweredBatches >= DEAF_AFTER &&
+      few(silence.mute, silence.heard)
+    ) {
+      const since = Math.max(m.unreachableSince, termBegan) as Instant;
       if (hasElapsed(now, since, Duration.times(options.timings.heartbeatInterval, 2))) return "doesn't hear";
     }
-    if (m.draining && m.attempts.size === 0 && !m.inFlight) return "drained";
-    if (m.setAside !== null && ![...m.attempts.values()].some(occupiesCapacity))
-      return m.slow ? "slow" : "fails tasks";
+    if (m.draining && m.attempts.size === 0 && !m.commandsInFlight) return "drained";
+    if (m.cordonedAt !== null && ![...m.attempts.values()].some(occupiesCapacity))
+      return m.cordonedAsSlow ? "slow" : "fails tasks";
     return null;
   }
 
   /** How much longer than usual a silent machine gets: with one way asked, or none yet, the fault may be on our side. */
   private doubtful(m: Machine, many: boolean): number {
-    if (m.unanswered >= 2) return many ? 3000 : 0;
-    return m.unanswered === 1 ? 3000 : 8000;
+    if (m.unansweredBatches >= 2) return many ? 3000 : 0;
+    return m.unansweredBatches === 1 ? 3000 : 8000;
   }
 
   /**
@@ -166,9 +177,9 @@
   consolidate(now: Instant, expectedCpus: number): void {
     const { cluster } = this.scope;
     const draining = [...cluster.machines.values()].filter((m) => m.draining);
-    if ([...cluster.waiting].some((job) => job.spec.kind !== "service" && isWaitingForRoom(job, now))) {
+    if ([...cluster.pendingJobs].some((job) => job.spec.kind !== "service" && isWaitingForRoom(job, now))) {
       for (const m of draining) m.draining = false;
-      if (draining.length > 0) cluster.chances++;
+      if (draining.length > 0) cluster.capacityVersion++;
       return;
     }
     const ready = [...cluster.byLastHeartbeat].filter((m) => this.scope.usable(m, now));
@@ -188,8 +199,8 @@
       .map((m) => ({ m, wasted: wasted(m) }))
       .sort((a, b) => b.wasted - a.wasted);
     const others = ready
-      .filter((x) => cluster.free.has(x) && x.attempts.size > 0)
-      .map((x) => ({ x, room: freeRoom(x) }));
+      .filter((x) => cluster.capacityIndex.has(x) && x.attempts.size > 0)
+      .map((x) => ({ x, room: freeCapacity(x) }));
     const keep = expectedCpus + used * SPARE;
     let moving = draining.filter((m) => [...m.attempts.values()].some(isReplica)).length;
     const mayMove = Math.max(1, cluster.machines.size * MOVING_AT_ONCE);
@@ -204,26 +215,30 @@
       free -= m.cpus;
       some--;
       m.draining = true;
-      cluster.attention.add(m);
+      cluster.reconcileQueue.add(m);
     }
   }
 
   private canMove(
     m: Machine,
     replicas: readonly TaskAttempt[],
-    others: readonly { x: Machine; room: Room }[],
+    others: readonly { x: Machine; room: Capacity }[],
     now: Instant,
   ): boolean {
     return replicas.every((attempt) => {
       const spec = attempt.spec!;
-      if (!movable(attempt, now) || spec.oneZone || spec.spread) return false;
+      if (!isMovableReplica(attempt, now) || spec.oneZone || spec.spread) return false;
       if (!this.scope.cluster.jobs.has(attempt.job)) return false;
       const to = others.find(
         ({ x, room }) =>
-          x !== m && !x.draining && x.images.has(spec.image) && allowed(spec, x) && slots(spec, room) > 0,
+          x !== m &&
+          !x.draining &&
+          x.images.has(spec.image) &&
+          allowed(spec, x) &&
+          tasksThatFit(spec, room) > 0,
       );
       if (to === undefined) return false;
-      takeRoom(spec, to.room, 1);
+      reserve(spec, to.room, 1);
       return true;
     });
   }
--- a/src/core/scheduler-context.ts
+++ b/src/core/scheduler-context.ts
@@ -1,7 +1,7 @@
 /** What every part of the leader's core looks at: its picture, its term, the machine types and its options. */
 import * as Duration from "effect/Duration";
 import { type Cluster, type Machine, newCluster, setMachine } from "./cluster.js";
-import type { FleetOptions } from "./fleet.js";
+import type { FleetOptions } from "./autoscaler.js";
 import { usable } from "./placement.js";
 import type { Usage } from "./quota.js";
 import type { MachineType, Team, TermRecord } from "./records.js";
@@ -19,7 +19,7 @@
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
   /** How soon users expect tasks of a class to start, from the platform's objectives. */
-  readonly startGoals: ReadonlyMap<string, Duration.Duration>;
+  readonly startLatencyObjectives: ReadonlyMap<string, Duration.Duration>;
   /** Explicit ownership of machines, where it is used. */
   readonly ownership?: MachineOwnership;
 }
@@ -70,11 +70,11 @@
   }
 
   readonly usable = (m: Machine, now: Instant): boolean =>
-    usable(m, now, this.fresh) && !this.unrenewed(m, now);
+    usable(m, now, this.fresh) && !this.isLeaseRenewalOverdue(m, now);
 
   /** Whether tasks may be started on it now: no batch is on its way, and nothing of unknown size is on it (S6). */
   isReady(machine: Machine, now: Instant): boolean {
-    const isFree = !machine.inFlight && !this.isPaused(machine);
+    const isFree = !machine.commandsInFlight && !this.isPaused(machine);
     return this.usable(machine, now) && isFree && !this.cluster.orphanedAttemptCounts.has(machine);
   }
 
@@ -92,16 +92,16 @@
     const isWanted =
       machine.recorded &&
       !machine.failed &&
-      machine.releasing === null &&
+      machine.releaseRequestedAt === null &&
       machine.reclaimAt === null &&
-      machine.setAside === null;
+      machine.cordonedAt === null;
     if (!isWanted) return false;
     if (machine.lastHeartbeatAt === null) return !machine.confirmed;
     return !hasElapsed(now, machine.lastHeartbeatAt, Duration.sum(this.fresh, this.reconnectWithin));
   }
 
   /** It answers direct questions, but its heartbeats reach nobody: its lease runs out, with all that is on it. */
-  unrenewed(m: Machine, now: Instant): boolean {
+  isLeaseRenewalOverdue(m: Machine, now: Instant): boolean {
     const span = Duration.sum(this.fresh, this.options.timings.heartbeatInterval);
     return m.leaseRenewedAt !== null && hasElapsed(now, m.leaseRenewedAt, span);
   }
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler.ts
@@ -7,8 +7,8 @@
 import { type Cluster, recordHeartbeat, type Machine } from "./cluster.js";
 import { type CommandBatchResult, CommandSender } from "./command-sender.js";
 import type { Decision, CommandOutcome } from "./decisions.js";
-import { Fleet, offerKey } from "./fleet.js";
-import { FleetDecisions } from "./fleet-decisions.js";
+import { Autoscaler, offerKey } from "./autoscaler.js";
+import { AutoscalerDecisions } from "./autoscaler-decisions.js";
 import { JobIntake } from "./job-intake.js";
 import { JobQueue } from "./job-queue.js";
 import { type ListedMachine, MachineIntake } from "./machine-intake.js";
@@ -20,7 +20,7 @@
 import type { JobSpec, MachineRecord, MachineType, Command, RentalRecord } from "./records.js";
 import type { TermRecord, Heartbeat } from "./records.js";
 import { HeartbeatHandler } from "./heartbeat-handler.js";
-import { MachineReturns } from "./machine-returns.js";
+import { ScaleIn } from "./scale-in.js";
 import { type SchedulerOptions, SchedulerContext } from "./scheduler-context.js";
 import { summaryOf } from "./summary.js";
 import { Reconciler } from "./reconciler.js";
@@ -33,7 +33,7 @@
 /** One leader's core, from its first term on. A new leader makes a new one and reads everything anew (S5). */
 export class Scheduler {
   /** Rentals under way and what the fleet's sizing remembers. */
-  readonly fleet: Fleet;
+  readonly fleet: Autoscaler;
   /** What handing machines over to another controller needs. */
   readonly drain: ShardDrain;
   private readonly scope: SchedulerContext;
@@ -46,7 +46,7 @@
   private readonly placer: Placer;
   private readonly pace: SlowMachineDetector;
   private readonly tidy: Reconciler;
-  private readonly fleetDecisions: FleetDecisions;
+  private readonly fleetDecisions: AutoscalerDecisions;
   private listedOnce = false;
 
   /** `leaderStamp`: the revision of the leader's key, which tells older jobs from younger ones (S5). */
@@ -58,7 +58,7 @@
     zones?: ZoneWatch,
   ) {
     this.scope = new SchedulerContext(options, term, now, leaderStamp, zones);
-    this.fleet = new Fleet(options.fleet);
+    this.fleet = new Autoscaler(options.fleet);
     this.drain = new ShardDrain(this.scope);
     this.jobs = new JobIntake(this.scope.cluster);
     this.machines = new MachineIntake(this.scope);
@@ -69,8 +69,8 @@
     this.queue = new JobQueue(this.scope);
     this.placer = new Placer(this.scope, this.queue);
     this.tidy = new Reconciler(this.scope);
-    const returns = new MachineReturns(this.scope, this.proof);
-    this.fleetDecisions = new FleetDecisions(this.scope, this.fleet, returns, this.queue);
+    const returns = new ScaleIn(this.scope, this.proof);
+    this.fleetDecisions = new AutoscalerDecisions(this.scope, this.fleet, returns, this.queue);
   }
 
   /** Jobs, machines and attempts. */
@@ -99,12 +99,12 @@
     this.scope.termBegan = now;
     this.proof.newTerm();
     for (const machine of this.cluster.machines.values()) {
-      machine.inFlight = false;
+      machine.commandsInFlight = false;
       machine.fencingTokenStep = 0;
-      this.cluster.fencing.delete(machine);
-      this.cluster.attention.add(machine);
+      this.cluster.awaitingFence.delete(machine);
+      this.cluster.reconcileQueue.add(machine);
     }
-    this.cluster.chances++;
+    this.cluster.capacityVersion++;
   }
 
   /** The machine types that the platform offers. */
@@ -230,17 +230,17 @@
 
   /** Every job of which all tasks are finished gets its commit. */
   private commit(decisions: Decision[]): void {
-    for (const job of this.cluster.covered) {
+    for (const job of this.cluster.awaitingCommit) {
       job.committing = true;
       decisions.push({ kind: "commit", job: job.spec.id, tasks: job.spec.tasks });
     }
-    this.cluster.covered.clear();
+    this.cluster.awaitingCommit.clear();
   }
 
   /** A machine is recorded before the first start on it (S5). */
   private record(decisions: Decision[]): void {
     for (const machine of this.cluster.unrecorded) {
-      if (machine.recording || machine.releasing !== null) continue;
+      if (machine.recording || machine.releaseRequestedAt !== null) continue;
       machine.recording = true;
       const { type, zone, spot, addr } = machine;
       decisions.push({ kind: "record", machine: machine.id, record: { type, zone, spot, addr } });
@@ -262,7 +262,7 @@
 
   /** The certain outcome of a recorded rental (S10). */
   rentalAnswered(name: string, record: RentalRecord, machines: readonly string[], now: Instant): void {
-    this.fleet.asked.delete(name);
+    this.fleet.outstanding.delete(name);
     const { type, zone, spot, count } = record;
     if (machines.length < count) this.fleet.refused(offerKey(type, zone, spot), now);
     for (const id of machines) this.machines.discovered(id, { type, zone, spot, addr: null }, now);
--- a/src/core/shard-drain.ts
+++ b/src/core/shard-drain.ts
@@ -18,7 +18,7 @@
     for (const machine of machines) {
       machine.fencingTokenStep++;
       machine.probedAt = null;
-      this.scope.cluster.fencing.add(machine);
+      this.scope.cluster.awaitingFence.add(machine);
     }
   }
 
@@ -26,10 +26,10 @@
   resume(machines: readonly Machine[]): void {
     const { cluster } = this.scope;
     for (const machine of machines) {
-      cluster.fencing.delete(machine);
-      cluster.attention.add(machine);
+      cluster.awaitingFence.delete(machine);
+      cluster.reconcileQueue.add(machine);
     }
-    if (machines.length > 0) cluster.chances++;
+    if (machines.length > 0) cluster.capacityVersion++;
   }
 
   /** What stands against handing the machines over, and whether they are fenced. */
@@ -46,21 +46,21 @@
 
   /** One that is being returned, or that never held anything, has no commands to wait for. */
   private isWanted(machine: Machine): boolean {
-    return machine.releasing === null && machine.recorded;
+    return machine.releaseRequestedAt === null && machine.recorded;
   }
 
   private isFenced(machine: Machine): boolean {
     const token = fencingTokenOf(this.scope.term.token, machine.fencingTokenStep);
     const isSeen = machine.confirmed && machine.fencingToken >= token;
-    if (isSeen) this.scope.cluster.fencing.delete(machine);
-    return isSeen && !machine.inFlight;
+    if (isSeen) this.scope.cluster.awaitingFence.delete(machine);
+    return isSeen && !machine.commandsInFlight;
   }
 
   private obstacleOf(machines: readonly Machine[]): Refusal | null {
     for (const machine of machines) {
       const { id } = machine;
       if (!machine.confirmed || machine.addr === null) return Refusal.MachineNotHeard({ machine: id });
-      if (machine.unanswered > 0) return Refusal.CommandInDoubt({ machine: id });
+      if (machine.unansweredBatches > 0) return Refusal.CommandInDoubt({ machine: id });
       for (const attempt of machine.attempts.values()) {
         const refusal = this.obstacleOfHold(attempt);
         if (refusal !== null) return refusal;
--- a/src/core/slow-machine-detector.ts
+++ b/src/core/slow-machine-detector.ts
@@ -49,13 +49,13 @@
   }
 
   private setAside(m: Machine, now: Instant): boolean {
-    if (m.slow) return true;
+    if (m.cordonedAsSlow) return true;
     const { cluster } = this.scope;
     let slow = 0;
-    for (const x of cluster.byLastHeartbeat) if (x.slow) slow++;
+    for (const x of cluster.byLastHeartbeat) if (x.cordonedAsSlow) slow++;
     if (slow + 1 > Math.max(2, cluster.byLastHeartbeat.size * MOST)) return false;
-    m.slow = true;
-    m.setAside ??= now;
+    m.cordonedAsSlow = true;
+    m.cordonedAt ??= now;
     return true;
   }
 
@@ -74,7 +74,7 @@
           const m = cluster.machines.get(attempt.machine)!;
           // a silent machine is another matter; so is a task that was slow before
           if (
-            m.inFlight ||
+            m.commandsInFlight ||
             m.lastHeartbeatAt === null ||
             hasElapsed(now, m.lastHeartbeatAt, this.scope.fresh)
           )
--- a/src/core/summary.ts
+++ b/src/core/summary.ts
@@ -17,7 +17,7 @@
 
 const waitingCpus = (cluster: Cluster): number => {
   let cpus = 0;
-  for (const job of cluster.waiting) cpus += job.pending.size * job.spec.cpus;
+  for (const job of cluster.pendingJobs) cpus += job.pending.size * job.spec.cpus;
   return cpus;
 };
 
@@ -64,7 +64,7 @@
     ready,
     booting,
     unconfirmed: cluster.unconfirmed.size,
-    mute: cluster.mute.size,
+    mute: cluster.unreachable.size,
     doubts: cluster.unacknowledgedStarts.size,
     spot,
     ...cpus,
--- a/src/core/task-starter.ts
+++ b/src/core/task-starter.ts
@@ -71,8 +71,8 @@
     };
     addAttempt(cluster, taskAttempt);
     // gangs are never stopped for others
-    if (job.spec.kind !== "gang") cluster.started.push(taskAttempt);
-    if (cluster.started.length > MAX_REMEMBERED) cluster.started.splice(0, MAX_REMEMBERED / 2);
+    if (job.spec.kind !== "gang") cluster.recentStarts.push(taskAttempt);
+    if (cluster.recentStarts.length > MAX_REMEMBERED) cluster.recentStarts.splice(0, MAX_REMEMBERED / 2);
     pendingCommands.start(machine.id, job.spec.id, index, attempt);
     return taskAttempt;
   }
--- a/src/io/codec.ts
+++ b/src/io/codec.ts
@@ -104,7 +104,7 @@
   checkpoint: Duration.seconds(w.bookmark_s ?? 0),
   save: Duration.seconds(w.stash_s ?? 0),
   deadline: w.due_s == null ? null : Duration.seconds(w.due_s),
-  awaits: w.awaits ?? [],
+  dependsOn: w.awaits ?? [],
 });
 
 /** What the accepting node writes: with the time of day, so that a leader's take-over makes no job young again. */
--- a/src/io/settings.ts
+++ b/src/io/settings.ts
@@ -138,10 +138,10 @@
     state: file.external.state,
     teams: params.teams.map((t) => ({
       name: t.name,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
+      guaranteedCpus: t.cpus,
+      maxCpus: t.cpus_max,
+      guaranteedGpus: t.gpus,
+      maxGpus: t.gpus_max,
     })),
     workers: {
       reportS: params.workers.report_s,
--- a/src/service/front.ts
+++ b/src/service/front.ts
@@ -1,7 +1,7 @@
 /** The front: users, workers and health checks. */
 import http from "node:http";
 import * as Effect from "effect/Effect";
-import { hopeless } from "../core/admission.js";
+import { unschedulableReason } from "../core/admission.js";
 import { type CommitRecord, type FaninRecord, keys, type Outcome, type Team } from "../core/records.js";
 import {
   heartbeatAnswer,
@@ -183,9 +183,9 @@
       // one that was accepted when values could be larger stays accepted
       if (bytes > this.options.valueKb * 1024)
         return yield* this.refused(spec.id, problem(400, "too large to be stored"));
-      const why = hopeless(spec, this.options.teams, this.mirror.types);
+      const why = unschedulableReason(spec, this.options.teams, this.mirror.types);
       if (why !== null) return yield* this.refused(spec.id, problem(422, why));
-      return yield* spec.awaits.length === 0 ? this.accept(wire) : this.acceptAfter(wire, spec.awaits);
+      return yield* spec.dependsOn.length === 0 ? this.accept(wire) : this.acceptAfter(wire, spec.dependsOn);
     });
   }
 
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -106,7 +106,7 @@
     const accepted = date === null ? now() : instantOf(date);
     const job = { spec, stamp, accepted, record: value as object };
     this.waiting.set(id, job);
-    this.waiters.add(id, spec.awaits);
+    this.waiters.add(id, spec.dependsOn);
     this.onWaiting(job);
     return job;
   }
--- a/src/service/job-releaser.ts
+++ b/src/service/job-releaser.ts
@@ -101,11 +101,11 @@
       }
       const until = this.refusedUntil.get(id);
       if (until !== undefined && now() < until) return;
-      const { awaits, tasks } = job.spec;
+      const { dependsOn, tasks } = job.spec;
       const outcomes = new Map<string, ParentState>();
-      for (const parent of awaits) outcomes.set(parent, yield* this.parentState(parent));
+      for (const parent of dependsOn) outcomes.set(parent, yield* this.parentState(parent));
       const set = this.mirror.fanins.get(id) ?? (yield* this.readSet(id));
-      const step = faninStep(awaits, set?.joined ?? [], (parent) => outcomes.get(parent)!);
+      const step = faninStep(dependsOn, set?.joined ?? [], (parent) => outcomes.get(parent)!);
       if (step.kind === "wait") return;
       if (step.kind === "cancel") {
         yield* this.status.cancelWaiting(id, tasks);
--- a/src/service/leader.ts
+++ b/src/service/leader.ts
@@ -3,7 +3,7 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import type { HeartbeatId } from "../core/cluster.js";
-import type { FleetOptions } from "../core/fleet.js";
+import type { FleetOptions } from "../core/autoscaler.js";
 import { groups, jsonBytes, pack, TXN_BYTES, valueBytes } from "../core/packing.js";
 import { ProgressLog } from "../core/progress.js";
 import {
@@ -47,7 +47,7 @@
   readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
-  readonly startGoals: ReadonlyMap<string, Duration.Duration>;
+  readonly startLatencyObjectives: ReadonlyMap<string, Duration.Duration>;
   readonly txnOps: number;
   readonly valueKb: number;
   readonly listEvery: Duration.Duration;
@@ -268,7 +268,7 @@
     if (this.membership.leadership !== leadership || this.membership.term !== term) return;
     const scheduler = new Scheduler(this.options, term, leadership.stamp, began, this.zones);
     this.progress = new ProgressLog();
-    scheduler.cluster.progressed = (job) => this.progress.changed(job.spec.id);
+    scheduler.cluster.onProgress = (job) => this.progress.changed(job.spec.id);
     this.blocks = new MachineRecordStore();
     for (const row of machines.rows) {
       const record = (row.value as MachinesRecord).machines;
@@ -643,7 +643,7 @@
       if (leadership === null || term === null || this.guarded === null) return;
       const name = `r-${term.token}-${++this.rentals}`;
       const { type, zone, spot, count } = d.rent;
-      this.guarded.with((s) => s.fleet.asked.set(name, { offer: d.rent, count, at: now() }));
+      this.guarded.with((s) => s.fleet.outstanding.set(name, { offer: d.rent, count, at: now() }));
       const record: RentalRecord = { type: type.name, zone, spot, count };
       const stored = yield* this.state
         .commit([{ key: keys.leader, stamp: leadership.stamp }], [{ put: keys.rental(name), value: record }])
@@ -654,7 +654,7 @@
         yield* Effect.sleep(this.refusals.refused("rental", stored.error));
       if (stored?.ok !== true) {
         // not sent: the name is never used again
-        this.guarded?.with((s) => s.fleet.asked.delete(name));
+        this.guarded?.with((s) => s.fleet.outstanding.delete(name));
         return;
       }
       this.log.info({ term: term.token, rental: name, type: type.name, zone, spot, count }, "rents");
--- a/src/service/node.ts
+++ b/src/service/node.ts
@@ -111,7 +111,7 @@
           idleBoots: settings.operator.idleBoots,
           warmFor: settings.operator.warmFor,
         },
-        startGoals: settings.startGoals,
+        startLatencyObjectives: settings.startGoals,
         ...(shards === null ? {} : { ownership: shards.ownership }),
         txnOps: settings.stateLimits.txnOps,
         valueKb: settings.stateLimits.valueKb,
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -232,10 +232,10 @@
       fencingTokenStep,
       confirmed,
       lastHeartbeatAt,
-      unanswered,
+      unansweredBatches,
     } of this.machinesOf(leading, shard)) {
       // one that is still booting, or silent, says nothing about the target
-      const isAnswering = confirmed && lastHeartbeatAt !== null && unanswered === 0;
+      const isAnswering = confirmed && lastHeartbeatAt !== null && unansweredBatches === 0;
       if (addr === null || !isAnswering) continue;
       samples.push({
         addr,
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -3,7 +3,7 @@
 import * as Duration from "effect/Duration";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { hopeless } from "../src/core/admission.js";
+import { unschedulableReason } from "../src/core/admission.js";
 import { ProgressLog } from "../src/core/progress.js";
 import { RateLimiter } from "../src/core/rate-limiter.js";
 import { WorkerPartition } from "../src/core/worker-partition.js";
@@ -333,7 +333,7 @@
   assert.equal(parsed.spec.gpus, 0);
   assert.equal(Duration.toSeconds(parsed.spec.deadline!), 90);
   const teams = new Map(TEAMS.map((t) => [t.name, t]));
-  const why = (more: object) => hopeless({ ...parsed.spec, ...more }, teams, TYPES);
+  const why = (more: object) => unschedulableReason({ ...parsed.spec, ...more }, teams, TYPES);
   assert.equal(why({}), null);
   assert.match(why({ team: "green" })!, /no such team/);
   assert.match(why({ cpus: 17 })!, /no allowed machine/);
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -55,7 +55,7 @@
   assert.equal(rented(scene), 0);
   failFor(scene, 40);
   assert.equal(rented(scene), 0);
-  assert.ok([...scene.s.cluster.machines.values()].every((machine) => machine.setAside === null));
+  assert.ok([...scene.s.cluster.machines.values()].every((machine) => machine.cordonedAt === null));
 });
 
 test("machines are drained although a job that fails everywhere has tasks to start", () => {
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -75,7 +75,7 @@
     timings: TIMINGS,
     teams: new Map([["red", { name: "red", cpus: 1e6, cpusMax: 0, gpus: 0, gpusMax: 0 }]]),
     fleet: { reuse: 0.5, idleBoots, warmFor: Duration.seconds(10) },
-    startGoals: new Map(),
+    startLatencyObjectives: new Map(),
   };
   const scheduler = new Scheduler(options, TERM, 500, instant(0));
   scheduler.setTypes(TYPES);
--- a/test/large-fleet.ts
+++ b/test/large-fleet.ts
@@ -11,7 +11,7 @@
 /** Counts every element that is looked at while one of the picture's collections is gone through. */
 export const countVisits = (cluster: Cluster): { visits: number } => {
   const counter = { visits: 0 };
-  const collections: unknown[] = [...Object.values(cluster), ...cluster.free.buckets];
+  const collections: unknown[] = [...Object.values(cluster), ...cluster.capacityIndex.buckets];
   for (const collection of collections) {
     if (!(collection instanceof Map || collection instanceof Set)) continue;
     for (const name of ["values", "keys", "entries", Symbol.iterator] as const) {
@@ -52,7 +52,7 @@
 
   constructor(machines: number, arrays: number, services: number) {
     const timings = leaseTimingsOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
-    const team = { name: "red", cpus: 1e6, cpusMax: 0, gpus: 0, gpusMax: 0 };
+    const team = { name: "red", guaranteedCpus: 1e6, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 };
     const term = {
       token: 1,
       key: 5,
@@ -60,7 +60,7 @@
       members: [{ name: "a", incarnation: 1, zone: "east" }],
     };
     const fleet = { reuse: 0.5, idleBoots: 0.6, warmFor: Duration.seconds(10) };
-    const options = { timings, teams: new Map([["red", team]]), fleet, startGoals: new Map() };
+    const options = { timings, teams: new Map([["red", team]]), fleet, startLatencyObjectives: new Map() };
     this.s = new Scheduler(options, term, 10, instant(0));
     this.s.setTypes(TYPES);
     for (let i = 0; i < machines; i++) {
--- a/test/meetings-handover.test.ts
+++ b/test/meetings-handover.test.ts
@@ -148,8 +148,8 @@
     seedsWithShards: 18,
     play: (w, seed) => {
       w.teams = [
-        { name: "red", cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 0 },
-        { name: "blue", cpus: 8, cpusMax: 16, gpus: 0, gpusMax: 0 },
+        { name: "red", guaranteedCpus: 8, maxCpus: 16, guaranteedGpus: 0, maxGpus: 0 },
+        { name: "blue", guaranteedCpus: 8, maxCpus: 16, guaranteedGpus: 0, maxGpus: 0 },
       ];
       w.usersCancel = false;
       w.wait(8000);
--- a/test/model-pipelines.ts
+++ b/test/model-pipelines.ts
@@ -59,7 +59,7 @@
   putWaiting(id: string, row: Row): void {
     if (this.isUnfinished(id) || this.over.has(id)) return;
     this.waiting.set(id, row);
-    this.waiters.add(id, row.spec.awaits);
+    this.waiters.add(id, row.spec.dependsOn);
     if (this.leadsAs !== null) this.changed.add(id);
   }
   putFanin(id: string, set: Fanin): void {
@@ -201,7 +201,7 @@
   }
   private maySend(spec: JobSpec): boolean {
     const isOpen = this.versions.pipelinesOpen || this.host.without("early");
-    return spec.awaits.every((p) => isOpen && (!this.sent.has(p) || this.accepted.has(p)));
+    return spec.dependsOn.every((p) => isOpen && (!this.sent.has(p) || this.accepted.has(p)));
   }
   private sendOnce(spec: JobSpec): void {
     this.sendTo(this.anyNode(), spec);
@@ -326,8 +326,8 @@
 
   /** All jobs before this one, whatever anybody knows of them. */
   private ancestors(id: string): Set<string> {
-    const out = new Set(this.sent.get(id)?.awaits ?? []);
-    for (const at of out) for (const parent of this.sent.get(at)?.awaits ?? []) out.add(parent);
+    const out = new Set(this.sent.get(id)?.dependsOn ?? []);
+    for (const at of out) for (const parent of this.sent.get(at)?.dependsOn ?? []) out.add(parent);
     return out;
   }
   /** Whether a job before it is cancelled. */
@@ -555,7 +555,7 @@
     if (tries >= ACCEPT_TRIES) return;
     const asked = host.now();
     const { version } = node;
-    const awaits = version === "new" ? spec.awaits : [];
+    const awaits = version === "new" ? spec.dependsOn : [];
     this.parents(node, awaits, stale, (parents) => {
       if (parents === null) return this.ask(node, spec.id);
       if (parents.some((p) => p.kind === "absent"))
@@ -688,7 +688,7 @@
 
   /** Whether jobs wait for this one, by the records. */
   hasChildren(id: string): boolean {
-    return [...this.waiting.values()].some((row) => row.spec.awaits.includes(id));
+    return [...this.waiting.values()].some((row) => row.spec.dependsOn.includes(id));
   }
   /** The leader's own commit: carried out, refused or unanswered. */
   committed(node: N, id: string, ok: boolean | null): void {
@@ -743,15 +743,15 @@
     if (job === undefined) return;
     view.busy++;
     const end = (): void => void view.busy--;
-    const { awaits } = job.spec;
-    const unknown = awaits.filter((p) => !view.isUnfinished(p) && !view.finals.has(p));
+    const { dependsOn } = job.spec;
+    const unknown = dependsOn.filter((p) => !view.isUnfinished(p) && !view.finals.has(p));
     this.readOutcomes(node, unknown, (ok) => {
       if (!ok) return end();
       const stateOf = (p: string): ParentState =>
         view.isUnfinished(p) ? "open" : (view.finals.get(p) ?? "unknown");
-      const states = new Map(awaits.map((p) => [p, stateOf(p)]));
+      const states = new Map(dependsOn.map((p) => [p, stateOf(p)]));
       const step = (set: Fanin | null): void => {
-        const next = faninStep(awaits, set?.joined ?? [], (p) => states.get(p)!);
+        const next = faninStep(dependsOn, set?.joined ?? [], (p) => states.get(p)!);
         if (next.kind === "wait") return end();
         if (next.kind === "cancel") return this.cancelWaiting(node, id, end);
         if (set === null || set.released) return end();
--- a/test/model.ts
+++ b/test/model.ts
@@ -102,8 +102,8 @@
   }),
 );
 export const TEAMS: Team[] = [
-  { name: "red", cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 0 },
-  { name: "blue", cpus: 8, cpusMax: 0, gpus: 0, gpusMax: 0 },
+  { name: "red", guaranteedCpus: 8, maxCpus: 24, guaranteedGpus: 0, maxGpus: 0 },
+  { name: "blue", guaranteedCpus: 8, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
 ];
 
 interface WorkerTask {
@@ -571,7 +571,7 @@
         checkpoint: Duration.zero,
         save: Duration.zero,
         deadline: null,
-        awaits: [],
+        dependsOn: [],
       };
       this.accept(spec);
     }
@@ -839,7 +839,7 @@
       return;
     }
     this.started++;
-    if (spec.awaits.some((p) => this.commits.get(p)?.outcome !== "done"))
+    if (spec.dependsOn.some((p) => this.commits.get(p)?.outcome !== "done"))
       this.broken.push({ rule: "too_early", text: `${o.job}/${o.index} starts at ${this.now}` });
     const commit = this.commits.get(o.job);
     if (commit?.outcome === "cancelled") {
@@ -908,7 +908,7 @@
 
   /** Once for each leader that may act. */
   private countLeader(node: Node, s: Scheduler): void {
-    const released = [...this.jobs.values()].some((job) => job.spec.awaits.length > 0);
+    const released = [...this.jobs.values()].some((job) => job.spec.dependsOn.length > 0);
     const isWaiting = this.pipelines.waiting.size > 0;
     for (const what of this.pipelines.versions.leads(s, node.version, released, isWaiting)) this.count(what);
   }
@@ -991,9 +991,9 @@
     const s = new Scheduler(
       {
         timings: TIMINGS,
-        teams: new Map(this.teams.map((t) => [t.name, this.without === "quota" ? { ...t, cpusMax: 0 } : t])),
+        teams: new Map(this.teams.map((t) => [t.name, this.without === "quota" ? { ...t, maxCpus: 0 } : t])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(2) },
-        startGoals: new Map([["service", Duration.millis(100)]]),
+        startLatencyObjectives: new Map([["service", Duration.millis(100)]]),
         ...(this.shards === null ? {} : { ownership: this.shards.ownership }),
       },
       this.term!,
@@ -1086,7 +1086,7 @@
     for (const id of [...s.awaitingJobs]) if (!view.waiting.has(id)) s.waitingOver(id);
     if (this.without === "cancel") return;
     for (const [id, job] of [...s.cluster.jobs])
-      if (!node.known.has(id) && !view.waiting.has(id) && job.stamp <= node.knownUpTo) s.jobOver(id);
+      if (!node.known.has(id) && !view.waiting.has(id) && job.revision <= node.knownUpTo) s.jobOver(id);
   }
 
   private sync(node: Node): void {
@@ -1342,7 +1342,7 @@
       }
     if (this.calmSince !== null && this.now % 1000 === 0) this.checkIdleRoom(usage);
     for (const team of this.teams)
-      if (team.cpusMax > 0 && (usage.get(team.name) ?? 0) > team.cpusMax)
+      if (team.maxCpus > 0 && (usage.get(team.name) ?? 0) > team.maxCpus)
         this.broken.push({ rule: "quota", text: `${team.name}: ${usage.get(team.name)} at ${this.now}` });
   }
 
@@ -1350,7 +1350,7 @@
   private checkIdleRoom(usage: ReadonlyMap<string, number>): void {
     for (const { spec } of this.jobs.values()) {
       const used = usage.get(spec.team) ?? 0;
-      const limit = this.teams.find((t) => t.name === spec.team)!.cpusMax;
+      const limit = this.teams.find((t) => t.name === spec.team)!.maxCpus;
       let waits = false;
       for (let n = 0; n < spec.tasks && !waits; n++)
         waits = !(this.completed.get(spec.id)?.has(n) ?? false) && this.holders(spec.id, n).length === 0;
@@ -1407,8 +1407,12 @@
     this.pipelines.askAboutNothing(`req-9${String(this.nextJob).padStart(5, "0")}`);
   }
   /** A job that waits for others, sent by a user through any node as soon as they are accepted. */
-  submitAfter(awaits: readonly string[], change: Partial<JobSpec> = {}, lasts?: readonly number[]): string {
-    const spec = this.newSpecs(1, { ...change, awaits }, lasts)[0]!;
+  submitAfter(
+    dependsOn: readonly string[],
+    change: Partial<JobSpec> = {},
+    lasts?: readonly number[],
+  ): string {
+    const spec = this.newSpecs(1, { ...change, dependsOn }, lasts)[0]!;
     this.allJobs.set(spec.id, spec);
     this.pipelines.submit(spec);
     return spec.id;
@@ -1438,7 +1442,7 @@
         checkpoint: Duration.zero,
         save: Duration.zero,
         deadline: null,
-        awaits: [],
+        dependsOn: [],
         ...change,
       };
       if (lasts !== undefined) this.lasts.set(id, lasts);
@@ -1611,7 +1615,7 @@
   }
   waiting(): number {
     let sum = 0;
-    for (const job of this.leads()?.scheduler?.cluster.waiting ?? []) sum += job.pending.size;
+    for (const job of this.leads()?.scheduler?.cluster.pendingJobs ?? []) sum += job.pending.size;
     return sum;
   }
   /** The heartbeats that all machines with tasks send now are held back; they arrive at whoever leads when it is called. */
@@ -1725,7 +1729,7 @@
    * users call them off, so nothing can be served then, whoever owns the machines.
    */
   private isKeptOut({ team, cpus }: JobSpec): boolean {
-    const limit = this.teams.find(({ name }) => name === team)?.cpusMax ?? 0;
+    const limit = this.teams.find(({ name }) => name === team)?.maxCpus ?? 0;
     if (limit === 0) return false;
     let used = 0;
     for (const { spec } of this.jobs.values())
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -4,13 +4,13 @@
 import * as Duration from "effect/Duration";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { Pipelines, timeFor } from "../src/core/pipelines.js";
+import { DependencyGraph, timeFor } from "../src/core/dependency-graph.js";
 import { type JobSpec, type Priority, RANK } from "../src/core/records.js";
 import { type Instant, instant } from "../src/core/time.js";
 import { jobSpec } from "./specs.js";
 
-const spec = (id: string, awaits: readonly string[], more: Partial<JobSpec> = {}): JobSpec =>
-  jobSpec({ id, awaits, ...more });
+const spec = (id: string, dependsOn: readonly string[], more: Partial<JobSpec> = {}): JobSpec =>
+  jobSpec({ id, dependsOn, ...more });
 
 interface Values {
   readonly rank: number;
@@ -25,7 +25,7 @@
   const longest = new Map<string, number>();
   const walk = (at: string, takes: number): void => {
     for (const [child, row] of jobs) {
-      if (!row.spec.awaits.includes(at)) continue;
+      if (!row.spec.dependsOn.includes(at)) continue;
       const sum = takes + Duration.toMillis(timeFor(row.spec));
       longest.set(child, Math.max(longest.get(child) ?? 0, sum));
       walk(child, sum);
@@ -42,7 +42,7 @@
   return { rank, inner };
 };
 
-const valuesOf = (p: Pipelines, id: string): Values => ({ rank: p.rank(id)!, inner: p.inner(id) });
+const valuesOf = (p: DependencyGraph, id: string): Values => ({ rank: p.rank(id)!, inner: p.inner(id) });
 const seconds = (s: number): Instant => instant(s * 1000);
 const TAKES = Duration.toSeconds(timeFor(spec("x", [])));
 
@@ -63,7 +63,7 @@
         deadline: below(3) === 0 ? Duration.seconds(100 + below(400)) : null,
       });
     });
-    const p = new Pipelines();
+    const p = new DependencyGraph();
     const jobs = new Map<string, { spec: JobSpec; accepted: Instant }>();
     /** What somebody knows who only ever hears of changes. */
     const told = new Map<string, Values>();
@@ -103,7 +103,7 @@
 });
 
 test("a last job submitted late raises the chain before it; its end lowers it again", () => {
-  const p = new Pipelines();
+  const p = new DependencyGraph();
   p.add(spec("a", [], { priority: "low" }), seconds(0));
   p.add(spec("b", ["a"], { priority: "low" }), seconds(1));
   p.add(spec("c", ["b"]), seconds(2));
@@ -142,7 +142,7 @@
   const longTakes = Duration.toSeconds(timeFor(jobs[1]!));
   assert.ok(longTakes > TAKES);
   for (const command of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
-    const p = new Pipelines();
+    const p = new DependencyGraph();
     for (const job of command) p.add(job, seconds(0));
     assert.equal(p.rank("start"), RANK.high);
     assert.equal(p.due("start"), seconds(900 - TAKES - longTakes));
@@ -152,7 +152,7 @@
 });
 
 test("an event looks at the jobs before its own only as far as they change, at few children of many", () => {
-  const p = new Pipelines();
+  const p = new DependencyGraph();
   const work = (event: () => void): number => {
     const before = p.visits;
     event();
@@ -192,7 +192,7 @@
 });
 
 test("many ways through a wide graph aren't gone one by one", () => {
-  const p = new Pipelines();
+  const p = new DependencyGraph();
   const layers = 20;
   const wide = 5;
   const layer = (l: number): string[] => (l < 0 ? [] : Array.from({ length: wide }, (_, n) => `l${l}-${n}`));
@@ -210,7 +210,7 @@
 
 test("a malformed cycle neither hangs nor spoils other jobs", () => {
   const due = { priority: "high", deadline: Duration.seconds(600) } as const;
-  const p = new Pipelines();
+  const p = new DependencyGraph();
   p.add(spec("self", ["self"], due), seconds(0));
   assert.deepEqual([p.rank("self"), p.inner("self")], [RANK.high, null]);
   p.add(spec("a", ["c"]), seconds(0));
--- a/test/recount.ts
+++ b/test/recount.ts
@@ -21,14 +21,14 @@
     where((m) => m.lastHeartbeatAt !== null),
   );
   assert.deepEqual(
-    ids(c.mute),
-    where((m) => m.unanswered > 0),
+    ids(c.unreachable),
+    where((m) => m.unansweredBatches > 0),
   );
   const room = (m: (typeof machines)[number]): boolean =>
     m.cpus - m.used.cpus > 1e-6 && m.memoryGb - m.used.memoryGb > 1e-6;
-  assert.deepEqual(ids(c.free.atLeast(0)), where(room));
+  assert.deepEqual(ids(c.capacityIndex.atLeast(0)), where(room));
   assert.deepEqual(
-    ids(c.free.atLeast(4)),
+    ids(c.capacityIndex.atLeast(4)),
     where((m) => room(m) && Math.floor(m.cpus - m.used.cpus + 1e-6) >= 4),
   );
 
@@ -56,8 +56,8 @@
     byRank[RANK[spec.priority]]!++;
     byClass.set(spec.className, (byClass.get(spec.className) ?? 0) + 1);
   }
-  assert.deepEqual(c.ranks, byRank);
-  assert.deepEqual(new Map([...c.classes].sort()), new Map([...byClass].sort()));
+  assert.deepEqual(c.attemptsByRank, byRank);
+  assert.deepEqual(new Map([...c.attemptsByClass].sort()), new Map([...byClass].sort()));
 
   for (const job of c.jobs.values()) {
     const mine = attempts.filter((h) => h.job === job.spec.id);
@@ -65,9 +65,9 @@
     assert.deepEqual(new Set(listed), new Set(mine));
     const running = mine.filter((h) => h.state === "running" || h.state === "saving").length;
     assert.equal(job.running, running, job.spec.id);
-    assert.equal(c.waiting.has(job), job.pending.size > 0, job.spec.id);
+    assert.equal(c.pendingJobs.has(job), job.pending.size > 0, job.spec.id);
     const done = job.done.covers(job.spec.tasks);
-    if (c.covered.has(job)) assert.ok(done && !job.committing);
+    if (c.awaitingCommit.has(job)) assert.ok(done && !job.committing);
     for (let n = 0; n < job.spec.tasks; n++) {
       const held = mine.some((h) => h.index === n && (occupiesCapacity(h) || h.exitReason === "done"));
       assert.equal(job.pending.has(n), !held && !job.done.has(n), `${job.spec.id}/${n}`);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -8,7 +8,7 @@
     const fleet = new LargeFleet(machines, arrays, machines / 8);
     const tasks = fleet.running();
     const counter = countVisits(fleet.s.cluster);
-    const before = [...fleet.s.cluster.waiting].length;
+    const before = [...fleet.s.cluster.pendingJobs].length;
     assert.ok(before > 0, "work must be waiting");
     counter.visits = 0;
     for (let i = 0; i < 200; i++) fleet.event(i);
--- a/test/scene.ts
+++ b/test/scene.ts
@@ -27,7 +27,7 @@
         timings: TIMINGS,
         teams: new Map(TEAMS.map((t) => [t.name, t])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
-        startGoals: new Map(),
+        startLatencyObjectives: new Map(),
         ownership: { isPaused: (machine) => this.paused.has(machine), wayTo: () => null },
       },
       term,
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
 import { addJob, newCluster } from "../src/core/cluster.js";
-import { Fleet } from "../src/core/fleet.js";
+import { Autoscaler } from "../src/core/autoscaler.js";
 import { type JobSpec, type Command, RANK, type TaskStatus, type Heartbeat } from "../src/core/records.js";
 import { Scheduler } from "../src/core/scheduler.js";
 import { termNumberOf, fencingTokenOf } from "../src/core/term.js";
@@ -101,7 +101,7 @@
   sick.step();
   for (let i = 0; i < 3; i++) sick.step();
   const aside = (scene: Scene): string[] =>
-    [...scene.s.cluster.machines.values()].filter((m) => m.setAside !== null).map((m) => m.id);
+    [...scene.s.cluster.machines.values()].filter((m) => m.cordonedAt !== null).map((m) => m.id);
   assert.deepEqual(aside(sick), ["n-1"]);
 
   const faulty = new Scene(EAST);
@@ -377,7 +377,7 @@
     if (i % 10 === 9) for (const id of ["n-1", "n-3", "n-4"]) scene.end(id, "done");
     scene.step();
   }
-  const aside = [...scene.s.cluster.machines.values()].filter((m) => m.slow).map((m) => m.id);
+  const aside = [...scene.s.cluster.machines.values()].filter((m) => m.cordonedAsSlow).map((m) => m.id);
   assert.deepEqual(aside, ["n-2"]);
   const on = (machine: string, op: Command["op"]): Command[] =>
     scene.sent.filter((x) => x.machine === machine && x.order.op === op).map((x) => x.order);
@@ -402,7 +402,7 @@
   for (const id of ["n-1", "n-2", "n-3"]) scene.end(id, "done");
   for (let i = 0; i < 40; i++) scene.step();
   assert.deepEqual(
-    [...scene.s.cluster.machines.values()].filter((m) => m.slow),
+    [...scene.s.cluster.machines.values()].filter((m) => m.cordonedAsSlow),
     [],
   );
   assert.equal(scene.ops("stop"), 0);
@@ -423,7 +423,7 @@
     timings: TIMINGS,
     teams: new Map(TEAMS.map((t) => [t.name, t])),
     fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
-    startGoals: new Map(),
+    startLatencyObjectives: new Map(),
   };
   const s = new Scheduler(options, alone, 10, instant(lostAt + 2000), zones);
   s.setTypes(TYPES);
@@ -474,7 +474,7 @@
     timings: TIMINGS,
     teams: new Map(TEAMS.map((t) => [t.name, t])),
     fleet: { reuse: 0.5, idleBoots: 100, warmFor: Duration.zero },
-    startGoals: new Map(),
+    startLatencyObjectives: new Map(),
   };
   const s = new Scheduler(options, term, 10, instant(0));
   s.setTypes(TYPES);
@@ -541,8 +541,8 @@
   );
   assert.equal(
     firstStarted((s) => {
-      s.waitingSeen(spec({ ...PIPELINE_END, awaits: ["req-000005"] }), instant(500));
-      s.waitingSeen(spec({ id: "req-000005", awaits: ["req-000002"], priority: "low" }), instant(500));
+      s.waitingSeen(spec({ ...PIPELINE_END, dependsOn: ["req-000005"] }), instant(500));
+      s.waitingSeen(spec({ id: "req-000005", dependsOn: ["req-000002"], priority: "low" }), instant(500));
     }),
     "req-000002",
   );
@@ -657,7 +657,7 @@
   for (const releasedFirst of [true, false]) {
     const { s } = new Scene(EAST);
     const job = (id: string) => s.cluster.jobs.get(id);
-    const stage = spec({ id: "req-000002", awaits: ["req-000001"], priority: "low" });
+    const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
     const due = Duration.seconds(300);
     s.jobSeen(spec({ id: "req-000001", priority: "low" }), 20, instant(0));
     s.waitingSeen(stage, instant(0));
@@ -666,7 +666,7 @@
     assert.deepEqual([...s.cluster.jobs.keys()], ["req-000001"]);
     assert.equal(job("req-000001")!.rank, RANK.high);
     // two later stages of 60 s at most
-    assert.equal(job("req-000001")!.due, 310_000 - 2 * 60_000);
+    assert.equal(job("req-000001")!.deadlineAt, 310_000 - 2 * 60_000);
 
     s.jobOver("req-000001");
     if (!releasedFirst) s.waitingOver(stage.id);
@@ -676,19 +676,19 @@
     s.waitingSeen(stage, instant(0));
     assert.deepEqual([...s.awaitingJobs], ["req-000009"]);
     assert.equal(job(stage.id)!.rank, RANK.high);
-    assert.equal(job(stage.id)!.due, 310_000 - 60_000);
-    assert.equal(job(stage.id)!.accepted, 0);
-    assert.equal(job(stage.id)!.seen, 50_000);
+    assert.equal(job(stage.id)!.deadlineAt, 310_000 - 60_000);
+    assert.equal(job(stage.id)!.acceptedAt, 0);
+    assert.equal(job(stage.id)!.releasedAt, 50_000);
     // the last one is cancelled
     s.waitingOver("req-000009");
     assert.equal(job(stage.id)!.rank, RANK.low);
-    assert.equal(job(stage.id)!.due, null);
+    assert.equal(job(stage.id)!.deadlineAt, null);
   }
 });
 
 test("room is kept for the stages of urgent pipelines that are likely to arrive, and for no other idle work", () => {
   const options = { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(45) };
-  const fleet = new Fleet(options);
+  const fleet = new Autoscaler(options);
   const job = addJob(newCluster(), spec({ priority: "low", tasks: 3 }), 20, instant(0), instant(100_000));
   fleet.arrived(job);
   const at = instant(110_000);
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -41,7 +41,7 @@
   assert.ok(question !== undefined);
   scene.step();
   assert.equal(facts(scene).fenced, true);
-  assert.ok(!scene.s.cluster.fencing.has(machine(scene, "n-2")));
+  assert.ok(!scene.s.cluster.awaitingFence.has(machine(scene, "n-2")));
 });
 
 test("a start without an answer stands against a handoff until it is settled", () => {
@@ -76,6 +76,6 @@
   const term = { token: 2, key: 10, leader: "a", members: [{ name: "a", incarnation: 1, zone: "east" }] };
   scene.s.renewTerm(term, instant(scene.now));
   assert.equal(facts(scene).fenced, false);
-  machine(scene, "n-3").releasing = instant(scene.now);
+  machine(scene, "n-3").releaseRequestedAt = instant(scene.now);
   assert.equal(facts(scene).machines, 2);
 });
--- a/test/specs.ts
+++ b/test/specs.ts
@@ -23,6 +23,6 @@
   checkpoint: Duration.zero,
   save: Duration.zero,
   deadline: null,
-  awaits: [],
+  dependsOn: [],
   ...more,
 });
