--- a/src/core/finish-store.ts
+++ b/src/core/finish-store.ts
@@ -3,7 +3,7 @@
  * leader has not heard yet. A finish is forgotten nowhere else before it is stored (S7).
  */
 import * as Duration from "effect/Duration";
-import type { StoredFinishes } from "./member-news.js";
+import type { StoredFinishes } from "./member-update.js";
 import { type Range, RangeSet, windows } from "./ranges.js";
 import { keys } from "./records.js";
 import { type Instant, hasElapsed, plus } from "./time.js";
--- a/src/core/member-news.ts
+++ b/src/core/member-update.ts
@@ -27,9 +27,9 @@
   readonly ranges: readonly Range[];
 }
 /** All of it, for one message. */
-export interface News {
-  readonly reports: readonly AgedHeartbeat[];
-  readonly seen: readonly WorkerContact[];
-  readonly stored: readonly StoredFinishes[];
-  readonly outcomes: readonly CommandResult[];
+export interface MemberUpdate {
+  readonly heartbeats: readonly AgedHeartbeat[];
+  readonly contacts: readonly WorkerContact[];
+  readonly storedFinishes: readonly StoredFinishes[];
+  readonly commandResults: readonly CommandResult[];
 }
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -143,8 +143,8 @@
   jobs: "job/",
   job: (id: string) => `job/${id}`,
   /** A job that waits for others. Earlier versions never list or read it: they would start it at once. */
-  waitings: "job-waiting/",
-  waiting: (id: string) => `job-waiting/${id}`,
+  blockedJobs: "job-waiting/",
+  blockedJob: (id: string) => `job-waiting/${id}`,
   fanins: "job-fanin/",
   fanin: (id: string) => `job-fanin/${id}`,
   commit: (id: string) => `commit/${id}`,
@@ -152,8 +152,8 @@
   rangesOf: (id: string, writer: string, chunk: number) => `ranges/${id}/${writer}/${chunk}`,
   machines: "machines/",
   machinesOf: (block: string) => `machines/${block}`,
-  newsAll: "news/",
-  news: (member: string, piece: number) => `news/${member}/${piece}`,
+  memberUpdates: "news/",
+  memberUpdate: (member: string, piece: number) => `news/${member}/${piece}`,
   rentals: "rental/",
   rental: (name: string) => `rental/${name}`,
 };
--- a/src/core/worker-partition.ts
+++ b/src/core/worker-partition.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import type { CommandOutcome } from "./decisions.js";
 import { FinishStore } from "./finish-store.js";
-import type { AgedHeartbeat, News, CommandResult, WorkerContact } from "./member-news.js";
+import type { AgedHeartbeat, MemberUpdate, CommandResult, WorkerContact } from "./member-update.js";
 import type { Command, TermRecord, Heartbeat } from "./records.js";
 import { type Instant, hasElapsed } from "./time.js";
 import { fencingTokenForAnswer, ownerOf } from "./term.js";
@@ -60,12 +60,12 @@
   ownerName: OwnerLookup = rendezvousLookup;
   private readonly workers = new Map<string, Worker>();
   /** Machines that were told of another member, of which, and when. */
-  private readonly sentAway = new Map<string, { readonly to: string; readonly at: Instant }>();
+  private readonly redirected = new Map<string, { readonly to: string; readonly at: Instant }>();
   /** Machines that can't reach the member that they belong to, and which that is. */
-  private readonly takenIn = new Map<string, string>();
+  private readonly adopted = new Map<string, string>();
   /** Workers whose report the leader has not heard; the same for when they were heard and answered. */
-  private readonly unsent = new Set<string>();
-  private readonly touched = new Set<string>();
+  private readonly unsentHeartbeats = new Set<string>();
+  private readonly unsentContacts = new Set<string>();
   /** Finished tasks, until their jobs are over. */
   readonly finishes: FinishStore;
   private outcomes: CommandResult[] = [];
@@ -86,13 +86,13 @@
     const same =
       this.term?.leaderRevision === term.leaderRevision && incarnation(this.term) === incarnation(term);
     this.term = term;
-    this.takenIn.clear();
-    this.sentAway.clear();
+    this.adopted.clear();
+    this.redirected.clear();
     if (same) return;
     this.outcomes = [];
     for (const [machine, w] of this.workers) {
-      this.touched.add(machine);
-      if (w.heartbeat !== null) this.unsent.add(machine);
+      this.unsentContacts.add(machine);
+      if (w.heartbeat !== null) this.unsentHeartbeats.add(machine);
     }
     this.finishes.tellAllAnew();
   }
@@ -119,20 +119,21 @@
     if (!term.members.some((m) => m.name === this.member && m.incarnation === incarnation))
       return { kind: "unsure" };
     const owner = this.ownerName(term, r.machine, r.zone);
-    if (owner !== null && owner !== this.member && this.takenIn.get(r.machine) !== owner) {
-      const away = this.sentAway.get(r.machine);
+    if (owner !== null && owner !== this.member && this.adopted.get(r.machine) !== owner) {
+      const away = this.redirected.get(r.machine);
       if (away?.to !== owner || hasElapsed(now, away.at, COMES_BACK_WITHIN)) {
-        this.sentAway.set(r.machine, { to: owner, at: now });
-        if (this.sentAway.size > MAX_SENT_AWAY) this.sentAway.delete(this.sentAway.keys().next().value!);
+        this.redirected.set(r.machine, { to: owner, at: now });
+        if (this.redirected.size > MAX_SENT_AWAY)
+          this.redirected.delete(this.redirected.keys().next().value!);
         return { kind: "elsewhere", member: owner };
       }
       // it came back: it can't reach the part's member, so it is taken in
-      this.takenIn.set(r.machine, owner);
+      this.adopted.set(r.machine, owner);
     }
     this.recordHeartbeat(r, now);
     // a late copy is answered as well, and the proof by time must reckon with that; it is no sign of life
     this.worker(r.machine).lastAnswerAt = now;
-    this.touched.add(r.machine);
+    this.unsentContacts.add(r.machine);
     // an outage may keep the leader's stop from a machine that is still answered: whoever answers it knows as well
     const stopCommands = r.tasks
       .filter((t) => t.state !== "exited" && isOver(t.job))
@@ -157,14 +158,14 @@
     )
       return;
     w.lastHeartbeatAt = now;
-    this.touched.add(r.machine);
+    this.unsentContacts.add(r.machine);
     if (last !== null && isUnchanged(last, r)) {
       // most reports say nothing new: what they are made of needn't outlive them
       w.heartbeat = { ...r, tasks: last.tasks };
       return;
     }
     w.heartbeat = r;
-    this.unsent.add(r.machine);
+    this.unsentHeartbeats.add(r.machine);
     for (const t of r.tasks)
       if (t.state === "exited" && t.exitReason === "done") this.finishes.finished(t.job, t.index, now);
   }
@@ -175,8 +176,8 @@
       const last = Math.max(w.lastAnswerAt ?? 0, w.lastHeartbeatAt ?? 0) as Instant;
       if (!hasElapsed(now, last, after)) continue;
       this.workers.delete(machine);
-      this.unsent.delete(machine);
-      this.touched.delete(machine);
+      this.unsentHeartbeats.delete(machine);
+      this.unsentContacts.delete(machine);
     }
   }
 
@@ -194,9 +195,9 @@
   private takeHeartbeats(now: Instant, most: number): AgedHeartbeat[] {
     const heartbeats: AgedHeartbeat[] = [];
     let room = TASKS_IN_NEWS;
-    for (const machine of this.unsent) {
+    for (const machine of this.unsentHeartbeats) {
       if (heartbeats.length >= most || room <= 0) break;
-      this.unsent.delete(machine);
+      this.unsentHeartbeats.delete(machine);
       const { heartbeat, lastHeartbeatAt } = this.worker(machine);
       if (heartbeat === null) continue;
       heartbeats.push({ heartbeat, ageMs: Math.max(0, now - (lastHeartbeatAt ?? now)) });
@@ -206,39 +207,39 @@
   }
 
   /** What the leader has not heard yet, at most so much. What isn't delivered is put back with `putBack`. */
-  news(now: Instant, mostReports = Infinity): News {
+  takeUpdate(now: Instant, mostReports = Infinity): MemberUpdate {
     const most = mostReports * A_REPORT;
     const heartbeats = this.takeHeartbeats(now, mostReports);
     const age = (at: Instant | null): number => (at === null ? -1 : Math.max(0, now - at));
-    const seen: WorkerContact[] = [];
-    for (const machine of this.touched) {
-      if (seen.length >= most) break;
-      this.touched.delete(machine);
+    const contacts: WorkerContact[] = [];
+    for (const machine of this.unsentContacts) {
+      if (contacts.length >= most) break;
+      this.unsentContacts.delete(machine);
       const w = this.workers.get(machine);
       if (w !== undefined)
-        seen.push({ machine, answerAgeMs: age(w.lastAnswerAt), heartbeatAgeMs: age(w.lastHeartbeatAt) });
+        contacts.push({ machine, answerAgeMs: age(w.lastAnswerAt), heartbeatAgeMs: age(w.lastHeartbeatAt) });
     }
-    const stored = this.finishes.takeUntold(most);
-    const outcomes = this.outcomes.slice(0, most);
-    this.outcomes = this.outcomes.slice(outcomes.length);
-    return { reports: heartbeats, seen, stored, outcomes };
+    const storedFinishes = this.finishes.takeUntold(most);
+    const commandResults = this.outcomes.slice(0, most);
+    this.outcomes = this.outcomes.slice(commandResults.length);
+    return { heartbeats, contacts, storedFinishes, commandResults };
   }
 
   /** Whether the last news named every worker answered before; only then may the member vouch for the others. */
-  namedAll(): boolean {
-    return this.touched.size === 0;
+  isUpdateComplete(): boolean {
+    return this.unsentContacts.size === 0;
   }
 
-  putBack(news: News): void {
-    for (const { heartbeat } of news.reports)
-      if (this.workers.has(heartbeat.machine)) this.unsent.add(heartbeat.machine);
-    for (const { machine } of news.seen) if (this.workers.has(machine)) this.touched.add(machine);
-    this.finishes.putBack(news.stored);
-    this.outcomes = [...news.outcomes, ...this.outcomes];
+  putBack(news: MemberUpdate): void {
+    for (const { heartbeat } of news.heartbeats)
+      if (this.workers.has(heartbeat.machine)) this.unsentHeartbeats.add(heartbeat.machine);
+    for (const { machine } of news.contacts) if (this.workers.has(machine)) this.unsentContacts.add(machine);
+    this.finishes.putBack(news.storedFinishes);
+    this.outcomes = [...news.commandResults, ...this.outcomes];
   }
 
   /** Whether there is something that the leader waits for; signs of life alone can wait. */
-  hasNews(): boolean {
-    return this.unsent.size > 0 || this.finishes.hasUntold || this.outcomes.length > 0;
+  hasUpdate(): boolean {
+    return this.unsentHeartbeats.size > 0 || this.finishes.hasUntold || this.outcomes.length > 0;
   }
 }
--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -1,7 +1,7 @@
 /** What controllers say to one another, in Avro. */
 import avro from "avsc";
 import type { Command, TermRecord } from "../core/records.js";
-import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/member-news.js";
+import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/member-update.js";
 import type { Range } from "../core/ranges.js";
 
 /** A field of a record: its Avro name, which other versions know, and the name of the property that holds it here. */
@@ -64,35 +64,35 @@
 });
 
 /** A member's news for the leader: what changed since its last one. */
-export interface Sync {
-  readonly token: number;
+export interface SyncRequest {
+  readonly termNumber: number;
   readonly member: string;
   readonly incarnation: number;
   /** The leader's own clock, as it was in the last answer that this member got from it; -1: none yet. */
-  readonly mark: number;
+  readonly leaderClockMark: number;
   /** The version of the jobs' progress in that answer; -1: none yet. */
-  readonly version: number;
-  readonly stateOk: boolean;
-  readonly seen: readonly WorkerContact[];
-  readonly reports: readonly AgedHeartbeat[];
-  readonly stored: readonly { job: string; ranges: readonly Range[] }[];
-  readonly outcomes: readonly CommandResult[];
+  readonly progressVersion: number;
+  readonly reachesStateService: boolean;
+  readonly contacts: readonly WorkerContact[];
+  readonly heartbeats: readonly AgedHeartbeat[];
+  readonly storedFinishes: readonly { job: string; ranges: readonly Range[] }[];
+  readonly commandResults: readonly CommandResult[];
 }
-export interface Progress {
+export interface JobProgress {
   readonly job: string;
   readonly done: number;
   readonly running: number;
   /** Its commit record says done. */
   readonly over: boolean;
 }
-export interface SyncAnswer {
-  readonly token: number;
+export interface SyncResponse {
+  readonly termNumber: number;
   /** false: this node doesn't lead that term, or isn't ready yet. */
-  readonly ok: boolean;
-  readonly mark: number;
-  readonly version: number;
-  readonly stateOk: boolean;
-  readonly progress: readonly Progress[];
+  readonly accepted: boolean;
+  readonly leaderClockMark: number;
+  readonly progressVersion: number;
+  readonly reachesStateService: boolean;
+  readonly progress: readonly JobProgress[];
 }
 /** Commands of the leader for many machines, to be delivered by a member; their outcomes come with its next news. */
 export interface CommandBatch {
@@ -147,40 +147,46 @@
   };
 };
 
-export const syncCodec = codec<Sync>(
+export const syncRequestCodec = codec<SyncRequest>(
   record("Sync", {
-    token: "long",
+    token: as("termNumber", "long"),
     member: "string",
     incarnation: "long",
-    mark: "double",
-    version: "long",
-    stateOk: "boolean",
-    seen: array(
-      record("Seen", {
-        machine: "string",
-        answeredMs: as("answerAgeMs", "double"),
-        heardMs: as("heartbeatAgeMs", "double"),
-      }),
+    mark: as("leaderClockMark", "double"),
+    version: as("progressVersion", "long"),
+    stateOk: as("reachesStateService", "boolean"),
+    seen: as(
+      "contacts",
+      array(
+        record("Seen", {
+          machine: "string",
+          answeredMs: as("answerAgeMs", "double"),
+          heardMs: as("heartbeatAgeMs", "double"),
+        }),
+      ),
     ),
-    reports: array(record("Aged", { report: as("heartbeat", heartbeat), ageMs: "double" })),
-    stored: array(record("Stored", { job: "string", ranges: array(array("int")) })),
-    outcomes: array(
-      record("Outcome", {
-        id: "long",
-        outcome: "string",
-        session: as("workerEpoch", "long"),
-        seq: as("sequence", "long"),
-      }),
+    reports: as("heartbeats", array(record("Aged", { report: as("heartbeat", heartbeat), ageMs: "double" }))),
+    stored: as("storedFinishes", array(record("Stored", { job: "string", ranges: array(array("int")) }))),
+    outcomes: as(
+      "commandResults",
+      array(
+        record("Outcome", {
+          id: "long",
+          outcome: "string",
+          session: as("workerEpoch", "long"),
+          seq: as("sequence", "long"),
+        }),
+      ),
     ),
   }),
 );
-export const syncAnswerCodec = codec<SyncAnswer>(
+export const syncResponseCodec = codec<SyncResponse>(
   record("SyncAnswer", {
-    token: "long",
-    ok: "boolean",
-    mark: "double",
-    version: "long",
-    stateOk: "boolean",
+    token: as("termNumber", "long"),
+    ok: as("accepted", "boolean"),
+    mark: as("leaderClockMark", "double"),
+    version: as("progressVersion", "long"),
+    stateOk: as("reachesStateService", "boolean"),
     progress: array(record("Progress", { job: "string", done: "int", running: "int", over: "boolean" })),
   }),
 );
@@ -210,13 +216,17 @@
 export const deliveryReceiptCodec = codec<DeliveryReceipt>(record("Delivered", { accepted: "boolean" }));
 
 /** A node whose renewals fail asks the others whether its term is current. */
-export interface Word {
-  readonly token: number;
+export interface TermConfirmationRequest {
+  readonly termNumber: number;
 }
-export interface WordAnswer {
-  readonly noneNewer: boolean;
+export interface TermConfirmation {
+  readonly knowsNoNewerTerm: boolean;
 }
-export const wordCodec = codec<Word>(record("Word", { token: "long" }));
-export const wordAnswerCodec = codec<WordAnswer>(record("WordAnswer", { noneNewer: "boolean" }));
+export const termConfirmationRequestCodec = codec<TermConfirmationRequest>(
+  record("Word", { token: as("termNumber", "long") }),
+);
+export const termConfirmationCodec = codec<TermConfirmation>(
+  record("WordAnswer", { noneNewer: as("knowsNoNewerTerm", "boolean") }),
+);
 
-export const peerPaths = { sync: "/sync", deliver: "/deliver", word: "/word" } as const;
+export const peerPaths = { sync: "/sync", deliver: "/deliver", confirmTerm: "/word" } as const;
--- a/src/service/front.ts
+++ b/src/service/front.ts
@@ -104,7 +104,7 @@
     if (a.status === 503) {
       headers["retry-after"] = String(RETRY_AFTER_S);
       // a new connection may lead to a node that reaches the state service
-      if (!this.member.stateOk()) headers["connection"] = "close";
+      if (!this.member.reachesStateService()) headers["connection"] = "close";
     }
     if (this.connections > this.options.connections * CROWDED) headers["connection"] = "close";
     response.writeHead(a.status, headers).end(a.body);
@@ -214,7 +214,7 @@
   }
 
   private isNew(id: string): Condition[] {
-    return [keys.commit(id), keys.job(id), keys.waiting(id)].map((key) => ({ key, revision: 0 }));
+    return [keys.commit(id), keys.job(id), keys.blockedJob(id)].map((key) => ({ key, revision: 0 }));
   }
 
   private accepted(wire: WireJob): void {
@@ -273,7 +273,7 @@
           : open.length === 0
             ? [{ put: keys.job(id), value: released }]
             : [
-                { put: keys.waiting(id), value: record },
+                { put: keys.blockedJob(id), value: record },
                 { put: keys.fanin(id), value: fanin },
               ];
         const result = yield* commitForUser(this.state, when, apply);
@@ -289,7 +289,7 @@
           if (open.length === 0) this.mirror.put(keys.job(id), released, result.revision);
           else {
             this.mirror.putFanin(id, fanin, result.revision);
-            this.mirror.putWaiting(keys.waiting(id), record, result.revision);
+            this.mirror.putWaiting(keys.blockedJob(id), record, result.revision);
           }
           return answer(201, jobAnswer(id, "queued"));
         }
@@ -323,13 +323,14 @@
         if (job !== undefined) return open(keys.job(id), job.revision);
         const waiting = this.mirror.waiting.get(id);
         const before = waiting === undefined ? null : this.status.commitsBefore(id);
-        if (waiting !== undefined && before !== null) return open(keys.waiting(id), waiting.revision, before);
+        if (waiting !== undefined && before !== null)
+          return open(keys.blockedJob(id), waiting.revision, before);
       }
       const standing = yield* this.status.read(id);
       if (standing.kind === "absent") return null;
       if (standing.kind === "final") return { state: standing.commit.outcome } as Parent;
       return standing.waiting
-        ? open(keys.waiting(id), standing.revision, this.status.commitsBefore(id) ?? [])
+        ? open(keys.blockedJob(id), standing.revision, this.status.commitsBefore(id) ?? [])
         : open(keys.job(id), standing.revision);
     });
   }
@@ -375,11 +376,11 @@
           this.state,
           [
             { key: keys.commit(id), revision: 0 },
-            { key: standing.waiting ? keys.waiting(id) : keys.job(id), revision: standing.revision },
+            { key: standing.waiting ? keys.blockedJob(id) : keys.job(id), revision: standing.revision },
           ],
           [
             { put: keys.commit(id), value: commit },
-            { delete: standing.waiting ? keys.waiting(id) : keys.job(id) },
+            { delete: standing.waiting ? keys.blockedJob(id) : keys.job(id) },
             ...(standing.waiting || this.mirror.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
           ],
         );
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -93,7 +93,7 @@
 
   /** A waiting job's record that was read. */
   putWaiting(key: string, value: unknown, revision: number): BlockedJob | CachedJob | "over" | "malformed" {
-    const id = key.slice(keys.waitings.length);
+    const id = key.slice(keys.blockedJobs.length);
     const known = this.waiting.get(id) ?? this.jobs.get(id);
     if (known !== undefined) return known;
     if (this.over.has(id)) return "over";
@@ -140,15 +140,15 @@
   /** A row of whatever concerns unfinished jobs. */
   private putRow({ key, value, revision }: Row): void {
     if (key.startsWith(keys.jobs)) this.put(key, value, revision);
-    else if (key.startsWith(keys.waitings)) this.putWaiting(key, value, revision);
+    else if (key.startsWith(keys.blockedJobs)) this.putWaiting(key, value, revision);
     else if (key.startsWith(keys.fanins)) this.putFanin(key.slice(keys.fanins.length), value, revision);
   }
 
   private removeRow(key: string): void {
     if (key.startsWith(keys.jobs)) this.remove(key.slice(keys.jobs.length));
     else if (key.startsWith(keys.fanins)) this.fanins.delete(key.slice(keys.fanins.length));
-    else if (key.startsWith(keys.waitings)) {
-      const id = key.slice(keys.waitings.length);
+    else if (key.startsWith(keys.blockedJobs)) {
+      const id = key.slice(keys.blockedJobs.length);
       // a release writes the job's record in the same change; without one the job was cancelled
       if (this.waiting.has(id)) this.remove(id);
     }
@@ -162,7 +162,7 @@
     for (const [id, job] of [...this.jobs])
       if (!present.has(keys.job(id)) && job.revision <= list.revision) this.remove(id);
     for (const [id, job] of [...this.waiting])
-      if (!present.has(keys.waiting(id)) && job.revision <= list.revision) this.remove(id);
+      if (!present.has(keys.blockedJob(id)) && job.revision <= list.revision) this.remove(id);
     for (const [id, set] of [...this.fanins])
       if (!present.has(keys.fanin(id)) && set.revision <= list.revision) this.fanins.delete(id);
     this.ready = true;
--- a/src/service/job-releaser.ts
+++ b/src/service/job-releaser.ts
@@ -154,12 +154,14 @@
       const result = yield* this.state.commit(
         [
           { key: keys.fanin(id), revision: set.revision },
-          { key: keys.waiting(id), revision },
+          { key: keys.blockedJob(id), revision },
           { key: keys.commit(id), revision: 0 },
         ],
         [
           { put: keys.fanin(id), value: fanin },
-          ...(fanin.released ? [{ put: keys.job(id), value: released }, { delete: keys.waiting(id) }] : []),
+          ...(fanin.released
+            ? [{ put: keys.job(id), value: released }, { delete: keys.blockedJob(id) }]
+            : []),
         ],
         "first",
         LEADER_WRITE_TIMEOUT,
--- a/src/service/leader.ts
+++ b/src/service/leader.ts
@@ -27,11 +27,11 @@
 import type { CloudClient } from "../io/cloud-client.js";
 import type { Change, WireType } from "../io/codec.js";
 import type { Log } from "../io/log.js";
-import type { CommandBatch, Progress, Sync, SyncAnswer } from "../io/peer-codec.js";
+import type { CommandBatch, JobProgress, SyncRequest, SyncResponse } from "../io/peer-codec.js";
 import type { StateClient } from "../io/state-client.js";
 import { MachineRecordStore, opsOf } from "./machine-record-store.js";
 import { Locked } from "./locked.js";
-import { collect } from "./mailbox.js";
+import { receiveUpdates } from "./update-relay.js";
 import type { Member } from "./member.js";
 import type { Leadership, Membership } from "./membership.js";
 import type { JobCache, CachedJob, BlockedJob } from "./job-cache.js";
@@ -183,57 +183,57 @@
   }
 
   /** A member's news; also asked by this node's own part. */
-  readonly sync = (m: Sync): SyncAnswer => {
-    this.members.set(m.member, { at: now(), ok: m.stateOk });
+  readonly sync = (m: SyncRequest): SyncResponse => {
+    this.members.set(m.member, { at: now(), ok: m.reachesStateService });
     const term = this.membership.term;
     const scheduler = this.guarded;
     const base = {
-      token: term?.number ?? 0,
-      mark: now(),
-      version: this.progress.version,
-      stateOk: this.member.stateOk(),
+      termNumber: term?.number ?? 0,
+      leaderClockMark: now(),
+      progressVersion: this.progress.version,
+      reachesStateService: this.member.reachesStateService(),
     };
     const member = term?.members.some((x) => x.name === m.member && x.incarnation === m.incarnation);
     if (
       scheduler === null ||
       member !== true ||
-      m.token !== term?.number ||
+      m.termNumber !== term?.number ||
       !this.membership.isActingLeader()
     ) {
-      this.membership.observeTerm(m.token);
-      return { ...base, ok: false, progress: [] };
+      this.membership.observeTerm(m.termNumber);
+      return { ...base, accepted: false, progress: [] };
     }
     const at = now();
     return scheduler.with((s) => {
-      for (const { heartbeat: r, ageMs } of m.reports) {
+      for (const { heartbeat: r, ageMs } of m.heartbeats) {
         s.heartbeatReceived(r, m.member, at, minus(at, Duration.millis(ageMs)));
         if (this.log.isLevelEnabled("debug"))
           this.log.debug({ machine: r.machine, tasks: describe(r) }, "heartbeat");
       }
-      for (const { job, ranges } of m.stored) s.stored(job, ranges);
+      for (const { job, ranges } of m.storedFinishes) s.stored(job, ranges);
       const answered = [];
-      for (const { machine, answerAgeMs, heartbeatAgeMs } of m.seen) {
+      for (const { machine, answerAgeMs, heartbeatAgeMs } of m.contacts) {
         if (heartbeatAgeMs >= 0) s.contactReported(machine, minus(at, Duration.millis(heartbeatAgeMs)));
         if (answerAgeMs >= 0) answered.push({ machine, at: minus(at, Duration.millis(answerAgeMs)) });
       }
       s.leasesAcknowledged(
         m.member,
         m.incarnation,
-        m.token,
-        m.mark < 0 ? null : instant(m.mark),
+        m.termNumber,
+        m.leaderClockMark < 0 ? null : instant(m.leaderClockMark),
         answered,
         at,
       );
-      for (const x of m.outcomes)
+      for (const x of m.commandResults)
         this.answered(s, x.id, x.outcome, { workerEpoch: x.workerEpoch, sequence: x.sequence });
-      if (m.reports.length + m.stored.length + m.outcomes.length > 0) this.stepNow.poke();
-      return { ...base, ok: true, progress: this.progressSince(s, m.version) };
+      if (m.heartbeats.length + m.storedFinishes.length + m.commandResults.length > 0) this.stepNow.poke();
+      return { ...base, ok: true, progress: this.progressSince(s, m.progressVersion) };
     });
   };
 
-  private progressSince(s: Scheduler, version: number): Progress[] {
+  private progressSince(s: Scheduler, version: number): JobProgress[] {
     const changed = this.progress.since(version);
-    const out: Progress[] = [];
+    const out: JobProgress[] = [];
     for (const id of changed ?? s.cluster.jobs.keys()) {
       const job = s.cluster.jobs.get(id);
       const tasks = this.ended.get(id);
@@ -251,7 +251,7 @@
   aloneWithoutState(): boolean {
     const since = this.state.failingSince;
     if (since === null) return false;
-    const words = [...this.members, ...this.member.others];
+    const words = [...this.members, ...this.member.peerStatus];
     return words.some(
       ([name, x]) => name !== this.options.me && x.ok && hasElapsed(x.at, since, NOTICED_WITHIN),
     );
@@ -327,7 +327,7 @@
     yield* this.fork(this.recordLoop(leadership));
     yield* this.fork(this.sweepLoop);
     yield* this.fork(this.releases.run);
-    yield* this.fork(collect(this.state, this.log, this.sync));
+    yield* this.fork(receiveUpdates(this.state, this.log, this.sync));
     yield* this.fork(this.summaryLoop);
   });
 
--- a/src/service/member.ts
+++ b/src/service/member.ts
@@ -10,10 +10,16 @@
 import { now } from "../io/clock.js";
 import type { Change, Condition } from "../io/codec.js";
 import type { Log } from "../io/log.js";
-import type { CommandDelivery, DeliveryReceipt, CommandBatch, Sync, SyncAnswer } from "../io/peer-codec.js";
+import type {
+  CommandDelivery,
+  DeliveryReceipt,
+  CommandBatch,
+  SyncRequest,
+  SyncResponse,
+} from "../io/peer-codec.js";
 import type { StateClient } from "../io/state-client.js";
 import type { WorkerClient } from "../io/worker-client.js";
-import { type PieceLimits, pieceLimits, post } from "./mailbox.js";
+import { type FragmentLimits, fragmentLimits, relayUpdate } from "./update-relay.js";
 import type { Membership } from "./membership.js";
 import type { Peers } from "./peers.js";
 import { RejectionBackoff } from "./rejection-backoff.js";
@@ -46,25 +52,25 @@
 }
 
 export class Member {
-  readonly part: WorkerPartition;
+  readonly partition: WorkerPartition;
   private readonly syncNow = new Signal();
-  private mark = -1;
-  private version = -1;
-  private markToken = 0;
+  private leaderClockMark = -1;
+  private progressVersion = -1;
+  private markTerm = 0;
   private reachedLeader: Instant = now();
-  private posted: Instant | null = null;
+  private lastRelayedAt: Instant | null = null;
   private pruned: Instant = now();
-  private readonly pieces: PieceLimits;
+  private readonly fragmentLimits: FragmentLimits;
   private readonly refusals: RejectionBackoff;
   /** How much goes into one post and one transaction of finishes: less once that was too large. */
-  private postReports = POST_REPORTS;
-  private postPause = POST_EVERY;
+  private relayedHeartbeats = POST_REPORTS;
+  private relayPause = POST_EVERY;
   private storePuts: number;
   /** Whether the other nodes reach the state service, by their own word: node -> (when said, reaches it). */
-  readonly others = new Map<string, { at: Instant; ok: boolean }>();
+  readonly peerStatus = new Map<string, { at: Instant; ok: boolean }>();
   readonly progress = new Map<string, { done: number; running: number }>();
   /** Set when this node leads: the leader is then told without a message. */
-  localLeader: ((sync: Sync) => SyncAnswer) | null = null;
+  localLeader: ((sync: SyncRequest) => SyncResponse) | null = null;
   /** The leader's word that a job is done, its commit record being there. */
   onDone: (job: string, tasks: number) => void = () => undefined;
   /** Whether a job is known to have its commit. */
@@ -81,20 +87,20 @@
     private readonly log: Log,
   ) {
     const { valueKb, txnOps } = options;
-    this.part = new WorkerPartition(options.me, rangesBytes(valueKb, txnOps), STORE_GATHER);
-    this.pieces = pieceLimits(valueKb, txnOps);
+    this.partition = new WorkerPartition(options.me, rangesBytes(valueKb, txnOps), STORE_GATHER);
+    this.fragmentLimits = fragmentLimits(valueKb, txnOps);
     this.storePuts = txnOps;
     this.refusals = new RejectionBackoff(log);
   }
 
   /** Whether this node reaches the state service. */
-  stateOk(): boolean {
+  reachesStateService(): boolean {
     return this.state.failingSince === null;
   }
 
   handleHeartbeat(r: Heartbeat): HeartbeatAnswer {
     const { incarnation } = this.membership;
-    const answer = this.part.handleHeartbeat(
+    const answer = this.partition.handleHeartbeat(
       r,
       this.membership.mayAnswerWorkers(),
       incarnation,
@@ -106,7 +112,7 @@
   }
 
   private wake(): void {
-    if (this.part.hasNews()) this.syncNow.poke();
+    if (this.partition.hasUpdate()) this.syncNow.poke();
   }
 
   readonly termChanged = (): void => this.syncNow.poke();
@@ -141,27 +147,27 @@
         : Effect.succeed({ outcome: "barred" as const, report: null }),
     );
     return Effect.map(send, ({ outcome, report: heartbeat }) => {
-      this.part.commandsAnswered(d.id, outcome, heartbeat, now());
+      this.partition.commandsAnswered(d.id, outcome, heartbeat, now());
       this.wake();
     });
   }
 
-  private news(): Sync {
-    const token = this.membership.term!.number;
-    if (this.markToken !== token) {
-      this.mark = -1;
-      this.version = -1;
-      this.markToken = token;
+  private nextUpdate(): SyncRequest {
+    const termNumber = this.membership.term!.number;
+    if (this.markTerm !== termNumber) {
+      this.leaderClockMark = -1;
+      this.progressVersion = -1;
+      this.markTerm = termNumber;
     }
-    const news = this.part.news(now(), this.leaderIsCut() ? this.postReports : Infinity);
+    const news = this.partition.takeUpdate(now(), this.leaderIsCut() ? this.relayedHeartbeats : Infinity);
     return {
-      token,
+      termNumber,
       member: this.options.me,
       incarnation: this.membership.incarnation,
       // the proof by time: a word on some workers says nothing of the others
-      mark: this.part.namedAll() ? this.mark : -1,
-      version: this.version,
-      stateOk: this.stateOk(),
+      leaderClockMark: this.partition.isUpdateComplete() ? this.leaderClockMark : -1,
+      progressVersion: this.progressVersion,
+      reachesStateService: this.reachesStateService(),
       ...news,
     };
   }
@@ -173,54 +179,58 @@
   private readonly syncOnce = Effect.gen(this, function* () {
     const term = this.membership.term;
     if (term === null) return;
-    const sync = this.news();
+    const sync = this.nextUpdate();
     const answer =
       term.leader === this.options.me
         ? (this.localLeader?.(sync) ?? null)
         : yield* this.peers.sync(term.leader, sync).pipe(Effect.orElseSucceed(() => null));
-    if (answer?.ok === true) {
+    if (answer?.accepted === true) {
       this.reachedLeader = now();
-      this.told(term.leader, answer);
+      this.applyResponse(term.leader, answer);
       // what didn't fit into this message
       this.wake();
       return;
     }
     if (answer !== null) {
       this.reachedLeader = now();
-      this.membership.observeTerm(answer.token);
+      this.membership.observeTerm(answer.termNumber);
     }
-    if (!(answer === null && term.leader !== this.options.me && (yield* this.post(sync))))
-      this.part.putBack(sync);
+    if (!(answer === null && term.leader !== this.options.me && (yield* this.relayThroughStore(sync))))
+      this.partition.putBack(sync);
     yield* Effect.sleep(Duration.millis(100));
   });
 
   /** The leader can't be reached: its news are left in the state service. */
-  private post(sync: Sync): Effect.Effect<boolean> {
+  private relayThroughStore(sync: SyncRequest): Effect.Effect<boolean> {
     const { leaseId } = this.membership;
     if (!this.leaderIsCut() || leaseId === null || !this.membership.mayAct()) return Effect.succeed(false);
-    if (this.posted !== null && !hasElapsed(now(), this.posted, this.postPause)) return Effect.succeed(false);
-    this.posted = now();
-    return Effect.map(post(this.state, this.options.me, leaseId, sync, this.pieces), (posted) => {
-      const refused = typeof posted === "object";
-      this.postReports =
-        refused || posted === "too large"
-          ? Math.max(1, Math.floor(this.postReports / 2))
-          : Math.min(POST_REPORTS, this.postReports + 1);
-      this.postPause = refused
-        ? Duration.max(POST_EVERY, this.refusals.refused("news", posted.refused))
-        : POST_EVERY;
-      if (posted === "posted") this.refusals.accepted("news");
-      this.log.info({ posted, reports: sync.reports.length }, "news left for the leader");
-      return posted === "posted";
-    });
+    if (this.lastRelayedAt !== null && !hasElapsed(now(), this.lastRelayedAt, this.relayPause))
+      return Effect.succeed(false);
+    this.lastRelayedAt = now();
+    return Effect.map(
+      relayUpdate(this.state, this.options.me, leaseId, sync, this.fragmentLimits),
+      (posted) => {
+        const refused = typeof posted === "object";
+        this.relayedHeartbeats =
+          refused || posted === "too large"
+            ? Math.max(1, Math.floor(this.relayedHeartbeats / 2))
+            : Math.min(POST_REPORTS, this.relayedHeartbeats + 1);
+        this.relayPause = refused
+          ? Duration.max(POST_EVERY, this.refusals.refused("news", posted.refused))
+          : POST_EVERY;
+        if (posted === "posted") this.refusals.accepted("news");
+        this.log.info({ posted, reports: sync.heartbeats.length }, "news left for the leader");
+        return posted === "posted";
+      },
+    );
   }
 
-  private told(leader: string, answer: SyncAnswer): void {
-    if (this.markToken === answer.token) {
-      this.mark = answer.mark;
-      this.version = answer.version;
+  private applyResponse(leader: string, answer: SyncResponse): void {
+    if (this.markTerm === answer.termNumber) {
+      this.leaderClockMark = answer.leaderClockMark;
+      this.progressVersion = answer.progressVersion;
     }
-    this.others.set(leader, { at: now(), ok: answer.stateOk });
+    this.peerStatus.set(leader, { at: now(), ok: answer.reachesStateService });
     for (const { job, done, running, over } of answer.progress) {
       if (over) this.onDone(job, done);
       else if (this.isOpen(job)) this.progress.set(job, { done, running });
@@ -228,7 +238,7 @@
   }
 
   jobOver(job: string): void {
-    this.part.finishes.jobOver(job);
+    this.partition.finishes.jobOver(job);
     this.progress.delete(job);
   }
 
@@ -238,7 +248,7 @@
     yield* this.syncOnce;
     if (!hasElapsed(now(), this.pruned, PRUNE_EVERY)) return;
     this.pruned = now();
-    this.part.prune(now(), this.options.keepFor);
+    this.partition.prune(now(), this.options.keepFor);
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.sync(() => this.log.error({ cause: cause.toString() }, "sync failed")),
@@ -272,7 +282,11 @@
       for (const w of writings) {
         const over = result.ok === false && result.failed.includes(keys.commit(w.job));
         const failed = refused && alone ? "refused" : "failed";
-        this.part.finishes.storeAnswered(w, result.ok === true ? "stored" : over ? "over" : failed, now());
+        this.partition.finishes.storeAnswered(
+          w,
+          result.ok === true ? "stored" : over ? "over" : failed,
+          now(),
+        );
       }
       this.wake();
       return result.ok === true || (result.ok === false && result.failed.length > 0);
@@ -284,7 +298,7 @@
     let answered = true;
     while (answered && this.membership.leaseId !== null) {
       const writer = `${this.options.me}.${this.membership.incarnation}`;
-      const writings = this.part.finishes.toStore(writer, this.storePuts, now(), this.isOpen);
+      const writings = this.partition.finishes.toStore(writer, this.storePuts, now(), this.isOpen);
       if (writings.length === 0) break;
       answered = yield* this.write(writings);
     }
--- a/src/service/node.ts
+++ b/src/service/node.ts
@@ -59,7 +59,7 @@
       state,
       log,
       settings.peers.map((p) => p.member),
-      (other, token) => peers.word(other, token),
+      (other, token) => peers.confirmTerm(other, token),
       () => mirror.read,
       shardSettings.enabled ? shardExtension(settings.member, state) : undefined,
     );
@@ -98,7 +98,7 @@
           log,
         )
       : null;
-    if (shards !== null) member.part.ownerName = shards.ownerLookup(member.part.ownerName);
+    if (shards !== null) member.partition.ownerName = shards.ownerLookup(member.partition.ownerName);
     const status = new Status(state, mirror, settings.stateLimits.txnOps * 4, log);
     const releases = new JobReleaser(state, mirror, status, log);
     const leader = new Leader(
@@ -131,7 +131,7 @@
     mirror.leading = () => membership.leadership !== null;
     membership.onTerm = (term) => {
       shards?.view.setTerm(term, membership.termRevision);
-      member.part.setTerm(term);
+      member.partition.setTerm(term);
       leader.termChanged(term);
       member.termChanged();
     };
@@ -160,7 +160,7 @@
     yield* servePeers(settings.peerBind, {
       sync: leader.sync,
       deliver: (d) => member.deliver(d),
-      word: (w) => ({ noneNewer: membership.knowsNoNewerTerm(w.token) }),
+      confirmTerm: (w) => ({ knowsNoNewerTerm: membership.knowsNoNewerTerm(w.termNumber) }),
       shards: shards?.handlers ?? null,
     });
     const { operatorsSocket } = settings.operator;
--- a/src/service/peers.ts
+++ b/src/service/peers.ts
@@ -10,14 +10,14 @@
   type DeliveryReceipt,
   deliveryReceiptCodec,
   peerPaths,
-  type Sync,
-  type SyncAnswer,
-  syncAnswerCodec,
-  syncCodec,
-  type Word,
-  type WordAnswer,
-  wordAnswerCodec,
-  wordCodec,
+  type SyncRequest,
+  type SyncResponse,
+  syncResponseCodec,
+  syncRequestCodec,
+  type TermConfirmationRequest,
+  type TermConfirmation,
+  termConfirmationCodec,
+  termConfirmationRequestCodec,
 } from "../io/peer-codec.js";
 import { listen, readBody } from "../io/server.js";
 import {
@@ -60,14 +60,28 @@
     ).pipe(Effect.map((reply) => (reply.status === 200 ? answer.decode(reply.body) : null)));
   }
 
-  sync(member: string, value: Sync): Effect.Effect<SyncAnswer | null, CallFailed> {
-    return this.ask(member, peerPaths.sync, syncCodec, syncAnswerCodec, value, Duration.seconds(1.5));
+  sync(member: string, value: SyncRequest): Effect.Effect<SyncResponse | null, CallFailed> {
+    return this.ask(
+      member,
+      peerPaths.sync,
+      syncRequestCodec,
+      syncResponseCodec,
+      value,
+      Duration.seconds(1.5),
+    );
   }
 
   /** false also when there is no answer. */
-  word(member: string, token: number): Effect.Effect<boolean> {
-    return this.ask(member, peerPaths.word, wordCodec, wordAnswerCodec, { token }, Duration.seconds(1)).pipe(
-      Effect.map((answer) => answer?.noneNewer ?? false),
+  confirmTerm(member: string, termNumber: number): Effect.Effect<boolean> {
+    return this.ask(
+      member,
+      peerPaths.confirmTerm,
+      termConfirmationRequestCodec,
+      termConfirmationCodec,
+      { termNumber },
+      Duration.seconds(1),
+    ).pipe(
+      Effect.map((answer) => answer?.knowsNoNewerTerm ?? false),
       Effect.orElseSucceed(() => false),
     );
   }
@@ -98,9 +112,9 @@
 }
 
 export interface PeerHandlers {
-  sync(value: Sync): SyncAnswer;
+  sync(value: SyncRequest): SyncResponse;
   deliver(value: CommandDelivery): Effect.Effect<DeliveryReceipt>;
-  word(value: Word): WordAnswer;
+  confirmTerm(value: TermConfirmationRequest): TermConfirmation;
   /** null: shards aren't known here. */
   readonly shards: ShardHandlers | null;
 }
@@ -140,9 +154,9 @@
       };
       try {
         if (request.url === peerPaths.sync)
-          send(syncAnswerCodec.encode(handlers.sync(syncCodec.decode(body))));
-        else if (request.url === peerPaths.word)
-          send(wordAnswerCodec.encode(handlers.word(wordCodec.decode(body))));
+          send(syncResponseCodec.encode(handlers.sync(syncRequestCodec.decode(body))));
+        else if (request.url === peerPaths.confirmTerm)
+          send(termConfirmationCodec.encode(handlers.confirmTerm(termConfirmationRequestCodec.decode(body))));
         else if (request.url === peerPaths.deliver)
           Effect.runFork(
             Effect.map(handlers.deliver(commandDeliveryCodec.decode(body)), (d) =>
--- a/src/service/status.ts
+++ b/src/service/status.ts
@@ -119,7 +119,7 @@
    * write that down. Those that are known to be done needn't be asked about, nor those before a released job.
    */
   private keysOf(id: string, known: boolean): string[] {
-    if (!known) return [keys.commit(id), keys.job(id), keys.waiting(id)];
+    if (!known) return [keys.commit(id), keys.job(id), keys.blockedJob(id)];
     return [id, ...this.ancestorsOf(id)].map(keys.commit);
   }
 
@@ -206,7 +206,7 @@
       if (known !== undefined) return { kind: "final", commit: known } as const;
       const first = yield* this.state.get(keys.commit(id), urgency, patience);
       if (first !== null) return this.final(id, first.value as CommitRecord);
-      const row = yield* this.state.get(keys.waiting(id), urgency, patience);
+      const row = yield* this.state.get(keys.blockedJob(id), urgency, patience);
       if (row !== null) {
         const seen = this.mirror.putWaiting(row.key, row.value, row.revision);
         if (seen === "malformed")
@@ -266,7 +266,7 @@
     return Effect.gen(this, function* () {
       const outcome = yield* this.readOutcome(id, urgency, patience);
       if (outcome !== null || this.mirror.isUnfinished(id)) return outcome;
-      const waiting = yield* this.state.get(keys.waiting(id), urgency, patience);
+      const waiting = yield* this.state.get(keys.blockedJob(id), urgency, patience);
       const row = waiting ?? (yield* this.state.get(keys.job(id), urgency, patience));
       // it ended in between
       if (row === null) return yield* this.readOutcome(id, urgency, patience);
@@ -301,7 +301,11 @@
         return yield* Effect.fail(new Unavailable({ why: "its cancel was refused a moment ago" }));
       const result = yield* this.state.commit(
         [{ key: keys.commit(id), revision: 0 }],
-        [{ put: keys.commit(id), value: commit }, { delete: keys.waiting(id) }, { delete: keys.fanin(id) }],
+        [
+          { put: keys.commit(id), value: commit },
+          { delete: keys.blockedJob(id) },
+          { delete: keys.fanin(id) },
+        ],
       );
       if (result.ok === null) {
         this.refusedUntil.set(id, plus(now(), this.refusals.refused("passed-on cancel", result.error, id)));
--- a/src/service/mailbox.ts
+++ b/src/service/update-relay.ts
@@ -8,31 +8,31 @@
 import { jsonBytes, valueBytes } from "../core/packing.js";
 import { keys } from "../core/records.js";
 import type { Log } from "../io/log.js";
-import { type Sync, syncCodec } from "../io/peer-codec.js";
+import { type SyncRequest, syncRequestCodec } from "../io/peer-codec.js";
 import type { StateClient } from "../io/state-client.js";
 
 const MAX_PIECE = 9000;
 const MAX_PIECES = 4;
 
 /** Bytes of news in one value, before they are written as text; and values in one transaction. */
-export interface PieceLimits {
+export interface FragmentLimits {
   readonly bytes: number;
   readonly most: number;
 }
 
-export const pieceLimits = (valueKb: number, txnOps: number): PieceLimits => {
+export const fragmentLimits = (valueKb: number, txnOps: number): FragmentLimits => {
   const text = valueBytes(valueKb) - jsonBytes({ of: MAX_PIECES, data: "" });
   return { bytes: Math.min(MAX_PIECE, Math.floor(text / 4) * 3), most: Math.min(MAX_PIECES, txnOps) };
 };
 
-interface Piece {
+interface Fragment {
   readonly of: number;
   readonly data: string;
 }
 
 /** The transaction's values for this piece of news; null: too much for one. */
-export const toPieces = (sync: Sync, limits: PieceLimits): Piece[] | null => {
-  const bytes = syncCodec.encode(sync);
+export const toFragments = (sync: SyncRequest, limits: FragmentLimits): Fragment[] | null => {
+  const bytes = syncRequestCodec.encode(sync);
   const of = Math.ceil(bytes.length / limits.bytes);
   if (of > limits.most) return null;
   return Array.from({ length: of }, (_, i) => ({
@@ -42,50 +42,54 @@
 };
 
 /** Puts together what one transaction wrote; what is no news is ignored. */
-export const fromPieces = (pieces: readonly Piece[]): Sync | null => {
+export const fromFragments = (pieces: readonly Fragment[]): SyncRequest | null => {
   try {
     if (pieces.length === 0 || pieces.some((p) => p.of !== pieces.length)) return null;
-    return syncCodec.decode(Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64"))));
+    return syncRequestCodec.decode(Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64"))));
   } catch {
     return null;
   }
 };
 
 /** `too large` for us, or `refused` by the service: less might be taken. */
-export type Posted = "posted" | "failed" | "too large" | { readonly refused: string };
+export type RelayResult = "posted" | "failed" | "too large" | { readonly refused: string };
 
-export const post = (
+export const relayUpdate = (
   state: StateClient,
   me: string,
   leaseId: number,
-  sync: Sync,
-  limits: PieceLimits,
-): Effect.Effect<Posted> => {
-  const pieces = toPieces(sync, limits);
+  sync: SyncRequest,
+  limits: FragmentLimits,
+): Effect.Effect<RelayResult> => {
+  const pieces = toFragments(sync, limits);
   if (pieces === null) return Effect.succeed("too large");
-  const puts = pieces.map((value, i) => ({ put: keys.news(me, i), value, leaseId }));
+  const puts = pieces.map((value, i) => ({ put: keys.memberUpdate(me, i), value, leaseId }));
   return state.commit([], puts).pipe(
-    Effect.map((r): Posted => (r.ok === null ? { refused: r.error } : r.ok ? "posted" : "failed")),
-    Effect.orElseSucceed((): Posted => "failed"),
+    Effect.map((r): RelayResult => (r.ok === null ? { refused: r.error } : r.ok ? "posted" : "failed")),
+    Effect.orElseSucceed((): RelayResult => "failed"),
   );
 };
 
 /** Reads what members post, for as long as it runs. */
-export const collect = (state: StateClient, log: Log, received: (sync: Sync) => void): Effect.Effect<never> =>
+export const receiveUpdates = (
+  state: StateClient,
+  log: Log,
+  received: (sync: SyncRequest) => void,
+): Effect.Effect<never> =>
   Effect.gen(function* () {
     // what was posted before is old news: the members tell a new leader everything
-    let { revision } = yield* state.list(keys.newsAll);
+    let { revision } = yield* state.list(keys.memberUpdates);
     for (;;) {
-      const got = yield* state.watch(keys.newsAll, revision, Duration.seconds(20));
+      const got = yield* state.watch(keys.memberUpdates, revision, Duration.seconds(20));
       revision = got.revision;
-      const byChange = new Map<string, Piece[]>();
+      const byChange = new Map<string, Fragment[]>();
       for (const e of got.events) {
         if (e.value === undefined) continue;
         const change = `${e.key.split("/")[1]} ${e.revision}`;
-        (byChange.get(change) ?? byChange.set(change, []).get(change)!).push(e.value as Piece);
+        (byChange.get(change) ?? byChange.set(change, []).get(change)!).push(e.value as Fragment);
       }
       for (const pieces of byChange.values()) {
-        const sync = fromPieces(pieces);
+        const sync = fromFragments(pieces);
         if (sync === null) log.info("news that can't be read were ignored");
         else received(sync);
       }
--- a/test/core.test.ts
+++ b/test/core.test.ts
@@ -20,9 +20,9 @@
 } from "../src/core/term.js";
 import { instant } from "../src/core/time.js";
 import { parseHeartbeat, parseSubmission, readJob } from "../src/io/codec.js";
-import { deliveryReceiptCodec, syncCodec } from "../src/io/peer-codec.js";
+import { deliveryReceiptCodec, syncRequestCodec } from "../src/io/peer-codec.js";
 import { MachineRecordStore } from "../src/service/machine-record-store.js";
-import { fromPieces, pieceLimits, toPieces } from "../src/service/mailbox.js";
+import { fromFragments, fragmentLimits, toFragments } from "../src/service/update-relay.js";
 import { TEAMS, TYPES } from "./model.js";
 
 test("a range set agrees with a plain set, whatever is added and taken out", () => {
@@ -187,27 +187,29 @@
   const handleReport = (sequence: number, ms: number) =>
     part.handleHeartbeat(report({ sequence }), true, 2, instant(ms));
   handleReport(5, 1000);
-  const first = part.news(instant(1000));
-  assert.deepEqual([first.reports.length, first.seen.length], [1, 1]);
-  assert.deepEqual(part.news(instant(1000)), { reports: [], seen: [], stored: [], outcomes: [] });
+  const first = part.takeUpdate(instant(1000));
+  assert.deepEqual([first.heartbeats.length, first.contacts.length], [1, 1]);
+  assert.deepEqual(part.takeUpdate(instant(1000)), { reports: [], seen: [], stored: [], outcomes: [] });
   handleReport(6, 2000);
   // nothing new in it: only that it was heard and answered
-  const second = part.news(instant(2500));
-  assert.deepEqual(second.reports, []);
-  assert.deepEqual(second.seen, [{ machine: "n-1", answerAgeMs: 500, heartbeatAgeMs: 500 }]);
+  const second = part.takeUpdate(instant(2500));
+  assert.deepEqual(second.heartbeats, []);
+  assert.deepEqual(second.contacts, [{ machine: "n-1", answerAgeMs: 500, heartbeatAgeMs: 500 }]);
   // a late copy is answered, which the proof by time must know, but it is no sign of life
   handleReport(3, 9000);
-  assert.deepEqual(part.news(instant(9000)).seen, [{ machine: "n-1", answerAgeMs: 0, heartbeatAgeMs: 7000 }]);
+  assert.deepEqual(part.takeUpdate(instant(9000)).contacts, [
+    { machine: "n-1", answerAgeMs: 0, heartbeatAgeMs: 7000 },
+  ]);
   part.commandsAnswered(7, "done", null, instant(9000));
-  const lost = part.news(instant(9000));
+  const lost = part.takeUpdate(instant(9000));
   part.putBack(lost);
-  assert.deepEqual(part.news(instant(9000)).outcomes, [
+  assert.deepEqual(part.takeUpdate(instant(9000)).commandResults, [
     { id: 7, outcome: "done", workerEpoch: 0, sequence: 0 },
   ]);
   part.setTerm({ ...term, number: 5 });
-  assert.equal(part.news(instant(9000)).reports.length, 0, "the same leader remembers");
+  assert.equal(part.takeUpdate(instant(9000)).heartbeats.length, 0, "the same leader remembers");
   part.setTerm({ ...term, number: 6, leaderRevision: 11 });
-  assert.deepEqual([part.news(instant(9000)).reports.length], [1]);
+  assert.deepEqual([part.takeUpdate(instant(9000)).heartbeats.length], [1]);
 });
 
 test("finishes are stored together after a while, told once stored, and told anew to another leader", () => {
@@ -215,7 +217,7 @@
   const task = { job: "req-1", index: 3, attempt: 1, state: "exited", exitReason: "done" } as const;
   part.recordHeartbeat(report({ tasks: [task] }), instant(9));
   const open = (): boolean => true;
-  const told = () => part.news(instant(9)).stored;
+  const told = () => part.takeUpdate(instant(9)).storedFinishes;
   assert.deepEqual(told(), []);
   assert.deepEqual(part.finishes.toStore("b.2", 8, instant(1000), open), [], "others of its job may follow");
   assert.deepEqual(
@@ -380,26 +382,26 @@
     tasks: [{ job: "req-1", index: 99_999, attempt: 4_000_000_001, state: "exited", exitReason: "done" }],
   });
   const sync = {
-    token: 2 ** 40,
+    termNumber: 2 ** 40,
     member: "a",
     incarnation: 12,
-    mark: -1,
-    version: 7,
-    stateOk: true,
-    seen: [{ machine: "n-1", answerAgeMs: 12.5, heartbeatAgeMs: -1 }],
-    outcomes: [{ id: 3_000_000_000_001, outcome: "unknown" as const, workerEpoch: 1, sequence: 2 }],
-    reports: [{ heartbeat: r, ageMs: 7 }],
-    stored: [{ job: "req-1", ranges: [[0, 7] as const] }],
+    leaderClockMark: -1,
+    progressVersion: 7,
+    reachesStateService: true,
+    contacts: [{ machine: "n-1", answerAgeMs: 12.5, heartbeatAgeMs: -1 }],
+    commandResults: [{ id: 3_000_000_000_001, outcome: "unknown" as const, workerEpoch: 1, sequence: 2 }],
+    heartbeats: [{ heartbeat: r, ageMs: 7 }],
+    storedFinishes: [{ job: "req-1", ranges: [[0, 7] as const] }],
   };
   assert.deepEqual(
-    JSON.parse(JSON.stringify(syncCodec.decode(syncCodec.encode(sync)))),
+    JSON.parse(JSON.stringify(syncRequestCodec.decode(syncRequestCodec.encode(sync)))),
     JSON.parse(JSON.stringify(sync)),
   );
   assert.equal(deliveryReceiptCodec.decode(deliveryReceiptCodec.encode({ accepted: true })).accepted, true);
-  const pieces = toPieces(sync, pieceLimits(16, 16))!;
-  assert.deepEqual(JSON.parse(JSON.stringify(fromPieces(pieces))), JSON.parse(JSON.stringify(sync)));
-  assert.equal(fromPieces([{ of: 2, data: pieces[0]!.data }]), null);
-  assert.equal(fromPieces([{ of: 1, data: "????" }]), null);
+  const pieces = toFragments(sync, fragmentLimits(16, 16))!;
+  assert.deepEqual(JSON.parse(JSON.stringify(fromFragments(pieces))), JSON.parse(JSON.stringify(sync)));
+  assert.equal(fromFragments([{ of: 2, data: pieces[0]!.data }]), null);
+  assert.equal(fromFragments([{ of: 1, data: "????" }]), null);
 });
 
 test("blocks of machines only get smaller, and the last machine takes its block along", () => {
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -11,7 +11,7 @@
 import { leaseTimingsOf, fencingTokenOf } from "../src/core/term.js";
 import { type Instant, instant } from "../src/core/time.js";
 import { WorkerPartition } from "../src/core/worker-partition.js";
-import { syncCodec } from "../src/io/peer-codec.js";
+import { syncRequestCodec } from "../src/io/peer-codec.js";
 import { MachineRecordStore } from "../src/service/machine-record-store.js";
 import { countVisits, largeFleetJob } from "./large-fleet.js";
 import { TYPES } from "./model.js";
@@ -103,11 +103,19 @@
     const told = new Set<string>();
     let messages = 0;
     let largest = 0;
-    while (part.hasNews()) {
-      const news = part.news(instant(1000));
-      const sync = { token: 2, member: "a", incarnation: 1, mark: -1, version: -1, stateOk: true, ...news };
-      largest = Math.max(largest, syncCodec.encode(sync).length);
-      for (const { heartbeat } of news.reports) told.add(heartbeat.machine);
+    while (part.hasUpdate()) {
+      const news = part.takeUpdate(instant(1000));
+      const sync = {
+        termNumber: 2,
+        member: "a",
+        incarnation: 1,
+        leaderClockMark: -1,
+        progressVersion: -1,
+        reachesStateService: true,
+        ...news,
+      };
+      largest = Math.max(largest, syncRequestCodec.encode(sync).length);
+      for (const { heartbeat } of news.heartbeats) told.add(heartbeat.machine);
       assert.ok(++messages <= machines / 100, `${messages} messages`);
     }
     assert.equal(told.size, machines);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -22,7 +22,7 @@
 import { type Change, type Condition, jobRecord, parseSubmission, state } from "../src/io/codec.js";
 import { MachineRecordStore, opsOf, type Room } from "../src/service/machine-record-store.js";
 import { encodeLeader, encodeMember, encodeTerm } from "../src/io/record-codec.js";
-import { fromPieces, pieceLimits, toPieces } from "../src/service/mailbox.js";
+import { fromFragments, fragmentLimits, toFragments } from "../src/service/update-relay.js";
 import { rangesBytes } from "../src/service/member.js";
 
 const LIMITS = [
@@ -168,11 +168,19 @@
     let most = 60;
     for (let rounds = 0; heartbeats.size < 700 || seen.size < 700; rounds++) {
       assert.ok(rounds < 200, `${heartbeats.size} reports, ${seen.size} seen`);
-      const news = part.news(instant(1000), most);
+      const news = part.takeUpdate(instant(1000), most);
       // a word that doesn't name everyone who was answered must not pass for one that does
-      assert.equal(part.namedAll(), [...seen, ...news.seen].length >= 700);
-      const sync = { token: 1, member: "a", incarnation: 1, mark: -1, version: -1, stateOk: true, ...news };
-      const pieces = toPieces(sync, pieceLimits(limits.valueKb, limits.txnOps));
+      assert.equal(part.isUpdateComplete(), [...seen, ...news.contacts].length >= 700);
+      const sync = {
+        termNumber: 1,
+        member: "a",
+        incarnation: 1,
+        leaderClockMark: -1,
+        progressVersion: -1,
+        reachesStateService: true,
+        ...news,
+      };
+      const pieces = toFragments(sync, fragmentLimits(limits.valueKb, limits.txnOps));
       if (pieces === null) {
         part.putBack(news);
         most = Math.floor(most / 2);
@@ -184,9 +192,9 @@
         [],
         pieces.map((value, i) => ({ put: `news/${NAME}/${i}`, value, leaseId: BIG })),
       );
-      const got = fromPieces(pieces)!;
-      for (const r of got.reports) heartbeats.add(r.heartbeat.machine);
-      for (const s of got.seen) seen.add(s.machine);
+      const got = fromFragments(pieces)!;
+      for (const r of got.heartbeats) heartbeats.add(r.heartbeat.machine);
+      for (const s of got.contacts) seen.add(s.machine);
     }
   }
 });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -145,7 +145,7 @@
   const stored = (key: string) =>
     mirrors
       .map((m) =>
-        key.startsWith(keys.waitings) ? m.waiting.get(key.slice(keys.waitings.length)) : undefined,
+        key.startsWith(keys.blockedJobs) ? m.waiting.get(key.slice(keys.blockedJobs.length)) : undefined,
       )
       .find((job) => job !== undefined)?.record;
   mirror.put(keys.job("req-1"), record("req-1", []), 1);
@@ -156,7 +156,7 @@
     ["req-4", ["req-3"]],
     ["req-5", ["req-6"]],
   ] as const)
-    mirror.putWaiting(keys.waiting(id), record(id, [...awaits]), 1);
+    mirror.putWaiting(keys.blockedJob(id), record(id, [...awaits]), 1);
   // fewer conditions than the chain is long
   const status = new Status(fake, mirror, 3, log);
   const ask = (id: string) => Effect.runPromise(status.of(id));
@@ -171,7 +171,7 @@
   // nor does it matter what this node has heard of the jobs in between
   const partly = new JobCache(fake, log);
   mirrors.push(partly);
-  partly.putWaiting(keys.waiting("req-8"), record("req-8", ["req-3"]), 1);
+  partly.putWaiting(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
   commits.delete("commit/req-4");
   const behind = new Status(fake, partly, 3, log);
   const answer = await Effect.runPromise(behind.of("req-8"));
@@ -191,7 +191,7 @@
     ...{ ref, roster: "maps", crew: "red", shape: "array", urgency: "normal", chores: 2, vcpus: 1 },
     ...{ mem_gb: 1, bundle: "img", image_gb: 1, awaits },
   });
-  for (const [id, awaits] of Object.entries(waits)) rows.set(keys.waiting(id), record(id, awaits));
+  for (const [id, awaits] of Object.entries(waits)) rows.set(keys.blockedJob(id), record(id, awaits));
   const fake = {
     commit: (when: { key: string }[], apply: { put?: string; value?: unknown; delete?: string }[]) => {
       const failed = when.map((c) => c.key).filter((key) => rows.has(key));
@@ -236,7 +236,7 @@
   for (const known of [false, true]) {
     const { rows, fake, mirror } = pipelineService(CHAIN);
     rows.set(keys.commit("req-1"), CANCELLED);
-    const last = keys.waiting("req-4");
+    const last = keys.blockedJob("req-4");
     if (known) mirror.putWaiting(last, rows.get(last), 1);
     const answer = await Effect.runPromise(new Status(fake, mirror, 64, log).of("req-4"));
     assert.deepEqual(answer, { kind: "final", commit: CANCELLED }, `the job itself is known: ${known}`);
@@ -251,11 +251,12 @@
     passedOn = true;
     for (const id of ["req-1", "req-2", "req-3"]) {
       rows.set(keys.commit(id), CANCELLED);
-      rows.delete(keys.waiting(id));
+      rows.delete(keys.blockedJob(id));
       mirror.remove(id);
     }
   });
-  for (const id of Object.keys(CHAIN)) mirror.putWaiting(keys.waiting(id), rows.get(keys.waiting(id)), 1);
+  for (const id of Object.keys(CHAIN))
+    mirror.putWaiting(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
   const answer = await Effect.runPromise(new Status(fake, mirror, 64, log).read("req-4"));
   assert.ok(passedOn);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
@@ -267,10 +268,11 @@
     if (key !== keys.commit("req-3") || ended) return;
     ended = true;
     rows.set(keys.commit("req-4"), CANCELLED);
-    rows.delete(keys.waiting("req-4"));
+    rows.delete(keys.blockedJob("req-4"));
     mirror.remove("req-4");
   });
-  for (const id of Object.keys(CHAIN)) mirror.putWaiting(keys.waiting(id), rows.get(keys.waiting(id)), 1);
+  for (const id of Object.keys(CHAIN))
+    mirror.putWaiting(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
   const answer = await Effect.runPromise(new Status(fake, mirror, 64, log).read("req-4"));
   assert.ok(ended);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
--- a/test/model.ts
+++ b/test/model.ts
@@ -1101,7 +1101,7 @@
       node.mark = -1;
       node.markToken = term.number;
     }
-    const news = node.part.news(instant(this.now));
+    const news = node.part.takeUpdate(instant(this.now));
     const { incarnation, mark } = node;
     const to = this.nodes.find((n) => n.name === term.leader)!;
     let arrived = false;
@@ -1113,11 +1113,11 @@
           if (!term.members.some((m) => m.name === node.name && m.incarnation === incarnation)) return;
           arrived = true;
           const at = instant(this.now);
-          for (const { heartbeat, ageMs } of news.reports)
+          for (const { heartbeat, ageMs } of news.heartbeats)
             s.heartbeatReceived(heartbeat, node.name, at, minus(at, Duration.millis(ageMs)));
-          for (const x of news.stored) s.stored(x.job, x.ranges);
+          for (const x of news.storedFinishes) s.stored(x.job, x.ranges);
           const answered = [];
-          for (const x of news.seen) {
+          for (const x of news.contacts) {
             if (x.heartbeatAgeMs >= 0)
               s.contactReported(x.machine, minus(at, Duration.millis(x.heartbeatAgeMs)));
             if (x.answerAgeMs >= 0)
@@ -1131,7 +1131,7 @@
             answered,
             at,
           );
-          for (const x of news.outcomes)
+          for (const x of news.commandResults)
             this.answered(to, s, x.id, x.outcome, { workerEpoch: x.workerEpoch, sequence: x.sequence });
           const stamp = this.now;
           this.later(
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -27,7 +27,7 @@
 import * as peerCodec from "../src/io/peer-codec.js";
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
 import { MachineRecordStore } from "../src/service/machine-record-store.js";
-import { fromPieces } from "../src/service/mailbox.js";
+import { fromFragments } from "../src/service/update-relay.js";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
 import { CloudStandIn, StateStandIn } from "./standins.js";
 
@@ -65,12 +65,12 @@
 type Release = keyof typeof schemas;
 
 const codecs = {
-  Sync: peerCodec.syncCodec,
-  SyncAnswer: peerCodec.syncAnswerCodec,
+  Sync: peerCodec.syncRequestCodec,
+  SyncAnswer: peerCodec.syncResponseCodec,
   Deliver: peerCodec.commandDeliveryCodec,
   Delivered: peerCodec.deliveryReceiptCodec,
-  Word: peerCodec.wordCodec,
-  WordAnswer: peerCodec.wordAnswerCodec,
+  Word: peerCodec.termConfirmationRequestCodec,
+  WordAnswer: peerCodec.termConfirmationCodec,
 } as unknown as Record<MessageType, peerCodec.Codec<Json>>;
 const MESSAGES = Object.keys(codecs) as MessageType[];
 
@@ -246,7 +246,7 @@
     [1, 2, 4],
   );
   for (const { pieces, trimmed, meaning } of last.news) {
-    const decoded = fromPieces(pieces.map((p) => p.value as { of: number; data: string }));
+    const decoded = fromFragments(pieces.map((p) => p.value as { of: number; data: string }));
     assert.ok(decoded !== null);
     const sync = toAvroNames("Sync", plain(decoded));
     const { reports, seen, stored, outcomes, mark } = sync;
--- a/test/shard-messages.test.ts
+++ b/test/shard-messages.test.ts
@@ -63,7 +63,7 @@
   const others = {
     sync: () => assert.fail("not asked"),
     deliver: () => assert.fail("not asked"),
-    word: () => assert.fail("not asked"),
+    confirmTerm: () => assert.fail("not asked"),
   };
   const shards = {
     offer: () => Effect.succeed(refusalText(null)),
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -37,14 +37,14 @@
   type Codec,
   commandDeliveryCodec,
   deliveryReceiptCodec,
-  syncAnswerCodec,
-  syncCodec,
-  wordAnswerCodec,
-  wordCodec,
+  syncResponseCodec,
+  syncRequestCodec,
+  termConfirmationCodec,
+  termConfirmationRequestCodec,
 } from "../src/io/peer-codec.js";
 import { decodeTerm, encodeTerm } from "../src/io/record-codec.js";
 import { MachineRecordStore } from "../src/service/machine-record-store.js";
-import { fromPieces, pieceLimits, toPieces } from "../src/service/mailbox.js";
+import { fromFragments, fragmentLimits, toFragments } from "../src/service/update-relay.js";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
 import { CloudStandIn, StateStandIn } from "./standins.js";
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
@@ -92,12 +92,12 @@
   ]),
 ) as Record<MessageType, avro.Type>;
 const ours = {
-  Sync: syncCodec,
-  SyncAnswer: syncAnswerCodec,
+  Sync: syncRequestCodec,
+  SyncAnswer: syncResponseCodec,
   Deliver: commandDeliveryCodec,
   Delivered: deliveryReceiptCodec,
-  Word: wordCodec,
-  WordAnswer: wordAnswerCodec,
+  Word: termConfirmationRequestCodec,
+  WordAnswer: termConfirmationCodec,
 } as unknown as Record<MessageType, Codec<Json>>;
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
@@ -189,7 +189,7 @@
     [1, 2],
   );
   for (const { pieces, trimmed, meaning } of news) {
-    const decoded = fromPieces(pieces.map((p) => p.value));
+    const decoded = fromFragments(pieces.map((p) => p.value));
     assert.ok(decoded !== null);
     const sync = toAvroNames("Sync", plain(decoded));
     const { reports, seen, stored, outcomes } = sync;
@@ -220,15 +220,15 @@
   // a member that couldn't name all workers it answered vouches for nobody; -1 has meant that before
   const sync = messages.find((m) => m.type === "Sync" && (m.meaning["mark"] as number) >= 0)!.meaning;
   const cut = theirs.Sync.fromBuffer(
-    syncCodec.encode(toCodeNames("Sync", { ...sync, mark: -1 }) as never),
+    syncRequestCodec.encode(toCodeNames("Sync", { ...sync, mark: -1 }) as never),
   ) as Json;
   assert.equal(cut["mark"], -1);
   // production puts pieces together in order, whatever their size
-  for (const limits of [pieceLimits(16, 16), pieceLimits(2, 16)]) {
-    const pieces = toPieces(toCodeNames("Sync", sync) as never, limits)!;
+  for (const limits of [fragmentLimits(16, 16), fragmentLimits(2, 16)]) {
+    const pieces = toFragments(toCodeNames("Sync", sync) as never, limits)!;
     const whole = Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64")));
     for (const [i, p] of pieces.entries()) {
-      assert.equal(misread(keys.news("north", i), p), null);
+      assert.equal(misread(keys.memberUpdate("north", i), p), null);
       assert.equal(p.of, pieces.length);
     }
     assert.deepEqual(plain(theirs.Sync.fromBuffer(whole)), sync);
@@ -298,7 +298,7 @@
 
 test("production neither lists, watches nor reads the keys that are new", () => {
   const { prefixes, single, byId } = production.keys;
-  const fresh = [keys.waitings, keys.waiting("req-000001"), keys.fanins, keys.fanin("req-000001")];
+  const fresh = [keys.blockedJobs, keys.blockedJob("req-000001"), keys.fanins, keys.fanin("req-000001")];
   const shared: string[] = [
     keys.cluster,
     keys.leader,
@@ -313,8 +313,8 @@
     keys.rangesOf("req-000001", "north.7", 0),
     keys.machines,
     keys.machinesOf("5-1"),
-    keys.newsAll,
-    keys.news("north", 0),
+    keys.memberUpdates,
+    keys.memberUpdate("north", 0),
     keys.rentals,
     keys.rental("r-5-1"),
   ];
--- a/test/wire-names.ts
+++ b/test/wire-names.ts
@@ -19,11 +19,22 @@
 };
 const NAMES: Record<MessageType, Names> = {
   Sync: {
-    seen: ["seen", { answeredMs: "answerAgeMs", heardMs: "heartbeatAgeMs" }],
-    outcomes: ["outcomes", { session: "workerEpoch", seq: "sequence" }],
-    reports: ["reports", { report: ["heartbeat", HEARTBEAT] }],
+    token: "termNumber",
+    mark: "leaderClockMark",
+    version: "progressVersion",
+    stateOk: "reachesStateService",
+    stored: "storedFinishes",
+    seen: ["contacts", { answeredMs: "answerAgeMs", heardMs: "heartbeatAgeMs" }],
+    outcomes: ["commandResults", { session: "workerEpoch", seq: "sequence" }],
+    reports: ["heartbeats", { report: ["heartbeat", HEARTBEAT] }],
+  },
+  SyncAnswer: {
+    token: "termNumber",
+    ok: "accepted",
+    mark: "leaderClockMark",
+    version: "progressVersion",
+    stateOk: "reachesStateService",
   },
-  SyncAnswer: {},
   Deliver: {
     term: ["term", { token: "number", key: "leaderRevision" }],
     items: [
@@ -36,8 +47,8 @@
     ],
   },
   Delivered: {},
-  Word: {},
-  WordAnswer: {},
+  Word: { token: "termNumber" },
+  WordAnswer: { noneNewer: "knowsNoNewerTerm" },
 };
 
 type Json = Record<string, unknown>;
