--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import { makeLog } from "./io/log.js";
 import { operatorSchema } from "./io/schemas.js";
 import { BadSettings, loadSettings } from "./io/settings.js";
-import { runNode } from "./service/node.js";
+import { runController } from "./service/controller.js";
 
 const EXIT_BAD_SETTINGS = 2;
 const EXIT_FAILED = 1;
@@ -41,7 +41,7 @@
   .action(async (options: { config: string; settings?: string }) => {
     const settings = load(options);
     const log = makeLog(process.env["LOG_LEVEL"] ?? "info", settings.member);
-    const exit = await Effect.runPromiseExit(runNode(settings, log));
+    const exit = await Effect.runPromiseExit(runController(settings, log));
     if (Exit.isFailure(exit)) log.error({ why: Cause.pretty(exit.cause) }, "can't run");
     process.exit(EXIT_FAILED);
   });
--- a/src/service/front.ts
+++ b/src/service/api-server.ts
@@ -24,7 +24,7 @@
 import type { Leader } from "./leader.js";
 import type { Member } from "./member.js";
 import type { JobCache } from "./job-cache.js";
-import type { Standing, Status } from "./status.js";
+import type { JobStatus, JobStatusReader } from "./job-status.js";
 import { commitForUser } from "./user-writes.js";
 
 interface Answer {
@@ -56,7 +56,7 @@
   | { readonly state: Outcome }
   | { readonly state: "open"; readonly condition: Condition; readonly before: readonly string[] };
 
-export interface FrontOptions {
+export interface ApiServerOptions {
   readonly bind: string;
   readonly connections: number;
   readonly teams: ReadonlyMap<string, Team>;
@@ -65,16 +65,16 @@
   readonly conditions: number;
 }
 
-export class Front {
+export class ApiServer {
   private open = 0;
   /** Connections of users, workers and health checks. */
   connections = 0;
 
   constructor(
-    private readonly options: FrontOptions,
+    private readonly options: ApiServerOptions,
     private readonly state: StateClient,
-    private readonly mirror: JobCache,
-    private readonly status: Status,
+    private readonly jobCache: JobCache,
+    private readonly status: JobStatusReader,
     private readonly member: Member,
     private readonly leader: Leader,
     private readonly log: Log,
@@ -112,7 +112,7 @@
 
   /** Not ready while it alone can't reach the state service: other nodes then serve users better. */
   private up(): Answer {
-    if (!this.mirror.ready) return unsure("starting");
+    if (!this.jobCache.ready) return unsure("starting");
     if (this.leader.aloneWithoutState()) return unsure("no state service");
     return answer(200, '{"ok":true}');
   }
@@ -177,13 +177,13 @@
       const parsed = parseSubmission(body);
       if (typeof parsed === "string") return problem(400, parsed);
       const { wire, spec } = parsed;
-      if (this.mirror.isUnfinished(spec.id)) return yield* this.repeated(spec.id);
-      if (this.mirror.types.length === 0) return unsure("machine types are not known yet");
+      if (this.jobCache.isUnfinished(spec.id)) return yield* this.repeated(spec.id);
+      if (this.jobCache.types.length === 0) return unsure("machine types are not known yet");
       const bytes = Buffer.byteLength(JSON.stringify(jobRecord(wire, new Date())));
       // one that was accepted when values could be larger stays accepted
       if (bytes > this.options.valueKb * 1024)
         return yield* this.refused(spec.id, problem(400, "too large to be stored"));
-      const why = unschedulableReason(spec, this.options.teams, this.mirror.types);
+      const why = unschedulableReason(spec, this.options.teams, this.jobCache.types);
       if (why !== null) return yield* this.refused(spec.id, problem(422, why));
       return yield* spec.dependsOn.length === 0 ? this.accept(wire) : this.acceptAfter(wire, spec.dependsOn);
     });
@@ -191,7 +191,7 @@
 
   /** A repeat of an accepted job is never refused: it gets its first answer again, whatever it says now. */
   private refused(id: string, why: Answer) {
-    return Effect.map(this.status.of(id), (standing) =>
+    return Effect.map(this.status.statusOf(id), (standing) =>
       standing.kind === "absent" ? why : this.standing(id, standing),
     );
   }
@@ -207,7 +207,7 @@
       if (result.ok === null)
         return yield* this.refused(wire.ref, problem(400, `can't be stored: ${result.error}`));
       if (result.ok === false) return yield* this.repeated(wire.ref);
-      this.mirror.put(keys.job(wire.ref), record, result.revision);
+      this.jobCache.put(keys.job(wire.ref), record, result.revision);
       this.accepted(wire);
       return answer(201, jobAnswer(wire.ref, "queued"));
     });
@@ -283,13 +283,13 @@
           this.accepted(wire);
           if (cancelled) {
             this.status.remember(id, commit);
-            this.mirror.remove(id);
+            this.jobCache.remove(id);
             return answer(201, jobAnswer(id, "cancelled"));
           }
-          if (open.length === 0) this.mirror.put(keys.job(id), released, result.revision);
+          if (open.length === 0) this.jobCache.put(keys.job(id), released, result.revision);
           else {
-            this.mirror.putFanin(id, fanin, result.revision);
-            this.mirror.putWaiting(keys.blockedJob(id), record, result.revision);
+            this.jobCache.putFanin(id, fanin, result.revision);
+            this.jobCache.putWaiting(keys.blockedJob(id), record, result.revision);
           }
           return answer(201, jobAnswer(id, "queued"));
         }
@@ -319,9 +319,9 @@
       const outcome = this.status.outcome(id);
       if (outcome !== undefined) return { state: outcome.outcome } as Parent;
       if (!stale) {
-        const job = this.mirror.jobs.get(id);
+        const job = this.jobCache.jobs.get(id);
         if (job !== undefined) return open(keys.job(id), job.revision);
-        const waiting = this.mirror.waiting.get(id);
+        const waiting = this.jobCache.waiting.get(id);
         const before = waiting === undefined ? null : this.status.commitsBefore(id);
         if (waiting !== undefined && before !== null)
           return open(keys.blockedJob(id), waiting.revision, before);
@@ -329,30 +329,30 @@
       const standing = yield* this.status.read(id);
       if (standing.kind === "absent") return null;
       if (standing.kind === "final") return { state: standing.commit.outcome } as Parent;
-      return standing.waiting
+      return standing.blocked
         ? open(keys.blockedJob(id), standing.revision, this.status.commitsBefore(id) ?? [])
         : open(keys.job(id), standing.revision);
     });
   }
 
   private repeated(id: string) {
-    return Effect.map(this.status.of(id), (standing) =>
+    return Effect.map(this.status.statusOf(id), (standing) =>
       standing.kind === "absent" ? unsure("not decided") : this.standing(id, standing),
     );
   }
 
-  private standing(id: string, standing: Exclude<Standing, { kind: "absent" }>): Answer {
+  private standing(id: string, standing: Exclude<JobStatus, { kind: "absent" }>): Answer {
     return answer(200, jobAnswer(id, this.stateOf(id, standing)));
   }
 
-  private stateOf(id: string, standing: Exclude<Standing, { kind: "absent" }>): UserState {
+  private stateOf(id: string, standing: Exclude<JobStatus, { kind: "absent" }>): UserState {
     if (standing.kind === "final") return standing.commit.outcome;
     const { done, running } = this.leader.progressOf(id);
     return done > 0 || running > 0 ? "running" : "queued";
   }
 
   private poll(id: string) {
-    return Effect.map(this.status.of(id), (standing) => {
+    return Effect.map(this.status.statusOf(id), (standing) => {
       if (standing.kind === "absent") return problem(404, "no such run");
       const state = this.stateOf(id, standing);
       if (standing.kind === "final") {
@@ -376,17 +376,17 @@
           this.state,
           [
             { key: keys.commit(id), revision: 0 },
-            { key: standing.waiting ? keys.blockedJob(id) : keys.job(id), revision: standing.revision },
+            { key: standing.blocked ? keys.blockedJob(id) : keys.job(id), revision: standing.revision },
           ],
           [
             { put: keys.commit(id), value: commit },
-            { delete: standing.waiting ? keys.blockedJob(id) : keys.job(id) },
-            ...(standing.waiting || this.mirror.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
+            { delete: standing.blocked ? keys.blockedJob(id) : keys.job(id) },
+            ...(standing.blocked || this.jobCache.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
           ],
         );
         if (result.ok === true) {
           this.status.remember(id, commit);
-          this.mirror.remove(id);
+          this.jobCache.remove(id);
           this.log.info({ job: id }, "cancelled");
           return answer(200, jobAnswer(id, "cancelled"));
         }
--- a/src/service/node.ts
+++ b/src/service/controller.ts
@@ -8,7 +8,7 @@
 import type { OperatorAnswer } from "../io/shard-codec.js";
 import { StateClient } from "../io/state-client.js";
 import { WorkerClient } from "../io/worker-client.js";
-import { Front } from "./front.js";
+import { ApiServer } from "./api-server.js";
 import { Leader } from "./leader.js";
 import { Member } from "./member.js";
 import { Membership } from "./membership.js";
@@ -17,7 +17,7 @@
 import { JobReleaser } from "./job-releaser.js";
 import { serveOperators } from "./operators-server.js";
 import { shardExtension, Shards } from "./shards/shards.js";
-import { Status } from "./status.js";
+import { JobStatusReader } from "./job-status.js";
 
 /**
  * Shares of the platform's limit of sockets. When other nodes are down all workers and users come to this one, so what
@@ -37,7 +37,7 @@
   });
 
 /** Runs until the process is killed; fails only when a socket can't be bound. */
-export const runNode = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
+export const runController = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
   Effect.gen(function* () {
     const timings = leaseTimingsOf(settings.workers, settings.operator.memberLease);
     const teams = new Map(settings.teams.map((t) => [t.name, t]));
@@ -99,7 +99,7 @@
         )
       : null;
     if (shards !== null) member.partition.ownerName = shards.ownerLookup(member.partition.ownerName);
-    const status = new Status(state, mirror, settings.stateLimits.txnOps * 4, log);
+    const status = new JobStatusReader(state, mirror, settings.stateLimits.txnOps * 4, log);
     const releases = new JobReleaser(state, mirror, status, log);
     const leader = new Leader(
       {
@@ -141,7 +141,7 @@
       status.remember(job, { outcome: "done", tasks });
       mirror.remove(job);
     };
-    const front = new Front(
+    const front = new ApiServer(
       {
         bind: settings.front,
         connections: Math.floor(settings.maxConnections * FRONT),
--- a/src/service/job-releaser.ts
+++ b/src/service/job-releaser.ts
@@ -18,7 +18,7 @@
 import { RejectionBackoff } from "./rejection-backoff.js";
 import { LEADER_WRITE_TIMEOUT } from "./leader-write-timeout.js";
 import { Signal } from "./signal.js";
-import type { Status } from "./status.js";
+import type { JobStatusReader } from "./job-status.js";
 
 const LOOK_EVERY = Duration.seconds(1);
 const LOOK_AT_ALL_EVERY = Duration.seconds(5);
@@ -37,8 +37,8 @@
 
   constructor(
     private readonly state: StateClient,
-    private readonly mirror: JobCache,
-    private readonly status: Status,
+    private readonly jobCache: JobCache,
+    private readonly status: JobStatusReader,
     private readonly log: Log,
   ) {
     this.refusals = new RejectionBackoff(log);
@@ -48,12 +48,12 @@
   waitingSeen(id: string): void {
     if (!this.running) return;
     this.changed.add(id);
-    this.wake.poke();
+    this.wake.notify();
   }
 
   /** A job has its commit: those that wait for it are looked at. */
   over(id: string): void {
-    for (const child of this.mirror.waiters.childrenOf(id)) this.waitingSeen(child);
+    for (const child of this.jobCache.waiters.childrenOf(id)) this.waitingSeen(child);
   }
 
   /** For as long as this node leads. */
@@ -74,7 +74,7 @@
   private readonly round = Effect.gen(this, function* () {
     if (this.lookedAtAll === null || hasElapsed(now(), this.lookedAtAll, LOOK_AT_ALL_EVERY)) {
       this.lookedAtAll = now();
-      for (const id of this.mirror.waiting.keys()) this.changed.add(id);
+      for (const id of this.jobCache.waiting.keys()) this.changed.add(id);
     }
     const some = [...this.changed];
     this.changed.clear();
@@ -94,7 +94,7 @@
 
   private settle(id: string): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      const job = this.mirror.waiting.get(id);
+      const job = this.jobCache.waiting.get(id);
       if (job === undefined) {
         this.refusedUntil.delete(id);
         return;
@@ -104,7 +104,7 @@
       const { dependsOn, tasks } = job.spec;
       const outcomes = new Map<string, ParentState>();
       for (const parent of dependsOn) outcomes.set(parent, yield* this.parentState(parent));
-      const set = this.mirror.fanins.get(id) ?? (yield* this.readSet(id));
+      const set = this.jobCache.fanins.get(id) ?? (yield* this.readSet(id));
       const step = faninStep(dependsOn, set?.joined ?? [], (parent) => outcomes.get(parent)!);
       if (step.kind === "wait") return;
       if (step.kind === "cancel") {
@@ -127,7 +127,7 @@
 
   private parentState(id: string) {
     return Effect.gen(this, function* () {
-      if (this.mirror.isUnfinished(id)) return "open" as const;
+      if (this.jobCache.isUnfinished(id)) return "open" as const;
       const known = this.status.outcome(id);
       if (known !== undefined) return known.outcome;
       const row = yield* this.state.get(keys.commit(id));
@@ -142,8 +142,8 @@
   private readSet(id: string) {
     return Effect.gen(this, function* () {
       const row = yield* this.state.get(keys.fanin(id));
-      if (row !== null) this.mirror.putFanin(id, row.value, row.revision);
-      return this.mirror.fanins.get(id) ?? null;
+      if (row !== null) this.jobCache.putFanin(id, row.value, row.revision);
+      return this.jobCache.fanins.get(id) ?? null;
     });
   }
 
@@ -174,9 +174,9 @@
       this.refusals.accepted("fan-in", id);
       this.refusedUntil.delete(id);
       if (result.ok === true) {
-        this.mirror.putFanin(id, fanin, result.revision);
+        this.jobCache.putFanin(id, fanin, result.revision);
         if (!fanin.released) return;
-        this.mirror.put(keys.job(id), released, result.revision);
+        this.jobCache.put(keys.job(id), released, result.revision);
         this.log.info({ job: id }, "released");
         return;
       }
--- a/src/service/status.ts
+++ b/src/service/job-status.ts
@@ -14,10 +14,10 @@
 import type { JobCache } from "./job-cache.js";
 import { RejectionBackoff } from "./rejection-backoff.js";
 
-export type Standing =
+export type JobStatus =
   | { readonly kind: "final"; readonly commit: CommitRecord }
   /** `waiting`: for other jobs; its record has another key then. */
-  | { readonly kind: "open"; readonly revision: number; readonly tasks: number; readonly waiting: boolean }
+  | { readonly kind: "open"; readonly revision: number; readonly tasks: number; readonly blocked: boolean }
   | { readonly kind: "absent" };
 
 interface Waiting {
@@ -25,7 +25,7 @@
   /** The keys that must not exist for a non-final answer, or for 404. */
   readonly keys: readonly string[];
   readonly known: boolean;
-  readonly answer: Deferred.Deferred<Standing, StateError>;
+  readonly answer: Deferred.Deferred<JobStatus, StateError>;
 }
 
 /** Users wait 2 s for an answer, so a moment's gathering costs them nothing and saves a request each. */
@@ -38,12 +38,12 @@
 /** Transactions for one batch, each without those that failed before; whoever is left is read on its own. */
 const MAX_ROUNDS = 3;
 
-export class Status {
-  private readonly finals = new Map<string, CommitRecord>();
+export class JobStatusReader {
+  private readonly commits = new Map<string, CommitRecord>();
   private waiting: Waiting[] = [];
   private gathering = false;
   /** Questions that got no answer, the oldest first: they go before others, so that no job's are always put off. */
-  private readonly putOff = new Map<string, number>();
+  private readonly deferredQuestions = new Map<string, number>();
   private order = 0;
   /** Waiting jobs whose cancel the state service refused, and until when it isn't tried again. */
   private readonly refusedUntil = new Map<string, Instant>();
@@ -51,7 +51,7 @@
 
   constructor(
     private readonly state: StateClient,
-    private readonly mirror: JobCache,
+    private readonly jobCache: JobCache,
     private readonly conditions: number,
     log: Log,
   ) {
@@ -60,22 +60,22 @@
 
   /** A job's outcome, if it is known here. */
   outcome(id: string): CommitRecord | undefined {
-    return this.finals.get(id);
+    return this.commits.get(id);
   }
 
   remember(id: string, commit: CommitRecord): void {
-    this.finals.set(id, commit);
-    if (this.finals.size > MAX_FINAL) this.finals.delete(this.finals.keys().next().value!);
+    this.commits.set(id, commit);
+    if (this.commits.size > MAX_FINAL) this.commits.delete(this.commits.keys().next().value!);
   }
 
   /** The standing of a job as of a moment after the call. */
-  of(id: string): Effect.Effect<Standing, StateError | "busy"> {
+  statusOf(id: string): Effect.Effect<JobStatus, StateError | "busy"> {
     return Effect.gen(this, function* () {
-      const commit = this.finals.get(id);
+      const commit = this.commits.get(id);
       if (commit !== undefined) return { kind: "final", commit } as const;
       if (this.waiting.length >= MAX_WAITING) return yield* Effect.fail("busy" as const);
-      const answer = yield* Deferred.make<Standing, StateError>();
-      const known = this.mirror.isUnfinished(id);
+      const answer = yield* Deferred.make<JobStatus, StateError>();
+      const known = this.jobCache.isUnfinished(id);
       this.waiting.push({ id, keys: this.keysOf(id, known), known, answer });
       if (!this.gathering) {
         this.gathering = true;
@@ -87,7 +87,7 @@
 
   private readonly flush: Effect.Effect<void> = Effect.suspend(() => {
     this.gathering = false;
-    const turn = (w: Waiting): number => this.putOff.get(w.id) ?? Infinity;
+    const turn = (w: Waiting): number => this.deferredQuestions.get(w.id) ?? Infinity;
     const all = this.waiting.map((w) => ({ w, turn: turn(w) }));
     all.sort((a, b) => (a.turn < b.turn ? -1 : a.turn > b.turn ? 1 : 0));
     this.waiting = [];
@@ -104,13 +104,14 @@
     return Effect.forEach(batches, (batch) => this.check(batch), { concurrency: 2, discard: true });
   });
 
-  private succeed(w: Waiting, standing: Standing): Effect.Effect<boolean> {
-    this.putOff.delete(w.id);
+  private succeed(w: Waiting, standing: JobStatus): Effect.Effect<boolean> {
+    this.deferredQuestions.delete(w.id);
     return Deferred.succeed(w.answer, standing);
   }
 
   private fail(w: Waiting, error: StateError): Effect.Effect<boolean> {
-    if (!this.putOff.has(w.id) && this.putOff.size < MAX_PUT_OFF) this.putOff.set(w.id, ++this.order);
+    if (!this.deferredQuestions.has(w.id) && this.deferredQuestions.size < MAX_PUT_OFF)
+      this.deferredQuestions.set(w.id, ++this.order);
     return Deferred.fail(w.answer, error);
   }
 
@@ -126,12 +127,12 @@
   /** The commits that a waiting job's end may come from; null: not all that comes before it was heard of yet. */
   commitsBefore(id: string): string[] | null {
     const before = this.ancestorsOf(id);
-    return before.every((p) => this.mirror.isUnfinished(p)) ? before.map(keys.commit) : null;
+    return before.every((p) => this.jobCache.isUnfinished(p)) ? before.map(keys.commit) : null;
   }
 
   private ancestorsOf(id: string): string[] {
-    if (!this.mirror.waiting.has(id)) return [];
-    return this.mirror.waiters.ancestorsOf(id, (p) => this.finals.get(p)?.outcome === "done");
+    if (!this.jobCache.waiting.has(id)) return [];
+    return this.jobCache.waiters.ancestorsOf(id, (p) => this.commits.get(p)?.outcome === "done");
   }
 
   /** One comparing transaction shows for all that no commit exists; whoever fails it is read. */
@@ -176,15 +177,15 @@
 
   private passed(w: Waiting): Effect.Effect<boolean> {
     if (!w.known) return this.succeed(w, { kind: "absent" });
-    const job = this.mirror.jobs.get(w.id);
-    const waiting = this.mirror.waiting.get(w.id);
+    const job = this.jobCache.jobs.get(w.id);
+    const waiting = this.jobCache.waiting.get(w.id);
     // it ended in the meantime, more was heard of what it waits for, or something before it was not heard of yet
-    const isNews = (p: string): boolean => !w.keys.includes(keys.commit(p)) || !this.mirror.isUnfinished(p);
+    const isNews = (p: string): boolean => !w.keys.includes(keys.commit(p)) || !this.jobCache.isUnfinished(p);
     if (job === undefined && this.ancestorsOf(w.id).some(isNews)) return this.readFor(w);
     const known = job ?? waiting;
     if (known === undefined) return this.readFor(w);
     const { revision, spec } = known;
-    return this.succeed(w, { kind: "open", revision, tasks: spec.tasks, waiting: job === undefined });
+    return this.succeed(w, { kind: "open", revision, tasks: spec.tasks, blocked: job === undefined });
   }
 
   private readFor(w: Waiting): Effect.Effect<boolean> {
@@ -199,16 +200,16 @@
    * is replaced by the released one's in one transaction, and that by the commit. So a job of which nothing was found
    * was not accepted when the question came.
    */
-  read(id: string, patience?: Duration.Duration): Effect.Effect<Standing, StateError> {
+  read(id: string, patience?: Duration.Duration): Effect.Effect<JobStatus, StateError> {
     const urgency = patience === undefined ? "first" : "later";
     return Effect.gen(this, function* () {
-      const known = this.finals.get(id);
+      const known = this.commits.get(id);
       if (known !== undefined) return { kind: "final", commit: known } as const;
       const first = yield* this.state.get(keys.commit(id), urgency, patience);
       if (first !== null) return this.final(id, first.value as CommitRecord);
       const row = yield* this.state.get(keys.blockedJob(id), urgency, patience);
       if (row !== null) {
-        const seen = this.mirror.putWaiting(row.key, row.value, row.revision);
+        const seen = this.jobCache.putWaiting(row.key, row.value, row.revision);
         if (seen === "malformed")
           return yield* Effect.fail(new Unavailable({ why: `the record of ${id} can't be read` }));
         if (seen !== "over")
@@ -216,12 +217,12 @@
       }
       const job = yield* this.state.get(keys.job(id), urgency, patience);
       if (job !== null) {
-        const seen = this.mirror.put(job.key, job.value, job.revision);
+        const seen = this.jobCache.put(job.key, job.value, job.revision);
         // it is there, so it is no 404, whatever is wrong with it
         if (seen === "malformed")
           return yield* Effect.fail(new Unavailable({ why: `the record of ${id} can't be read` }));
         if (seen !== "over")
-          return { kind: "open", revision: job.revision, tasks: seen.spec.tasks, waiting: false } as const;
+          return { kind: "open", revision: job.revision, tasks: seen.spec.tasks, blocked: false } as const;
       }
       const commit = yield* this.state.get(keys.commit(id), urgency, patience);
       return commit === null ? ({ kind: "absent" } as const) : this.final(id, commit.value as CommitRecord);
@@ -235,19 +236,19 @@
     tasks: number,
     urgency: "first" | "later",
     patience: Duration.Duration | undefined,
-  ): Effect.Effect<Standing, StateError> {
+  ): Effect.Effect<JobStatus, StateError> {
     return Effect.gen(this, function* () {
       // by whether their end was heard of when they were asked about
       const asked = new Map<string, boolean>();
       for (;;) {
         // released or over in the meantime: what comes before it isn't known here any more
-        if (!this.mirror.waiting.has(id)) return yield* this.read(id, patience);
+        if (!this.jobCache.waiting.has(id)) return yield* this.read(id, patience);
         // outcomes pass on the other way round: where one was heard of since, the way up from there is lost
         const parent = this.ancestorsOf(id).find(
-          (p) => !asked.has(p) || asked.get(p) !== this.mirror.isOver(p),
+          (p) => !asked.has(p) || asked.get(p) !== this.jobCache.isOver(p),
         );
-        if (parent === undefined) return { kind: "open", revision, tasks, waiting: true } as const;
-        asked.set(parent, this.mirror.isOver(parent));
+        if (parent === undefined) return { kind: "open", revision, tasks, blocked: true } as const;
+        asked.set(parent, this.jobCache.isOver(parent));
         const standing = yield* this.ancestor(parent, urgency, patience);
         if (standing === "cancelled") return this.final(id, yield* this.cancelWaiting(id, tasks));
       }
@@ -265,15 +266,15 @@
   ): Effect.Effect<Outcome | null, StateError> {
     return Effect.gen(this, function* () {
       const outcome = yield* this.readOutcome(id, urgency, patience);
-      if (outcome !== null || this.mirror.isUnfinished(id)) return outcome;
+      if (outcome !== null || this.jobCache.isUnfinished(id)) return outcome;
       const waiting = yield* this.state.get(keys.blockedJob(id), urgency, patience);
       const row = waiting ?? (yield* this.state.get(keys.job(id), urgency, patience));
       // it ended in between
       if (row === null) return yield* this.readOutcome(id, urgency, patience);
       const seen =
         waiting === null
-          ? this.mirror.put(row.key, row.value, row.revision)
-          : this.mirror.putWaiting(row.key, row.value, row.revision);
+          ? this.jobCache.put(row.key, row.value, row.revision)
+          : this.jobCache.putWaiting(row.key, row.value, row.revision);
       if (seen === "malformed")
         return yield* Effect.fail(new Unavailable({ why: `the record of ${id} can't be read` }));
       return seen === "over" ? yield* this.readOutcome(id, urgency, patience) : null;
@@ -314,12 +315,12 @@
       this.refusals.accepted("passed-on cancel", id);
       this.refusedUntil.delete(id);
       this.remember(id, commit);
-      this.mirror.remove(id);
+      this.jobCache.remove(id);
       return commit;
     });
   }
 
-  private final(id: string, commit: CommitRecord): Standing {
+  private final(id: string, commit: CommitRecord): JobStatus {
     this.remember(id, commit);
     return { kind: "final", commit };
   }
--- a/src/service/leader.ts
+++ b/src/service/leader.ts
@@ -97,22 +97,22 @@
     .join(", ");
 
 export class Leader {
-  private guarded: Locked<Scheduler> | null = null;
+  private schedulerLock: Locked<Scheduler> | null = null;
   /** Jobs written up to this revision are in what was reread; later ones come from the mirror. */
-  private reread = 0;
-  private readonly stepNow = new Signal();
-  private readonly records: { id: string; record: MachineRecord }[] = [];
-  private blocks = new MachineRecordStore();
+  private loadedRevision = 0;
+  private readonly stepRequested = new Signal();
+  private readonly unrecordedMachines: { id: string; record: MachineRecord }[] = [];
+  private machineRecords = new MachineRecordStore();
   /** Keys that are of no more use; and when the ranges were last looked through for such. */
-  private readonly useless = new Set<string>();
+  private readonly staleKeys = new Set<string>();
   private rangesListed: Instant = now();
   private rentals = 0;
   /** Command batches under way, the oldest first. */
-  private readonly pending = new Map<number, Pending>();
+  private readonly unansweredBatches = new Map<number, Pending>();
   private batches = 0;
   private progress = new ProgressLog();
   /** Jobs that this leader finished, with their tasks: other members needn't ask the state service. */
-  private readonly ended = new Map<string, number>();
+  private readonly finishedJobs = new Map<string, number>();
   private fibers: Fiber.RuntimeFiber<unknown, unknown>[] = [];
   private members = new Map<string, { at: Instant; ok: boolean }>();
   private readonly zones = new ZoneWatch();
@@ -129,52 +129,52 @@
     private readonly options: LeaderOptions,
     private readonly membership: Membership,
     private readonly member: Member,
-    private readonly mirror: JobCache,
+    private readonly jobCache: JobCache,
     private readonly state: StateClient,
     private readonly cloud: CloudClient,
     private readonly peers: Peers,
-    private readonly releases: JobReleaser,
+    private readonly jobReleaser: JobReleaser,
     /** null: shards are off. */
     private readonly shards: ShardLeader | null,
     private readonly log: Log,
   ) {
-    mirror.onWaiting = (job) => this.waitingSeen(job);
-    mirror.onWaitingOver = (id) => this.guarded?.with((s) => s.waitingOver(id));
+    jobCache.onWaiting = (job) => this.waitingSeen(job);
+    jobCache.onWaitingOver = (id) => this.schedulerLock?.with((s) => s.waitingOver(id));
     this.refusals = new RejectionBackoff(log);
     this.valueBytes = valueBytes(options.valueKb);
     this.blockBytes = this.valueBytes;
     this.sweepOps = options.txnOps;
-    mirror.onJob = (job) => this.jobSeen(job);
-    mirror.onOver = (id) => this.jobOver(id);
-    mirror.onTypes = (types) => this.guarded?.with((s) => s.setTypes(types));
+    jobCache.onJob = (job) => this.jobSeen(job);
+    jobCache.onOver = (id) => this.jobOver(id);
+    jobCache.onTypes = (types) => this.schedulerLock?.with((s) => s.setTypes(types));
     membership.onLost = () => this.stop();
   }
 
   private jobSeen(job: CachedJob): void {
-    if (this.guarded === null || job.revision <= this.reread) return;
-    this.guarded.with((s) => s.jobSeen(job.spec, job.revision, job.accepted, job.released));
-    this.stepNow.poke();
+    if (this.schedulerLock === null || job.revision <= this.loadedRevision) return;
+    this.schedulerLock.with((s) => s.jobSeen(job.spec, job.revision, job.accepted, job.released));
+    this.stepRequested.notify();
   }
 
   private waitingSeen(job: BlockedJob): void {
-    this.guarded?.with((s) => s.waitingSeen(job.spec, job.accepted));
-    this.releases.waitingSeen(job.spec.id);
+    this.schedulerLock?.with((s) => s.waitingSeen(job.spec, job.accepted));
+    this.jobReleaser.waitingSeen(job.spec.id);
   }
 
   private jobOver(id: string): void {
     this.member.jobOver(id);
-    this.releases.over(id);
-    if (this.guarded === null) return;
-    this.guarded.with((s) => s.jobOver(id));
-    this.stepNow.poke();
+    this.jobReleaser.over(id);
+    if (this.schedulerLock === null) return;
+    this.schedulerLock.with((s) => s.jobOver(id));
+    this.stepRequested.notify();
   }
 
   private stop(): void {
-    this.guarded = null;
+    this.schedulerLock = null;
     this.shards?.stop();
-    this.pending.clear();
-    this.records.length = 0;
-    this.useless.clear();
+    this.unansweredBatches.clear();
+    this.unrecordedMachines.length = 0;
+    this.staleKeys.clear();
     this.state.setLeading(false);
     this.member.localLeader = null;
     const fibers = this.fibers;
@@ -186,7 +186,7 @@
   readonly sync = (m: SyncRequest): SyncResponse => {
     this.members.set(m.member, { at: now(), ok: m.reachesStateService });
     const term = this.membership.term;
-    const scheduler = this.guarded;
+    const scheduler = this.schedulerLock;
     const base = {
       termNumber: term?.number ?? 0,
       leaderClockMark: now(),
@@ -226,8 +226,9 @@
       );
       for (const x of m.commandResults)
         this.answered(s, x.id, x.outcome, { workerEpoch: x.workerEpoch, sequence: x.sequence });
-      if (m.heartbeats.length + m.storedFinishes.length + m.commandResults.length > 0) this.stepNow.poke();
-      return { ...base, ok: true, progress: this.progressSince(s, m.progressVersion) };
+      if (m.heartbeats.length + m.storedFinishes.length + m.commandResults.length > 0)
+        this.stepRequested.notify();
+      return { ...base, accepted: true, progress: this.progressSince(s, m.progressVersion) };
     });
   };
 
@@ -236,7 +237,7 @@
     const out: JobProgress[] = [];
     for (const id of changed ?? s.cluster.jobs.keys()) {
       const job = s.cluster.jobs.get(id);
-      const tasks = this.ended.get(id);
+      const tasks = this.finishedJobs.get(id);
       if (tasks !== undefined) out.push({ job: id, done: tasks, running: 0, over: true });
       else if (job !== undefined)
         out.push({ job: id, done: job.done.size, running: job.running, over: false });
@@ -263,7 +264,7 @@
 
   // --- taking over -------------------------------------------------------------------------------------
 
-  private readonly takeOver = Effect.gen(this, function* () {
+  private readonly recoverState = Effect.gen(this, function* () {
     const leadership = this.membership.leadership;
     if (leadership === null || !(yield* this.membership.writeTerm)) return;
     const term = this.membership.term!;
@@ -281,30 +282,31 @@
     const scheduler = new Scheduler(this.options, term, leadership.revision, began, this.zones);
     this.progress = new ProgressLog();
     scheduler.cluster.onProgress = (job) => this.progress.changed(job.spec.id);
-    this.blocks = new MachineRecordStore();
+    this.machineRecords = new MachineRecordStore();
     for (const row of machines.rows) {
       const record = (row.value as MachinesRecord).machines;
-      this.blocks.add(row.key, record);
+      this.machineRecords.add(row.key, record);
       for (const [id, machine] of Object.entries(record)) scheduler.recorded(id, machine, began);
     }
-    scheduler.setTypes(this.mirror.types);
-    this.reread = jobs.revision;
+    scheduler.setTypes(this.jobCache.types);
+    this.loadedRevision = jobs.revision;
     for (const row of jobs.rows) {
-      const job = this.mirror.put(row.key, row.value, row.revision);
+      const job = this.jobCache.put(row.key, row.value, row.revision);
       if (typeof job !== "string") scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released);
     }
     for (const row of ranges.rows) {
       const id = row.key.split("/")[1]!;
       if (scheduler.cluster.jobs.has(id)) scheduler.stored(id, (row.value as RangesRecord).ranges);
-      else this.useless.add(row.key);
+      else this.staleKeys.add(row.key);
     }
     // the mirror may have heard of later jobs, and later ends, while the records were read
-    for (const job of this.mirror.jobs.values())
+    for (const job of this.jobCache.jobs.values())
       if (job.revision > jobs.revision) scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released);
-    for (const job of this.mirror.waiting.values()) scheduler.waitingSeen(job.spec, job.accepted);
-    for (const id of [...scheduler.cluster.jobs.keys()]) if (!this.mirror.jobs.has(id)) scheduler.jobOver(id);
-    this.guarded = new Locked(scheduler);
-    this.shards?.begin(this.guarded);
+    for (const job of this.jobCache.waiting.values()) scheduler.waitingSeen(job.spec, job.accepted);
+    for (const id of [...scheduler.cluster.jobs.keys()])
+      if (!this.jobCache.jobs.has(id)) scheduler.jobOver(id);
+    this.schedulerLock = new Locked(scheduler);
+    this.shards?.begin(this.schedulerLock);
     this.state.setLeading(true);
     this.member.localLeader = this.sync;
     this.log.info(
@@ -326,7 +328,7 @@
     yield* this.fork(this.typesLoop);
     yield* this.fork(this.recordLoop(leadership));
     yield* this.fork(this.sweepLoop);
-    yield* this.fork(this.releases.run);
+    yield* this.fork(this.jobReleaser.run);
     yield* this.fork(receiveUpdates(this.state, this.log, this.sync));
     yield* this.fork(this.summaryLoop);
   });
@@ -342,9 +344,9 @@
   private readonly watchMembers = Effect.gen(this, function* () {
     yield* this.membership.changed.wait(Duration.millis(500));
     if (this.membership.leadership === null && !(yield* this.membership.campaign)) return;
-    if (this.guarded === null) yield* this.takeOver;
+    if (this.schedulerLock === null) yield* this.recoverState;
     else if (this.membership.isTermOutdated()) yield* this.renewTerm("members changed");
-    else if (this.guarded.with((s) => s.needsNewTerm)) yield* this.renewTerm("attempt numbers run out");
+    else if (this.schedulerLock.with((s) => s.needsNewTerm)) yield* this.renewTerm("attempt numbers run out");
   }).pipe(
     Effect.catchAll((e) =>
       Effect.zipRight(
@@ -360,7 +362,7 @@
 
   private renewTerm(why: string) {
     return Effect.gen(this, function* () {
-      if (this.guarded === null) return;
+      if (this.schedulerLock === null) return;
       this.log.info({ why }, "new term");
       yield* this.membership.writeTerm;
       yield* Effect.sleep(Duration.millis(200));
@@ -370,17 +372,17 @@
   readonly termChanged = (term: TermRecord): void => {
     this.zones.seen(term, now());
     if (term.leader !== this.options.me) this.stop();
-    else this.guarded?.with((s) => s.renewTerm(term, now()));
-    this.stepNow.poke();
+    else this.schedulerLock?.with((s) => s.renewTerm(term, now()));
+    this.stepRequested.notify();
   };
 
   // --- decisions ---------------------------------------------------------------------------------------
 
   private readonly stepLoop = Effect.gen(this, function* () {
-    yield* this.stepNow.wait(STEP_EVERY);
+    yield* this.stepRequested.wait(STEP_EVERY);
     yield* Effect.sleep(STEP_GATHER);
-    if (this.guarded === null || !this.membership.isActingLeader()) return;
-    const decisions = this.guarded.with((s) => {
+    if (this.schedulerLock === null || !this.membership.isActingLeader()) return;
+    const decisions = this.schedulerLock.with((s) => {
       this.giveUp(s);
       return s.step(now());
     });
@@ -405,7 +407,7 @@
       case "commit":
         return this.commitJob(d.job, d.tasks);
       case "record":
-        return Effect.sync(() => void this.records.push({ id: d.machine, record: d.record }));
+        return Effect.sync(() => void this.unrecordedMachines.push({ id: d.machine, record: d.record }));
       case "rent":
         return this.rent(d);
       case "release":
@@ -425,7 +427,7 @@
     // not used again, also not by a later leader
     const id = (this.membership.term?.number ?? 0) * COMMAND_BATCHES_PER_TERM + ++this.batches;
     const { machine, addr, workerEpoch, fencingToken, commands } = d;
-    this.pending.set(id, { machine, commands, fencingToken, at: now() });
+    this.unansweredBatches.set(id, { machine, commands, fencingToken, at: now() });
     if (commands.length > 0) this.shards?.commandsSent(machine, d.zone);
     if (commands.length > 0 && this.log.isLevelEnabled("debug"))
       this.log.debug(
@@ -442,7 +444,7 @@
   private sendCommands(via: string | null, batches: readonly CommandBatch[]): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const term = this.membership.term;
-      if (term === null || this.guarded === null) return;
+      if (term === null || this.schedulerLock === null) return;
       const sent =
         via === null
           ? "not"
@@ -454,19 +456,19 @@
       // the part's member can't be reached, or may not send: this node sends by itself; questions may be put twice
       const own = sent === "not" ? batches : batches.filter((item) => item.commands.length === 0);
       const local = yield* this.member.deliver({ term, batches: own });
-      this.guarded.with((s) => {
+      this.schedulerLock.with((s) => {
         for (const item of batches)
           if (!own.includes(item)) this.answered(s, item.id, "unknown");
           else if (!local.accepted) this.answered(s, item.id, "barred");
       });
-      this.stepNow.poke();
+      this.stepRequested.notify();
     });
   }
 
   private answered(s: Scheduler, id: number, outcome: CommandOutcome, by?: HeartbeatId): void {
-    const batch = this.pending.get(id);
+    const batch = this.unansweredBatches.get(id);
     if (batch === undefined) return;
-    this.pending.delete(id);
+    this.unansweredBatches.delete(id);
     s.commandsAnswered(batch.machine, batch.commands, batch.fencingToken, outcome, now(), by);
     if (outcome !== "done" && outcome !== "barred")
       this.log.debug(
@@ -476,7 +478,7 @@
   }
 
   private giveUp(s: Scheduler): void {
-    for (const [id, batch] of this.pending) {
+    for (const [id, batch] of this.unansweredBatches) {
       if (!hasElapsed(now(), batch.at, GIVEN_UP_AFTER)) return;
       this.answered(s, id, "unknown");
     }
@@ -496,7 +498,7 @@
           { put: keys.commit(id), value: record },
           { delete: keys.job(id) },
           // a child deletes its fan-in set once it commits
-          ...(this.mirror.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
+          ...(this.jobCache.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
         ],
         "first",
         LEADER_WRITE_TIMEOUT,
@@ -505,22 +507,23 @@
       else this.refusals.accepted("commit of a job", id);
       if (result.ok === true) {
         this.log.info({ job: id, term: this.membership.term?.number }, "done");
-        this.ended.set(id, tasks);
-        if (this.ended.size > MAX_ENDED) this.ended.delete(this.ended.keys().next().value!);
+        this.finishedJobs.set(id, tasks);
+        if (this.finishedJobs.size > MAX_ENDED)
+          this.finishedJobs.delete(this.finishedJobs.keys().next().value!);
         this.progress.changed(id);
         this.member.onDone(id, tasks);
         return;
       }
       // a commit that exists is the outcome for ever, whichever it is
-      if (result.ok === false && result.failed.includes(keys.commit(id))) this.mirror.remove(id);
-      else this.guarded?.with((s) => s.commitFailed(id));
+      if (result.ok === false && result.failed.includes(keys.commit(id))) this.jobCache.remove(id);
+      else this.schedulerLock?.with((s) => s.commitFailed(id));
     }).pipe(
       Effect.catchAll((e) =>
         Effect.gen(this, function* () {
           this.log.info({ job: id, why: e.why }, "commit delayed");
           yield* Effect.sleep(Duration.millis(250));
-          this.guarded?.with((s) => s.commitFailed(id));
-          this.stepNow.poke();
+          this.schedulerLock?.with((s) => s.commitFailed(id));
+          this.stepRequested.notify();
         }),
       ),
     );
@@ -530,15 +533,16 @@
   private recordLoop(leadership: Leadership) {
     return Effect.gen(this, function* () {
       yield* Effect.sleep(Duration.millis(100));
-      const waiting = this.records.slice(0, MAX_IN_BLOCK).map((b) => [b.id, b.record] as const);
+      const waiting = this.unrecordedMachines.slice(0, MAX_IN_BLOCK).map((b) => [b.id, b.record] as const);
       const machines = pack(waiting, this.blockBytes)[0];
       if (machines === undefined) return;
       let count = 0;
-      while (count < this.records.length && this.records[count]!.id in machines) count++;
-      const batch = this.records.splice(0, count);
+      while (count < this.unrecordedMachines.length && this.unrecordedMachines[count]!.id in machines)
+        count++;
+      const batch = this.unrecordedMachines.splice(0, count);
       const key = this.newBlock();
       // also when the answer is lost: what may be written has to be deleted some day
-      this.blocks.add(key, machines);
+      this.machineRecords.add(key, machines);
       const result = yield* this.state
         .commit(
           [
@@ -548,12 +552,12 @@
           [{ put: key, value: { machines } satisfies MachinesRecord }],
         )
         .pipe(Effect.orElseSucceed(() => null));
-      this.guarded?.with((s) => {
+      this.schedulerLock?.with((s) => {
         for (const b of batch)
           if (result?.ok === true) s.recorded(b.id, b.record, now());
           else s.recordFailed(b.id);
       });
-      this.stepNow.poke();
+      this.stepRequested.notify();
       if (result?.ok === true) this.refusals.accepted("record of machines");
       else if (result?.ok === null) {
         this.blockBytes = Math.max(LEAST_BLOCK, Math.floor(this.blockBytes / 2));
@@ -570,26 +574,26 @@
   private readonly sweepLoop = Effect.gen(this, function* () {
     yield* Effect.sleep(SWEEP_EVERY);
     const leadership = this.membership.leadership;
-    if (leadership === null || this.guarded === null) return;
+    if (leadership === null || this.schedulerLock === null) return;
     if (hasElapsed(now(), this.rangesListed, LIST_RANGES_EVERY)) {
       this.rangesListed = now();
       const { rows } = yield* this.state.list(keys.ranges);
-      this.guarded?.with((s) => {
-        for (const row of rows) if (!s.cluster.jobs.has(row.key.split("/")[1]!)) this.useless.add(row.key);
+      this.schedulerLock?.with((s) => {
+        for (const row of rows) if (!s.cluster.jobs.has(row.key.split("/")[1]!)) this.staleKeys.add(row.key);
       });
       // sets of jobs that an earlier version committed, or whose set wasn't known to who committed them: a set is
       // created with its job, so one without is left over
-      for (const id of this.mirror.fanins.keys())
-        if (!this.mirror.isUnfinished(id)) this.useless.add(keys.fanin(id));
+      for (const id of this.jobCache.fanins.keys())
+        if (!this.jobCache.isUnfinished(id)) this.staleKeys.add(keys.fanin(id));
     }
     // a split may need a whole transaction, and so may what is of no more use: each goes first in its turn
     const room = { valueBytes: this.valueBytes, txnBytes: TXN_BYTES, newKey: this.newBlock };
-    const firstDeletes = ++this.sweeps % 2 === 0 ? [...this.useless].slice(0, this.sweepOps) : [];
+    const firstDeletes = ++this.sweeps % 2 === 0 ? [...this.staleKeys].slice(0, this.sweepOps) : [];
     const most = Math.min(MAX_REWRITES, this.sweepOps - firstDeletes.length);
-    const rewrites = this.blocks.changed(most, room, now());
+    const rewrites = this.machineRecords.changed(most, room, now());
     const rewriteOps = rewrites.reduce((sum, r) => sum + opsOf(r), 0);
     const left = this.sweepOps - rewriteOps;
-    const deletes = [...this.useless].slice(0, left);
+    const deletes = [...this.staleKeys].slice(0, left);
     if (deletes.length + rewrites.length === 0) return;
     const created = rewrites.flatMap((r) => r.pieces);
     const result = yield* this.state.commit(
@@ -607,13 +611,13 @@
       "later",
     );
     if (result.ok === null) {
-      this.blocks.refused(rewrites);
+      this.machineRecords.refused(rewrites);
       const [alone, ...others] = rewrites;
       this.sweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
       if (alone !== undefined && others.length + deletes.length === 0) {
         // the same would be refused again, and as the first in line it would hold up all others
         const pause = this.refusals.refused("record of machines gone", result.error, alone.key);
-        this.blocks.putOff(alone.key, plus(now(), pause));
+        this.machineRecords.putOff(alone.key, plus(now(), pause));
         return;
       }
       yield* Effect.sleep(this.refusals.refused("sweep", result.error));
@@ -623,12 +627,12 @@
     for (const { key } of rewrites) this.refusals.accepted("record of machines gone", key);
     if (result.ok) {
       this.sweepOps = Math.min(this.options.txnOps, this.sweepOps + 1);
-      for (const key of deletes) this.useless.delete(key);
-      this.blocks.written(rewrites);
+      for (const key of deletes) this.staleKeys.delete(key);
+      this.machineRecords.written(rewrites);
     } else {
       // a piece that exists: an earlier copy of its split, whose answer was lost, was carried out
       const { failed } = result;
-      this.blocks.written(rewrites.filter((r) => r.pieces.some((p) => failed.includes(p.key))));
+      this.machineRecords.written(rewrites.filter((r) => r.pieces.some((p) => failed.includes(p.key))));
     }
   }).pipe(Effect.ignore, Effect.forever);
 
@@ -636,8 +640,8 @@
 
   private readonly fleetLoop = Effect.gen(this, function* () {
     yield* Effect.sleep(Duration.millis(700));
-    if (this.guarded === null || !this.membership.isActingLeader()) return;
-    for (const d of this.guarded.with((s) => s.stepFleet(now())))
+    if (this.schedulerLock === null || !this.membership.isActingLeader()) return;
+    for (const d of this.schedulerLock.with((s) => s.stepFleet(now())))
       if (d.kind !== "commands") yield* this.fork(this.carryOut(d));
   }).pipe(
     Effect.catchAllCause((cause) =>
@@ -648,17 +652,17 @@
 
   private readonly summaryLoop = Effect.gen(this, function* () {
     yield* Effect.sleep(Duration.seconds(5));
-    this.guarded?.with((s) => this.log.info({ term: s.term.number, ...s.summary(now()) }, "summary"));
+    this.schedulerLock?.with((s) => this.log.info({ term: s.term.number, ...s.summary(now()) }, "summary"));
   }).pipe(Effect.forever);
 
   private rent(d: Extract<Decision, { kind: "rent" }>): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const leadership = this.membership.leadership;
       const term = this.membership.term;
-      if (leadership === null || term === null || this.guarded === null) return;
+      if (leadership === null || term === null || this.schedulerLock === null) return;
       const name = `r-${term.number}-${++this.rentals}`;
       const { type, zone, spot, count } = d.rent;
-      this.guarded.with((s) => s.fleet.outstanding.set(name, { offer: d.rent, count, at: now() }));
+      this.schedulerLock.with((s) => s.fleet.outstanding.set(name, { offer: d.rent, count, at: now() }));
       const record: RentalRecord = { type: type.name, zone, spot, count };
       const stored = yield* this.state
         .commit(
@@ -672,7 +676,7 @@
         yield* Effect.sleep(this.refusals.refused("rental", stored.error));
       if (stored?.ok !== true) {
         // not sent: the name is never used again
-        this.guarded?.with((s) => s.fleet.outstanding.delete(name));
+        this.schedulerLock?.with((s) => s.fleet.outstanding.delete(name));
         return;
       }
       this.log.info({ term: term.number, rental: name, type: type.name, zone, spot, count }, "rents");
@@ -697,10 +701,10 @@
       }
       const got = machines ?? [];
       // sent again under the same name it would only get the same answer: its record can go in its turn
-      this.useless.add(keys.rental(name));
+      this.staleKeys.add(keys.rental(name));
       this.log.info({ rental: name, got: got.length, refused: machines === null }, "rental answered");
-      this.guarded?.with((s) => s.rentalAnswered(name, r, got, now()));
-      this.stepNow.poke();
+      this.schedulerLock?.with((s) => s.rentalAnswered(name, r, got, now()));
+      this.stepRequested.notify();
     });
   }
 
@@ -713,19 +717,19 @@
         "releases",
       );
       // nothing is on an empty machine, and nothing more will start there: a next leader needn't wait for it
-      this.guarded?.with((s) => {
+      this.schedulerLock?.with((s) => {
         for (const id of machines) {
           const m = s.cluster.machines.get(id);
-          if (m !== undefined && m.confirmed && m.attempts.size === 0) this.blocks.remove(id);
+          if (m !== undefined && m.confirmed && m.attempts.size === 0) this.machineRecords.remove(id);
         }
       });
       const gone = yield* this.cloud.release(machines).pipe(
         Effect.as(true),
         Effect.orElseSucceed(() => false),
       );
-      this.guarded?.with((s) => s.releaseAnswered(machines, gone, now()));
-      this.stepNow.poke();
-      if (gone) for (const id of machines) this.blocks.remove(id);
+      this.schedulerLock?.with((s) => s.releaseAnswered(machines, gone, now()));
+      this.stepRequested.notify();
+      if (gone) for (const id of machines) this.machineRecords.remove(id);
     });
   }
 
@@ -737,8 +741,8 @@
 
   private readonly listLoop = Effect.gen(this, function* () {
     const rows = yield* this.cloud.list();
-    this.guarded?.with((s) => s.listed(rows, now()));
-    this.stepNow.poke();
+    this.schedulerLock?.with((s) => s.listed(rows, now()));
+    this.stepRequested.notify();
     yield* Effect.sleep(Duration.max(this.options.listEvery, this.listPause(rows.length)));
   }).pipe(
     Effect.catchAll(() => Effect.sleep(Duration.seconds(1))),
@@ -747,14 +751,14 @@
 
   private readonly typesLoop = Effect.gen(this, function* () {
     const rows = yield* this.cloud.types();
-    const old = this.mirror.types;
-    this.mirror.setTypes(rows);
+    const old = this.jobCache.types;
+    this.jobCache.setTypes(rows);
     const same = (a: typeof old, b: typeof old) =>
       a.length === b.length && a.every((t, i) => t.name === b[i]!.name && t.cpus === b[i]!.cpus);
-    this.typesUnwritten ||= !same(old, this.mirror.types);
+    this.typesUnwritten ||= !same(old, this.jobCache.types);
     const leadership = this.membership.leadership;
     if (leadership !== null && this.typesUnwritten) yield* this.writeTypes(rows, leadership);
-    this.stepNow.poke();
+    this.stepRequested.notify();
     yield* Effect.sleep(Duration.seconds(30));
   }).pipe(
     Effect.catchAll(() => Effect.sleep(Duration.seconds(1))),
@@ -779,9 +783,9 @@
   /** Types that aren't in the state service, being too many for one value: a node that doesn't lead asks as well. */
   private readonly learnTypes = Effect.gen(this, function* () {
     yield* Effect.sleep(TYPES_MISSED);
-    if (this.mirror.types.length > 0 || this.membership.leadership !== null) return;
+    if (this.jobCache.types.length > 0 || this.membership.leadership !== null) return;
     const rows = yield* this.cloud.types();
-    this.mirror.setTypes(rows);
+    this.jobCache.setTypes(rows);
     yield* Effect.sleep(LEARN_TYPES_EVERY);
   }).pipe(
     Effect.catchAll(() => Effect.sleep(LEARN_TYPES_EVERY)),
--- a/src/service/member.ts
+++ b/src/service/member.ts
@@ -53,7 +53,7 @@
 
 export class Member {
   readonly partition: WorkerPartition;
-  private readonly syncNow = new Signal();
+  private readonly syncRequested = new Signal();
   private leaderClockMark = -1;
   private progressVersion = -1;
   private markTerm = 0;
@@ -112,10 +112,10 @@
   }
 
   private wake(): void {
-    if (this.partition.hasUpdate()) this.syncNow.poke();
+    if (this.partition.hasUpdate()) this.syncRequested.notify();
   }
 
-  readonly termChanged = (): void => this.syncNow.poke();
+  readonly termChanged = (): void => this.syncRequested.notify();
 
   /** Commands go out only under the term in force, and only while this node is entitled. */
   deliver(d: CommandDelivery): Effect.Effect<DeliveryReceipt> {
@@ -243,7 +243,7 @@
   }
 
   private readonly syncLoop = Effect.gen(this, function* () {
-    yield* this.syncNow.wait(SYNC_EVERY);
+    yield* this.syncRequested.wait(SYNC_EVERY);
     yield* Effect.sleep(SYNC_GATHER);
     yield* this.syncOnce;
     if (!hasElapsed(now(), this.pruned, PRUNE_EVERY)) return;
--- a/src/service/membership.ts
+++ b/src/service/membership.ts
@@ -66,7 +66,7 @@
   private synced = false;
   /** The revision up to which `rows` miss nothing. */
   private watched = 0;
-  private readonly renewNow = new Signal();
+  private readonly renewalRequested = new Signal();
   private readonly refusals: RejectionBackoff;
   readonly changed = new Signal();
   onTerm: (term: TermRecord) => void = () => undefined;
@@ -138,7 +138,7 @@
 
   /** A message named a higher token than the one known here. */
   observeTerm(token: number): void {
-    if (token > (this.term?.number ?? 0)) this.renewNow.poke();
+    if (token > (this.term?.number ?? 0)) this.renewalRequested.notify();
   }
 
   private setTerm(row: Row | null): void {
@@ -153,7 +153,7 @@
       "term",
     );
     this.onTerm(this.term);
-    this.renewNow.poke();
+    this.renewalRequested.notify();
   }
 
   private stepDown(why: string): void {
@@ -188,7 +188,7 @@
     this.leaseId = leaseId;
     this.incarnation = done.revision;
     this.log.info({ incarnation: this.incarnation }, "joined");
-    this.changed.poke();
+    this.changed.notify();
   });
 
   private readonly renew = Effect.gen(this, function* () {
@@ -227,7 +227,7 @@
     const left = Duration.toMillis(this.timings.renewalInterval) - (now() - began);
     // never in a tight loop, also when poked
     yield* Effect.sleep(Duration.millis(50));
-    if (left > 50) yield* this.renewNow.wait(Duration.millis(left - 50));
+    if (left > 50) yield* this.renewalRequested.wait(Duration.millis(left - 50));
   }).pipe(Effect.forever);
 
   private readonly watchLoop = Effect.gen(this, function* () {
@@ -258,7 +258,7 @@
     const leader = this.rows.get(keys.leader);
     if (this.leadership !== null && leader?.revision !== this.leadership.revision)
       this.stepDown("the leader's key is gone");
-    this.changed.poke();
+    this.changed.notify();
   }
 
   /** The members that hold keys now. */
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -27,7 +27,7 @@
 import type { Membership } from "../membership.js";
 import type { Peers } from "../peers.js";
 import { MoveLog, type MoveOutcome } from "./move-log.js";
-import type { Rehearsal } from "./rehearsal.js";
+import type { ShardMoveExerciser } from "./shard-move-exerciser.js";
 import { ShardLoads } from "./shard-loads.js";
 import type { ShardMember } from "./shard-member.js";
 import type { ShardView } from "./shard-view.js";
@@ -75,7 +75,7 @@
     private readonly membership: Membership,
     private readonly state: StateClient,
     private readonly peers: Peers,
-    private readonly rehearsal: Rehearsal | null,
+    private readonly rehearsal: ShardMoveExerciser | null,
     private readonly log: Log,
   ) {
     this.loads = new ShardLoads(options.reportEvery);
--- a/src/service/shards/rehearsal.ts
+++ b/src/service/shards/shard-move-exerciser.ts
@@ -16,7 +16,7 @@
 const MOVES_OF_DRAIN = 4;
 
 /** Whose turn it is. */
-export class Rehearsal {
+export class ShardMoveExerciser {
   private last: Instant | null = null;
   private turn = 0;
   private drained: string | null = null;
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -126,7 +126,7 @@
       const owner = holder.assignment.ownershipOf(shard)?.owner;
       if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, at);
     }
-    this.changed.poke();
+    this.changed.notify();
   }
 
   private note(change: KeyChange, changes: ShardChange[]): void {
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -15,7 +15,7 @@
 import type { WorkerClient } from "../../io/worker-client.js";
 import type { Membership, MembershipExtension } from "../membership.js";
 import type { Peers, ShardHandlers } from "../peers.js";
-import { Rehearsal } from "./rehearsal.js";
+import { ShardMoveExerciser } from "./shard-move-exerciser.js";
 import { ShardLeader } from "./shard-leader.js";
 import { ShardMember } from "./shard-member.js";
 import { ShardOperator } from "./shard-operator.js";
@@ -92,7 +92,7 @@
       membership,
       state,
       peers,
-      every === null ? null : new Rehearsal(every, me, state),
+      every === null ? null : new ShardMoveExerciser(every, me, state),
       log,
     );
     this.operator = new ShardOperator(me, this.view, this.leader, membership, state, peers);
--- a/src/service/signal.ts
+++ b/src/service/signal.ts
@@ -6,7 +6,7 @@
   private set = false;
   private waiter: (() => void) | null = null;
 
-  poke(): void {
+  notify(): void {
     this.set = true;
     this.waiter?.();
   }
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -12,7 +12,7 @@
 import { StateClient, Unavailable } from "../src/io/state-client.js";
 import { Membership } from "../src/service/membership.js";
 import { JobCache } from "../src/service/job-cache.js";
-import { Status } from "../src/service/status.js";
+import { JobStatusReader } from "../src/service/job-status.js";
 import { StateStandIn } from "./standins.js";
 
 const standIn = new StateStandIn();
@@ -101,10 +101,10 @@
     },
   } as unknown as StateClient;
   // four conditions make batches of two
-  const status = new Status(fake, new JobCache(fake, log), 4, log);
+  const status = new JobStatusReader(fake, new JobCache(fake, log), 4, log);
   const ask = (...ids: string[]) =>
     Effect.runPromise(
-      Effect.forEach(ids, (id) => Effect.either(status.of(id)), { concurrency: "unbounded" }),
+      Effect.forEach(ids, (id) => Effect.either(status.statusOf(id)), { concurrency: "unbounded" }),
     );
   const [first] = await ask("req-9");
   assert.equal(first?._tag, "Left");
@@ -158,8 +158,8 @@
   ] as const)
     mirror.putWaiting(keys.blockedJob(id), record(id, [...awaits]), 1);
   // fewer conditions than the chain is long
-  const status = new Status(fake, mirror, 3, log);
-  const ask = (id: string) => Effect.runPromise(status.of(id));
+  const status = new JobStatusReader(fake, mirror, 3, log);
+  const ask = (id: string) => Effect.runPromise(status.statusOf(id));
   const last = await ask("req-4");
   assert.deepEqual(last, { kind: "final", commit: { outcome: "cancelled", tasks: 2 } });
   assert.deepEqual(written, ["commit/req-4"]);
@@ -173,8 +173,8 @@
   mirrors.push(partly);
   partly.putWaiting(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
   commits.delete("commit/req-4");
-  const behind = new Status(fake, partly, 3, log);
-  const answer = await Effect.runPromise(behind.of("req-8"));
+  const behind = new JobStatusReader(fake, partly, 3, log);
+  const answer = await Effect.runPromise(behind.statusOf("req-8"));
   assert.deepEqual(answer, { kind: "final", commit: { outcome: "cancelled", tasks: 2 } });
   // a parent that is done needn't be asked about again
   commits.set("commit/req-6", { outcome: "done", tasks: 1 });
@@ -216,7 +216,7 @@
 test("a passed-on cancel that is refused comes again after growing pauses, however often it is asked for", async () => {
   const refuses = (written: readonly string[]): boolean => written.includes(keys.commit("req-77"));
   standIn.refuses.add(refuses);
-  const status = new Status(state, new JobCache(state, log), 64, log);
+  const status = new JobStatusReader(state, new JobCache(state, log), 64, log);
   const cancel = () => Effect.runPromise(Effect.either(status.cancelWaiting("req-77", 2)));
   const began = Date.now();
   for (let i = 0; i < 20; i++) assert.equal((await cancel())._tag, "Left");
@@ -238,7 +238,7 @@
     rows.set(keys.commit("req-1"), CANCELLED);
     const last = keys.blockedJob("req-4");
     if (known) mirror.putWaiting(last, rows.get(last), 1);
-    const answer = await Effect.runPromise(new Status(fake, mirror, 64, log).of("req-4"));
+    const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).statusOf("req-4"));
     assert.deepEqual(answer, { kind: "final", commit: CANCELLED }, `the job itself is known: ${known}`);
     assert.ok(rows.has(keys.commit("req-4")) && !rows.has(last));
   }
@@ -257,7 +257,7 @@
   });
   for (const id of Object.keys(CHAIN))
     mirror.putWaiting(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
-  const answer = await Effect.runPromise(new Status(fake, mirror, 64, log).read("req-4"));
+  const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).read("req-4"));
   assert.ok(passedOn);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
 });
@@ -273,7 +273,7 @@
   });
   for (const id of Object.keys(CHAIN))
     mirror.putWaiting(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
-  const answer = await Effect.runPromise(new Status(fake, mirror, 64, log).read("req-4"));
+  const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).read("req-4"));
   assert.ok(ended);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
 });
