--- a/src/core/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -1,13 +1,13 @@
 /** Which machines to rent and to return, given what waits and what is idle. Called about once a second. */
-import { startableTasks } from "./attempt-results.js";
-import type { Job, Machine } from "./cluster.js";
-import type { Decision } from "./decisions.js";
+import { startableTasks } from "../heartbeats/attempt-results.js";
+import type { Job, Machine } from "../cluster/cluster.js";
+import type { Decision } from "../scheduler/decisions.js";
 import type { Autoscaler } from "./autoscaler.js";
-import type { JobQueue } from "./job-queue.js";
-import { tasksWithinLimit } from "./quota.js";
+import type { JobQueue } from "../placement/job-queue.js";
+import { tasksWithinLimit } from "../placement/quota.js";
 import type { ScaleIn } from "./scale-in.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import type { Instant } from "./time.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import type { Instant } from "../time.js";
 
 /** Machines returned in one request. */
 const MAX_RELEASE = 100;
--- a/src/core/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,11 +1,11 @@
 /** How many machines, of which type, where, and of which kind. */
 import * as Duration from "effect/Duration";
-import { type Instant, hasElapsed, plus } from "./time.js";
-import { allowsType, allowsZone } from "./admission.js";
-import type { Cluster, Job, Machine } from "./cluster.js";
-import { occupiesCapacity } from "./cluster.js";
-import { type JobSpec, type MachineType, RANK } from "./records.js";
-import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "./placement.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
+import { allowsType, allowsZone } from "../placement/admission.js";
+import type { Cluster, Job, Machine } from "../cluster/cluster.js";
+import { occupiesCapacity } from "../cluster/cluster.js";
+import { type JobSpec, type MachineType, RANK } from "../records.js";
+import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/placement.js";
 
 export interface Offer {
   readonly type: MachineType;
@@ -73,27 +73,29 @@
     queue: readonly { job: Job; tasks: number }[],
     types: readonly MachineType[],
     now: Instant,
-    isUsable: (m: Machine) => boolean,
+    isUsable: (machine: Machine) => boolean,
   ): ScaleOutRequest[] {
     const rooms: { type: string; zone: string; spot: boolean; room: Capacity; short: Capacity }[] = [];
-    const byName = new Map(types.map((t) => [t.name, t]));
-    for (const m of cluster.machines.values()) {
-      const type = byName.get(m.type);
+    const byName = new Map(types.map((type) => [type.name, type]));
+    for (const machine of cluster.machines.values()) {
+      const type = byName.get(machine.type);
       if (type === undefined) continue;
       const booting =
-        m.lastHeartbeatAt === null &&
-        m.confirmed &&
-        m.releaseRequestedAt === null &&
-        !m.failed &&
-        !hasElapsed(now, m.createdAt, Duration.times(type.boot, 2));
-      if (!isUsable(m) && !booting) continue;
-      const room = booting ? { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb } : freeCapacity(m);
+        machine.lastHeartbeatAt === null &&
+        machine.confirmed &&
+        machine.releaseRequestedAt === null &&
+        !machine.failed &&
+        !hasElapsed(now, machine.createdAt, Duration.times(type.boot, 2));
+      if (!isUsable(machine) && !booting) continue;
+      const room = booting
+        ? { cpus: type.cpus, gpus: type.gpus, memoryGb: type.memoryGb }
+        : freeCapacity(machine);
       const short: Capacity = { cpus: 0, gpus: 0, memoryGb: 0 };
-      for (const attempt of m.attempts.values())
+      for (const attempt of machine.attempts.values())
         if (attempt.spec !== null && attempt.spec.kind !== "service" && occupiesCapacity(attempt))
           reserve(attempt.spec, short, -this.options.reuse);
       if (room.cpus <= 1e-6 && short.cpus <= 1e-6) continue;
-      rooms.push({ type: m.type, zone: m.zone, spot: m.spot, room, short });
+      rooms.push({ type: machine.type, zone: machine.zone, spot: machine.spot, room, short });
     }
     const coming = (offer: Offer, count: number): void => {
       const { cpus, gpus, memoryGb, name } = offer.type;
@@ -195,31 +197,37 @@
     cluster: Cluster,
     types: ReadonlyMap<string, MachineType>,
     now: Instant,
-    isUsable: (m: Machine) => boolean,
+    isUsable: (machine: Machine) => boolean,
   ): Machine[] {
     const idle: Machine[] = [];
-    const patience = (m: Machine): Duration.Duration =>
-      Duration.times(types.get(m.type)?.boot ?? Duration.zero, this.options.idleBoots);
-    for (const m of cluster.machines.values())
-      if (m.idleSince !== null && m.releaseRequestedAt === null && hasElapsed(now, m.idleSince, patience(m)))
-        idle.push(m);
+    const patience = (machine: Machine): Duration.Duration =>
+      Duration.times(types.get(machine.type)?.boot ?? Duration.zero, this.options.idleBoots);
+    for (const machine of cluster.machines.values())
+      if (
+        machine.idleSince !== null &&
+        machine.releaseRequestedAt === null &&
+        hasElapsed(now, machine.idleSince, patience(machine))
+      )
+        idle.push(machine);
     if (idle.length === 0) return [];
-    const rooms = [...cluster.machines.values()].filter(isUsable).map((m) => ({ m, room: freeCapacity(m) }));
+    const rooms = [...cluster.machines.values()]
+      .filter(isUsable)
+      .map((machine) => ({ m: machine, room: freeCapacity(machine) }));
     const needed = new Set<string>();
     // fullest first: what fits beside running work needs no idle machine
     rooms.sort((a, b) => a.room.cpus / a.m.cpus - b.room.cpus / b.m.cpus);
     for (const { spec, tasks } of this.expected(now)) {
       let left = tasks;
-      for (const { m, room } of rooms) {
+      for (const { m: machine, room } of rooms) {
         if (left <= 0) break;
-        if (!allowed(spec, m)) continue;
+        if (!allowed(spec, machine)) continue;
         const n = Math.min(left, tasksThatFit(spec, room));
         if (n <= 0) continue;
         reserve(spec, room, n);
         left -= n;
-        needed.add(m.id);
+        needed.add(machine.id);
       }
     }
-    return idle.filter((m) => !needed.has(m.id));
+    return idle.filter((machine) => !needed.has(machine.id));
   }
 }
--- a/src/core/machine-intake.ts
+++ b/src/core/autoscaling/machine-intake.ts
@@ -1,9 +1,9 @@
 /** Takes in what the leader hears of machines from the state service and the cloud. */
 import * as Duration from "effect/Duration";
-import { addMachine, removeMachine, type Machine, newMachine, setMachine } from "./cluster.js";
-import type { MachineRecord } from "./records.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, plus } from "./time.js";
+import { addMachine, removeMachine, type Machine, newMachine, setMachine } from "../cluster/cluster.js";
+import type { MachineRecord } from "../records.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { type Instant, plus } from "../time.js";
 
 /** A machine as the cloud lists it. */
 export interface ListedMachine {
--- a/src/core/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -1,12 +1,12 @@
 /** Which machines go back to the cloud, and why; and which are drained so that they can. */
 import * as Duration from "effect/Duration";
-import { isWaitingForRoom } from "./attempt-results.js";
-import { type TaskAttempt, type Machine, occupiesCapacity } from "./cluster.js";
-import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "./placement.js";
-import type { LeaseExpiry } from "./lease-expiry.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { isMovableReplica } from "./reconciler.js";
-import { type Instant, minus, hasElapsed, plus } from "./time.js";
+import { isWaitingForRoom } from "../heartbeats/attempt-results.js";
+import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
+import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/placement.js";
+import type { LeaseExpiry } from "../leases/lease-expiry.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { isMovableReplica } from "../scheduler/reconciler.js";
+import { type Instant, minus, hasElapsed, plus } from "../time.js";
 
 /** The cloud's answer to a release, and the start elsewhere. */
 const RELEASE_TAKES = Duration.seconds(3);
@@ -56,10 +56,11 @@
     const out = new Map<string, string[]>();
     const silence = this.silence(now);
     const repeatAfter = this.repeatAfter();
-    for (const m of cluster.machines.values()) {
-      if (m.releaseRequestedAt !== null && !hasElapsed(now, m.releaseRequestedAt, repeatAfter)) continue;
-      const why = this.reason(m, now, silence);
-      if (why !== null) (out.get(why) ?? out.set(why, []).get(why)!).push(m.id);
+    for (const machine of cluster.machines.values()) {
+      if (machine.releaseRequestedAt !== null && !hasElapsed(now, machine.releaseRequestedAt, repeatAfter))
+        continue;
+      const why = this.reason(machine, now, silence);
+      if (why !== null) (out.get(why) ?? out.set(why, []).get(why)!).push(machine.id);
     }
     return out;
   }
@@ -75,14 +76,15 @@
   private silence(now: Instant): Silence {
     const { cluster } = this.scope;
     let silent = 0;
-    for (const m of cluster.byLastHeartbeat) {
-      if (!hasElapsed(now, m.lastHeartbeatAt!, this.scope.fresh)) break;
+    for (const machine of cluster.byLastHeartbeat) {
+      if (!hasElapsed(now, machine.lastHeartbeatAt!, this.scope.fresh)) break;
       silent++;
     }
     let unrenewed = 0;
-    for (const m of cluster.byLastHeartbeat) if (this.scope.isLeaseRenewalOverdue(m, now)) unrenewed++;
+    for (const machine of cluster.byLastHeartbeat)
+      if (this.scope.isLeaseRenewalOverdue(machine, now)) unrenewed++;
     let unheard = 0;
-    for (const m of cluster.unconfirmed) if (m.lastHeartbeatAt === null) unheard++;
+    for (const machine of cluster.unconfirmed) if (machine.lastHeartbeatAt === null) unheard++;
     return {
       heard: cluster.byLastHeartbeat.size,
       silent,
@@ -92,15 +94,17 @@
     };
   }
 
-  private reason(m: Machine, now: Instant, silence: Silence): string | null {
+  private reason(machine: Machine, now: Instant, silence: Silence): string | null {
     const { termBegan, fresh, cluster, options } = this.scope;
-    if (m.releaseRequestedAt !== null) return "repeat";
-    if (m.failed) return "failed";
+    if (machine.releaseRequestedAt !== null) return "repeat";
+    if (machine.failed) return "failed";
     const few = (n: number, of: number): boolean => n <= Math.max(2, of * MANY);
-    if (m.lastHeartbeatAt === null) {
-      if (m.confirmed) {
-        const boot = this.scope.typeByName.get(m.type)?.boot ?? Duration.seconds(60);
-        return hasElapsed(now, m.createdAt, Duration.times(boot, BOOT_PATIENCE)) ? "never came up" : null;
+    if (machine.lastHeartbeatAt === null) {
+      if (machine.confirmed) {
+        const boot = this.scope.typeByName.get(machine.type)?.boot ?? Duration.seconds(60);
+        return hasElapsed(now, machine.createdAt, Duration.times(boot, BOOT_PATIENCE))
+          ? "never came up"
+          : null;
       }
       // until it is gone, nothing that it may hold can start
       const { heartbeatInterval } = options.timings;
@@ -108,12 +112,12 @@
         const some = silence.unheard > Math.max(2, cluster.machines.size * SOME);
         const patience = Duration.sum(
           some ? this.movesOn : heartbeatInterval,
-          m.unansweredBatches >= 3 ? Duration.zero : heartbeatInterval,
+          machine.unansweredBatches >= 3 ? Duration.zero : heartbeatInterval,
         );
         return hasElapsed(now, termBegan, patience) ? "silent since take-over" : null;
       }
       // a zone whose members went before this leader began: its machines' leases have run since then at the latest
-      const lost = this.scope.zones.lostSince(m.zone);
+      const lost = this.scope.zones.lostSince(machine.zone);
       const over =
         lost === null
           ? plus(termBegan, Duration.min(Duration.times(heartbeatInterval, 5), this.almostALease))
@@ -125,10 +129,10 @@
         ? "silent since take-over"
         : null;
     }
-    if (hasElapsed(now, m.lastHeartbeatAt, fresh)) {
-      const silentFor = now - m.lastHeartbeatAt;
+    if (hasElapsed(now, machine.lastHeartbeatAt, fresh)) {
+      const silentFor = now - machine.lastHeartbeatAt;
       // a part whose member is silent too, or left, looks like a cut, not like a dead machine
-      const word = m.relayedBy === null ? null : this.proof.lastUpdateAt(m.relayedBy);
+      const word = machine.relayedBy === null ? null : this.proof.lastUpdateAt(machine.relayedBy);
       const cut = word === null || hasElapsed(now, word, Duration.seconds(4));
       const soon = Duration.toMillis(fresh) + 1000;
       // behind a cut its tasks go on until its lease ends; nothing is won by ending them much sooner, but once the lease
@@ -137,7 +141,9 @@
       const almostALease = Math.max(soon + 3000, Duration.toMillis(this.almostALease));
       const many = !few(silence.silent, silence.heard);
       const patience =
-        cut || (many && m.unansweredBatches < DEAF_AFTER) ? almostALease : soon + this.doubtful(m, many);
+        cut || (many && machine.unansweredBatches < DEAF_AFTER)
+          ? almostALease
+          : soon + this.doubtful(machine, many);
       // when members change, their workers have yet to find another one, and this node has its hands full: questions of
       // its own that time out then say little
       const some = silence.silent > Math.max(2, silence.heard * SOME);
@@ -145,28 +151,29 @@
       return silentFor >= patience && now - termBegan >= settled ? "silent" : null;
     }
     // nothing is won by ending its tasks much sooner than its lease does; a release lets them start elsewhere then
-    const unrenewed = m.leaseRenewedAt !== null && hasElapsed(now, m.leaseRenewedAt, this.almostALease);
+    const unrenewed =
+      machine.leaseRenewedAt !== null && hasElapsed(now, machine.leaseRenewedAt, this.almostALease);
     if (unrenewed && hasElapsed(now, termBegan, this.almostALease) && few(silence.unrenewed, silence.heard))
       return "reaches no controller";
     // its heartbeats arrive, but nothing that we say does: a release is what it needs, and the proof that it is over
     if (
-      m.unreachableSince !== null &&
-      m.unansweredBatches >= DEAF_AFTER &&
+      machine.unreachableSince !== null &&
+      machine.unansweredBatches >= DEAF_AFTER &&
       few(silence.mute, silence.heard)
     ) {
-      const since = Math.max(m.unreachableSince, termBegan) as Instant;
+      const since = Math.max(machine.unreachableSince, termBegan) as Instant;
       if (hasElapsed(now, since, Duration.times(options.timings.heartbeatInterval, 2))) return "doesn't hear";
     }
-    if (m.draining && m.attempts.size === 0 && !m.commandsInFlight) return "drained";
-    if (m.cordonedAt !== null && ![...m.attempts.values()].some(occupiesCapacity))
-      return m.cordonedAsSlow ? "slow" : "fails tasks";
+    if (machine.draining && machine.attempts.size === 0 && !machine.commandsInFlight) return "drained";
+    if (machine.cordonedAt !== null && ![...machine.attempts.values()].some(occupiesCapacity))
+      return machine.cordonedAsSlow ? "slow" : "fails tasks";
     return null;
   }
 
   /** How much longer than usual a silent machine gets: with one way asked, or none yet, the fault may be on our side. */
-  private doubtful(m: Machine, many: boolean): number {
-    if (m.unansweredBatches >= 2) return many ? 3000 : 0;
-    return m.unansweredBatches === 1 ? 3000 : 8000;
+  private doubtful(machine: Machine, many: boolean): number {
+    if (machine.unansweredBatches >= 2) return many ? 3000 : 0;
+    return machine.unansweredBatches === 1 ? 3000 : 8000;
   }
 
   /**
@@ -176,51 +183,52 @@
    */
   consolidate(now: Instant, expectedCpus: number): void {
     const { cluster } = this.scope;
-    const draining = [...cluster.machines.values()].filter((m) => m.draining);
+    const draining = [...cluster.machines.values()].filter((machine) => machine.draining);
     if ([...cluster.pendingJobs].some((job) => job.spec.kind !== "service" && isWaitingForRoom(job, now))) {
-      for (const m of draining) m.draining = false;
+      for (const machine of draining) machine.draining = false;
       if (draining.length > 0) cluster.capacityVersion++;
       return;
     }
-    const ready = [...cluster.byLastHeartbeat].filter((m) => this.scope.usable(m, now));
-    const price = (m: Machine): number => {
-      const type = this.scope.typeByName.get(m.type);
-      return type === undefined ? 0 : m.spot ? type.spotPrice : type.price;
+    const ready = [...cluster.byLastHeartbeat].filter((machine) => this.scope.usable(machine, now));
+    const price = (machine: Machine): number => {
+      const type = this.scope.typeByName.get(machine.type);
+      return type === undefined ? 0 : machine.spot ? type.spotPrice : type.price;
     };
     let free = 0;
     let used = 0;
-    for (const m of ready) {
-      free += m.cpus - m.used.cpus;
-      used += m.used.cpus;
+    for (const machine of ready) {
+      free += machine.cpus - machine.used.cpus;
+      used += machine.used.cpus;
     }
-    const wasted = (m: Machine): number => price(m) * (1 - m.used.cpus / m.cpus);
+    const wasted = (machine: Machine): number => price(machine) * (1 - machine.used.cpus / machine.cpus);
     const candidates = ready
-      .filter((m) => m.attempts.size > 0 && m.used.cpus <= m.cpus / 2)
-      .map((m) => ({ m, wasted: wasted(m) }))
+      .filter((machine) => machine.attempts.size > 0 && machine.used.cpus <= machine.cpus / 2)
+      .map((machine) => ({ m: machine, wasted: wasted(machine) }))
       .sort((a, b) => b.wasted - a.wasted);
     const others = ready
-      .filter((x) => cluster.capacityIndex.has(x) && x.attempts.size > 0)
-      .map((x) => ({ x, room: freeCapacity(x) }));
+      .filter((machine) => cluster.capacityIndex.has(machine) && machine.attempts.size > 0)
+      .map((machine) => ({ x: machine, room: freeCapacity(machine) }));
     const keep = expectedCpus + used * SPARE;
-    let moving = draining.filter((m) => [...m.attempts.values()].some(isReplica)).length;
+    let moving = draining.filter((machine) => [...machine.attempts.values()].some(isReplica)).length;
     const mayMove = Math.max(1, cluster.machines.size * MOVING_AT_ONCE);
     let some = Math.max(DRAINED_IN_A_STEP, cluster.machines.size * SHARE_DRAINED_IN_A_STEP);
-    for (const { m } of candidates) {
+    for (const { m: machine } of candidates) {
       if (some <= 0) return;
-      const replicas = [...m.attempts.values()].filter(isReplica);
+      const replicas = [...machine.attempts.values()].filter(isReplica);
       // what it holds goes elsewhere, or comes back elsewhere
-      if (free - m.cpus < keep) continue;
-      if (replicas.length > 0 && (moving >= mayMove || !this.canMove(m, replicas, others, now))) continue;
+      if (free - machine.cpus < keep) continue;
+      if (replicas.length > 0 && (moving >= mayMove || !this.canMove(machine, replicas, others, now)))
+        continue;
       if (replicas.length > 0) moving++;
-      free -= m.cpus;
+      free -= machine.cpus;
       some--;
-      m.draining = true;
-      cluster.reconcileQueue.add(m);
+      machine.draining = true;
+      cluster.reconcileQueue.add(machine);
     }
   }
 
   private canMove(
-    m: Machine,
+    machine: Machine,
     replicas: readonly TaskAttempt[],
     others: readonly { x: Machine; room: Capacity }[],
     now: Instant,
@@ -231,7 +239,7 @@
       if (!this.scope.cluster.jobs.has(attempt.job)) return false;
       const to = others.find(
         ({ x, room }) =>
-          x !== m &&
+          x !== machine &&
           !x.draining &&
           x.images.has(spec.image) &&
           allowed(spec, x) &&
--- a/src/core/capacity-index.ts
+++ b/src/core/cluster/capacity-index.ts
@@ -6,22 +6,22 @@
   private readonly at = new Map<Machine, number>();
 
   /** `cpus`: what is free; nothing, if it has no room. */
-  set(m: Machine, cpus: number): void {
+  set(machine: Machine, cpus: number): void {
     const bucket = cpus <= 1e-6 ? -1 : Math.floor(cpus + 1e-6);
-    const before = this.at.get(m) ?? -1;
+    const before = this.at.get(machine) ?? -1;
     if (bucket === before) return;
-    this.buckets[before]?.delete(m);
+    this.buckets[before]?.delete(machine);
     if (bucket < 0) {
-      this.at.delete(m);
+      this.at.delete(machine);
       return;
     }
     while (this.buckets.length <= bucket) this.buckets.push(new Set());
-    this.buckets[bucket]!.add(m);
-    this.at.set(m, bucket);
+    this.buckets[bucket]!.add(machine);
+    this.at.set(machine, bucket);
   }
 
-  has(m: Machine): boolean {
-    return this.at.has(m);
+  has(machine: Machine): boolean {
+    return this.at.has(machine);
   }
 
   /** Those with at least so many processors free, give or take one. */
--- a/src/core/cluster-attempts.ts
+++ b/src/core/cluster/cluster-attempts.ts
@@ -12,7 +12,7 @@
   type Machine,
   occupiesCapacity,
 } from "./cluster-state.js";
-import { type JobSpec, RANK } from "./records.js";
+import { type JobSpec, RANK } from "../records.js";
 
 type Sign = 1 | -1;
 
--- a/src/core/cluster-indices.ts
+++ b/src/core/cluster/cluster-indices.ts
@@ -1,6 +1,6 @@
 /** Keeps the indices of `Cluster` that follow from the fields of one machine or one job. Internal to `cluster-*`. */
 import type { Cluster, TaskAttempt, Job, Machine } from "./cluster-state.js";
-import { CAPACITY_EPSILON } from "./quota.js";
+import { CAPACITY_EPSILON } from "../placement/quota.js";
 
 /** The machine that an attempt is on. A machine is dropped only after its attempts, so there always is one. */
 export const machineOf = (cluster: Cluster, attempt: TaskAttempt): Machine => {
--- a/src/core/cluster-jobs.ts
+++ b/src/core/cluster/cluster-jobs.ts
@@ -2,8 +2,8 @@
 import { addAttempt, removeAttempt } from "./cluster-attempts.js";
 import { machineOf, removePending, scheduleReconciliation } from "./cluster-indices.js";
 import { type Cluster, type Job, newJob } from "./cluster-state.js";
-import type { JobSpec } from "./records.js";
-import type { Instant } from "./time.js";
+import type { JobSpec } from "../records.js";
+import type { Instant } from "../time.js";
 
 /** Adds a released job, and gives it the attempts that machines reported before its record was read. */
 export const addJob = (
--- a/src/core/cluster-machines.ts
+++ b/src/core/cluster/cluster-machines.ts
@@ -2,7 +2,7 @@
 import { removeAttempt } from "./cluster-attempts.js";
 import { indexMachine } from "./cluster-indices.js";
 import type { Cluster, Machine } from "./cluster-state.js";
-import type { Instant } from "./time.js";
+import type { Instant } from "../time.js";
 
 type Writable<T> = { -readonly [K in keyof T]: T[K] };
 
--- a/src/core/cluster-state.ts
+++ b/src/core/cluster/cluster-state.ts
@@ -4,10 +4,10 @@
  * indices of `Cluster` consistent.
  */
 import { CapacityIndex } from "./capacity-index.js";
-import type { Usage } from "./quota.js";
-import { RangeSet } from "./ranges.js";
-import { type JobSpec, type MachineRecord, RANK, type TaskState, type ExitReason } from "./records.js";
-import { type Instant, plus } from "./time.js";
+import type { Usage } from "../placement/quota.js";
+import { RangeSet } from "../ranges.js";
+import { type JobSpec, type MachineRecord, RANK, type TaskState, type ExitReason } from "../records.js";
+import { type Instant, plus } from "../time.js";
 
 /** Identifies one message of a worker: messages of one session are numbered, and a newer epoch is newer than all. */
 export interface HeartbeatId {
--- a/src/core/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -10,14 +10,14 @@
   attemptKey,
   type Machine,
   machineOf,
-} from "./cluster.js";
-import { isSameOrNewer, removeAttempt, type HeartbeatId } from "./cluster.js";
-import type { Decision, CommandOutcome } from "./decisions.js";
+} from "../cluster/cluster.js";
+import { isSameOrNewer, removeAttempt, type HeartbeatId } from "../cluster/cluster.js";
+import type { Decision, CommandOutcome } from "../scheduler/decisions.js";
 import type { PendingCommands } from "./pending-commands.js";
-import type { Command } from "./records.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { termNumberOf, fencingTokenOf } from "./term.js";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import type { Command } from "../records.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { termNumberOf, fencingTokenOf } from "../leases/term.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 const ASK_AGAIN = Duration.seconds(1);
 /** Behind a cut there may be hundreds that can't answer: after a few questions each is asked less often. */
@@ -143,7 +143,7 @@
     const wanted = [...new Set(this.toAsk(now))].filter((machine) => this.mayAsk(machine, now));
     if (wanted.length <= most) return wanted;
     const askedAt = (machine: Machine): number => machine.probedAt ?? -Infinity;
-    return wanted.sort((a, b) => askedAt(a) - askedAt(b)).slice(0, most);
+    return wanted.sort((machine, b) => askedAt(machine) - askedAt(b)).slice(0, most);
   }
 
   /** Machines whose report is wanted; some come up more than once. */
--- a/src/core/pending-commands.ts
+++ b/src/core/commands/pending-commands.ts
@@ -1,7 +1,7 @@
 /** The orders that one step decides on, by machine. */
 import * as Duration from "effect/Duration";
-import type { TaskAttempt } from "./cluster.js";
-import type { Command } from "./records.js";
+import type { TaskAttempt } from "../cluster/cluster.js";
+import type { Command } from "../records.js";
 
 export class PendingCommands {
   readonly commands = new Map<string, Command[]>();
--- a/src/core/attempt-results.ts
+++ b/src/core/heartbeats/attempt-results.ts
@@ -1,8 +1,8 @@
 /** What the reported states of attempts say about their machine and their job: cached images, failures, retries. */
 import * as Duration from "effect/Duration";
-import type { Cluster, TaskAttempt, Job, Machine } from "./cluster.js";
-import type { JobSpec } from "./records.js";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import type { Cluster, TaskAttempt, Job, Machine } from "../cluster/cluster.js";
+import type { JobSpec } from "../records.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** A job that failed on so many machines, and completed nowhere, is probably at fault itself. */
 const SUSPECT_AFTER = 3;
--- a/src/core/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -13,15 +13,15 @@
   removeAttempt,
   setMachine,
   scheduleReconciliation,
-} from "./cluster.js";
-import type { TaskAttempt, Machine } from "./cluster.js";
-import { finishTask } from "./job-intake.js";
-import type { MachineIntake } from "./machine-intake.js";
+} from "../cluster/cluster.js";
+import type { TaskAttempt, Machine } from "../cluster/cluster.js";
+import { finishTask } from "../jobs/job-intake.js";
+import type { MachineIntake } from "../autoscaling/machine-intake.js";
 import type { SlowMachineDetector } from "./slow-machine-detector.js";
-import type { TaskStatus, Heartbeat } from "./records.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { termNumberOf } from "./term.js";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import type { TaskStatus, Heartbeat } from "../records.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { termNumberOf } from "../leases/term.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** Heartbeats that come later than so many intervals after the last one say nothing about when tasks began and ended. */
 const IN_TIME = 1.5;
--- a/src/core/slow-machine-detector.ts
+++ b/src/core/heartbeats/slow-machine-detector.ts
@@ -3,10 +3,10 @@
  * empty, and what is overdue there starts anew elsewhere, once.
  */
 import * as Duration from "effect/Duration";
-import { type TaskAttempt, type Job, type Machine } from "./cluster.js";
-import type { PendingCommands } from "./pending-commands.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, hasElapsed } from "./time.js";
+import { type TaskAttempt, type Job, type Machine } from "../cluster/cluster.js";
+import type { PendingCommands } from "../commands/pending-commands.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { type Instant, hasElapsed } from "../time.js";
 
 /** Tasks of one job differ by half, machines by a tenth; early finishers are the short ones. */
 const SLOW = 2.2;
@@ -29,11 +29,11 @@
   }
 
   /** A running task was seen to be done. */
-  done(m: Machine, attempt: TaskAttempt, now: Instant): void {
+  done(machine: Machine, attempt: TaskAttempt, now: Instant): void {
     if (attempt.spec?.kind !== "array" || attempt.runningSince === null) return;
     const ms = now - attempt.runningSince;
     const job = this.scope.cluster.jobs.get(attempt.job);
-    if (job !== undefined && this.isOverdue(job, ms)) this.setAside(m, now);
+    if (job !== undefined && this.isOverdue(job, ms)) this.setAside(machine, now);
     const row = this.ran.get(attempt.job);
     if (row === undefined) this.ran.set(attempt.job, { tasks: 1, ms });
     else {
@@ -48,14 +48,14 @@
     return ms > (row.ms / row.tasks) * SLOW;
   }
 
-  private setAside(m: Machine, now: Instant): boolean {
-    if (m.cordonedAsSlow) return true;
+  private setAside(machine: Machine, now: Instant): boolean {
+    if (machine.cordonedAsSlow) return true;
     const { cluster } = this.scope;
     let slow = 0;
-    for (const x of cluster.byLastHeartbeat) if (x.cordonedAsSlow) slow++;
+    for (const machine of cluster.byLastHeartbeat) if (machine.cordonedAsSlow) slow++;
     if (slow + 1 > Math.max(2, cluster.byLastHeartbeat.size * MOST)) return false;
-    m.cordonedAsSlow = true;
-    m.cordonedAt ??= now;
+    machine.cordonedAsSlow = true;
+    machine.cordonedAt ??= now;
     return true;
   }
 
@@ -71,15 +71,15 @@
         for (const attempt of attempts) {
           if (attempt.state !== "running" || attempt.stopping || attempt.runningSince === null) continue;
           if (!this.isOverdue(job, now - attempt.runningSince)) continue;
-          const m = cluster.machines.get(attempt.machine)!;
+          const machine = cluster.machines.get(attempt.machine)!;
           // a silent machine is another matter; so is a task that was slow before
           if (
-            m.commandsInFlight ||
-            m.lastHeartbeatAt === null ||
-            hasElapsed(now, m.lastHeartbeatAt, this.scope.fresh)
+            machine.commandsInFlight ||
+            machine.lastHeartbeatAt === null ||
+            hasElapsed(now, machine.lastHeartbeatAt, this.scope.fresh)
           )
             continue;
-          if (!this.setAside(m, now) || this.wasRenewed(id, attempt.index)) continue;
+          if (!this.setAside(machine, now) || this.wasRenewed(id, attempt.index)) continue;
           pendingCommands.stop(attempt);
         }
     }
--- a/src/core/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -5,8 +5,8 @@
  * goes no further up than values change.
  */
 import * as Duration from "effect/Duration";
-import { type JobSpec, RANK } from "./records.js";
-import { type Instant, minus, plus } from "./time.js";
+import { type JobSpec, RANK } from "../records.js";
+import { type Instant, minus, plus } from "../time.js";
 
 /** How much longer than estimated a job's longest task may run; and what its place in the queue and its image take. */
 const LONGEST_TASK = 1.5;
--- a/src/core/fanin.ts
+++ b/src/core/jobs/fanin.ts
@@ -2,7 +2,7 @@
  * The paper's fan-in, for jobs that wait for others: each parent's commit joins the waiting job's set, and the add that
  * fills it releases the job. Pure: who is open or over comes in, what is to be written comes out.
  */
-import type { Outcome } from "./records.js";
+import type { Outcome } from "../records.js";
 
 /** What is known of a parent. `unknown`: it isn't among the unfinished jobs, and its commit wasn't read yet. */
 export type ParentState = "open" | Outcome | "unknown";
--- a/src/core/job-intake.ts
+++ b/src/core/jobs/job-intake.ts
@@ -6,11 +6,11 @@
   markFinished,
   type Job,
   scheduleReconciliation,
-} from "./cluster.js";
+} from "../cluster/cluster.js";
 import { DependencyGraph } from "./dependency-graph.js";
-import type { Range } from "./ranges.js";
-import type { JobSpec } from "./records.js";
-import type { Instant } from "./time.js";
+import type { Range } from "../ranges.js";
+import type { JobSpec } from "../records.js";
+import type { Instant } from "../time.js";
 
 /** Marks a task as finished. The tasks of a gang complete together: if one is done, so are all. */
 export const finishTask = (cluster: Cluster, job: Job, index: number): void => {
--- a/src/core/lease-expiry.ts
+++ b/src/core/leases/lease-expiry.ts
@@ -3,9 +3,9 @@
  * answered its worker for a whole lease (S3 in docs/design.md).
  */
 import * as Duration from "effect/Duration";
-import { type Machine, occupiesCapacity, removeAttempt, setMachine } from "./cluster.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, hasElapsed, plus, withClockDrift } from "./time.js";
+import { type Machine, occupiesCapacity, removeAttempt, setMachine } from "../cluster/cluster.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { type Instant, hasElapsed, plus, withClockDrift } from "../time.js";
 
 /** What a member vouches for: when it last answered each worker, as of an instant of the leader's clock. */
 interface LeaseAcknowledgements {
@@ -66,26 +66,26 @@
   step(now: Instant): void {
     const { cluster, options } = this.scope;
     const silent = new Set<Machine>();
-    for (const m of cluster.unconfirmed) if (m.lastHeartbeatAt === null) silent.add(m);
-    for (const m of cluster.byLastHeartbeat) {
-      if (!hasElapsed(now, m.lastHeartbeatAt!, options.timings.workerLease)) break;
-      silent.add(m);
+    for (const machine of cluster.unconfirmed) if (machine.lastHeartbeatAt === null) silent.add(machine);
+    for (const machine of cluster.byLastHeartbeat) {
+      if (!hasElapsed(now, machine.lastHeartbeatAt!, options.timings.workerLease)) break;
+      silent.add(machine);
     }
-    for (const m of silent) {
-      const open = !m.confirmed || [...m.attempts.values()].some(occupiesCapacity);
-      if (open && this.isOver(m)) {
-        setMachine(cluster, m, { confirmed: true });
-        m.commandsInFlight = false;
-        for (const attempt of [...m.attempts.values()]) removeAttempt(cluster, attempt);
+    for (const machine of silent) {
+      const open = !machine.confirmed || [...machine.attempts.values()].some(occupiesCapacity);
+      if (open && this.isOver(machine)) {
+        setMachine(cluster, machine, { confirmed: true });
+        machine.commandsInFlight = false;
+        for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
       }
     }
   }
 
-  private isOver(m: Machine): boolean {
+  private isOver(machine: Machine): boolean {
     const { timings } = this.scope.options;
     let last = plus(this.scope.termBegan, timings.fencingWindow);
     for (const vouch of this.acknowledgements.values()) {
-      const at = vouch.answered.get(m.id);
+      const at = vouch.answered.get(machine.id);
       if (at !== undefined && at > last) last = at;
     }
     const over = plus(last, Duration.sum(withClockDrift(timings.workerLease), Duration.seconds(1)));
--- a/src/core/term.ts
+++ b/src/core/leases/term.ts
@@ -1,8 +1,8 @@
 /** Who leads, how long a node may act, and which member takes care of which machine. */
 import * as Duration from "effect/Duration";
 import { rendezvousOwner } from "#shards";
-import { type Instant, hasElapsed, withClockDrift } from "./time.js";
-import type { TermMember, TermRecord } from "./records.js";
+import { type Instant, hasElapsed, withClockDrift } from "../time.js";
+import type { TermMember, TermRecord } from "../records.js";
 
 /** Every span that the safety argument of docs/design.md names, derived from the platform's settings. */
 export interface LeaseTimings {
@@ -64,9 +64,9 @@
   rendezvousOwner(term.members, machine, zone);
 
 /** The members that hold keys now make a new term when they differ from the ones the term names. */
-export const sameMembers = (a: readonly TermMember[], b: readonly TermMember[]): boolean =>
-  a.length === b.length &&
-  a.every((m) => b.some((n) => n.name === m.name && n.incarnation === m.incarnation));
+export const sameMembers = (members: readonly TermMember[], b: readonly TermMember[]): boolean =>
+  members.length === b.length &&
+  members.every((member) => b.some((n) => n.name === member.name && n.incarnation === member.incarnation));
 
 /** Since when every other node's word stands that it knows of no newer term; null: not every one's does. */
 export const oldestPeerConfirmation = (
--- a/src/core/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -4,9 +4,9 @@
  */
 import * as Duration from "effect/Duration";
 import type { StoredFinishes } from "./member-update.js";
-import { type Range, RangeSet, windows } from "./ranges.js";
-import { keys } from "./records.js";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import { type Range, RangeSet, windows } from "../ranges.js";
+import { keys } from "../records.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 const GIVE_UP_AFTER = Duration.seconds(30);
 /** A write that the state service refuses as it is gives way to other jobs' for so long. */
@@ -56,19 +56,19 @@
 
   /** Another leader knows of none of them. */
   tellAllAnew(): void {
-    for (const [job, f] of this.finishes)
-      if (f.stored.size > 0) {
-        f.untold = RangeSet.of(f.stored.ranges());
+    for (const [job, finishes] of this.finishes)
+      if (finishes.stored.size > 0) {
+        finishes.untold = RangeSet.of(finishes.stored.ranges());
         this.untold.add(job);
       }
   }
 
   /** A worker reported a task as done. */
   finished(job: string, index: number, now: Instant): void {
-    let f = this.finishes.get(job);
-    if (f === undefined) {
+    let finishes = this.finishes.get(job);
+    if (finishes === undefined) {
       if (this.finishes.size >= MAX_JOBS) return;
-      f = {
+      finishes = {
         known: new RangeSet(),
         stored: new RangeSet(),
         untold: new RangeSet(),
@@ -78,11 +78,11 @@
         refused: false,
         unanswered: 0,
       };
-      this.finishes.set(job, f);
+      this.finishes.set(job, finishes);
     }
-    if (f.known.has(index)) return;
-    f.known.add(index);
-    f.since ??= now;
+    if (finishes.known.has(index)) return;
+    finishes.known.add(index);
+    finishes.since ??= now;
     this.unstored.add(job);
   }
 
@@ -104,24 +104,25 @@
     const refused = [...this.unstored].filter((job) => this.finishes.get(job)!.refused);
     const others = [...this.unstored].filter((job) => !this.finishes.get(job)!.refused);
     for (const job of [...others, ...refused]) {
-      const f = this.finishes.get(job)!;
-      if (room <= 0 || (f.refused && out.length > 0)) break;
-      if (f.writing || f.since === null || !hasElapsed(now, f.since, this.gather)) continue;
-      if (f.refused) room = 1;
+      const finishes = this.finishes.get(job)!;
+      if (room <= 0 || (finishes.refused && out.length > 0)) break;
+      if (finishes.writing || finishes.since === null || !hasElapsed(now, finishes.since, this.gather))
+        continue;
+      if (finishes.refused) room = 1;
       if (!isOpen(job)) {
-        if (hasElapsed(now, f.since, GIVE_UP_AFTER)) this.jobOver(job);
+        if (hasElapsed(now, finishes.since, GIVE_UP_AFTER)) this.jobOver(job);
         continue;
       }
       const puts: Writing["puts"] = [];
       // a write without an answer may be carried out after newer ones: no later one goes to its key
-      const by = f.unanswered === 0 ? writer : `${writer}.${f.unanswered}`;
-      for (const [chunk, ranges] of windows(f.known.ranges(), this.valueBytes)) {
+      const by = finishes.unanswered === 0 ? writer : `${writer}.${finishes.unanswered}`;
+      for (const [chunk, ranges] of windows(finishes.known.ranges(), this.valueBytes)) {
         const text = JSON.stringify(ranges);
-        if (f.written.get(chunk) !== text && puts.length < room)
+        if (finishes.written.get(chunk) !== text && puts.length < room)
           puts.push({ key: keys.rangesOf(job, by, chunk), chunk, text, ranges });
       }
       if (puts.length === 0) continue;
-      f.writing = true;
+      finishes.writing = true;
       room -= puts.length;
       out.push({ job, puts });
     }
@@ -129,30 +130,30 @@
   }
 
   /** The answer to one job's writes. */
-  storeAnswered(w: Writing, result: StoreResult, now: Instant): void {
-    const f = this.finishes.get(w.job);
-    if (f === undefined) return;
-    f.writing = false;
-    if (result === "over") this.jobOver(w.job);
-    if (result === "failed") f.unanswered++;
+  storeAnswered(write: Writing, result: StoreResult, now: Instant): void {
+    const finishes = this.finishes.get(write.job);
+    if (finishes === undefined) return;
+    finishes.writing = false;
+    if (result === "over") this.jobOver(write.job);
+    if (result === "failed") finishes.unanswered++;
     if (result === "refused") {
-      f.refused = true;
-      f.since = plus(now, REFUSED_PAUSE);
+      finishes.refused = true;
+      finishes.since = plus(now, REFUSED_PAUSE);
     }
     if (result !== "stored") return;
-    f.refused = false;
-    for (const put of w.puts) {
-      f.written.set(put.chunk, put.text);
+    finishes.refused = false;
+    for (const put of write.puts) {
+      finishes.written.set(put.chunk, put.text);
       for (const [from, to] of put.ranges)
         for (let n = from; n < to; n++)
-          if (!f.stored.has(n)) {
-            f.stored.add(n);
-            f.untold.add(n);
+          if (!finishes.stored.has(n)) {
+            finishes.stored.add(n);
+            finishes.untold.add(n);
           }
     }
-    this.untold.add(w.job);
-    f.since = f.known.size > f.stored.size ? now : null;
-    if (f.since === null) this.unstored.delete(w.job);
+    this.untold.add(write.job);
+    finishes.since = finishes.known.size > finishes.stored.size ? now : null;
+    if (finishes.since === null) this.unstored.delete(write.job);
   }
 
   /** Stored finishes that the leader hasn't heard of, in up to `most` ranges. What isn't delivered is put back. */
@@ -162,14 +163,14 @@
     for (const job of this.untold) {
       if (room <= 0) break;
       this.untold.delete(job);
-      const f = this.finishes.get(job);
-      if (f === undefined) continue;
-      const all = f.untold.ranges();
+      const finishes = this.finishes.get(job);
+      if (finishes === undefined) continue;
+      const all = finishes.untold.ranges();
       const told = all.slice(0, room);
       room -= told.length;
       taken.push({ job, ranges: told });
-      f.untold = RangeSet.of(all.slice(told.length));
-      if (f.untold.size > 0) this.untold.add(job);
+      finishes.untold = RangeSet.of(all.slice(told.length));
+      if (finishes.untold.size > 0) this.untold.add(job);
     }
     return taken;
   }
@@ -177,9 +178,9 @@
   /** These didn't reach the leader. */
   putBack(stored: readonly StoredFinishes[]): void {
     for (const { job, ranges } of stored) {
-      const f = this.finishes.get(job);
-      if (f === undefined) continue;
-      for (const [from, to] of ranges) f.untold.add(from, to);
+      const finishes = this.finishes.get(job);
+      if (finishes === undefined) continue;
+      for (const [from, to] of ranges) finishes.untold.add(from, to);
       this.untold.add(job);
     }
   }
--- a/src/core/member-update.ts
+++ b/src/core/members/member-update.ts
@@ -1,7 +1,7 @@
 /** What a member tells the leader: reports, when workers were heard and answered, stored finishes, outcomes of commands. */
-import type { CommandOutcome } from "./decisions.js";
-import type { Range } from "./ranges.js";
-import type { Heartbeat } from "./records.js";
+import type { CommandOutcome } from "../scheduler/decisions.js";
+import type { Range } from "../ranges.js";
+import type { Heartbeat } from "../records.js";
 
 /** A heartbeat and how long ago it came: after a new term old ones are told anew, and must not pass for fresh. */
 export interface AgedHeartbeat {
--- a/src/core/worker-partition.ts
+++ b/src/core/members/worker-partition.ts
@@ -3,12 +3,12 @@
  * yet. Pure: events in, decisions out.
  */
 import * as Duration from "effect/Duration";
-import type { CommandOutcome } from "./decisions.js";
+import type { CommandOutcome } from "../scheduler/decisions.js";
 import { FinishStore } from "./finish-store.js";
 import type { AgedHeartbeat, MemberUpdate, CommandResult, WorkerContact } from "./member-update.js";
-import type { Command, TermRecord, Heartbeat } from "./records.js";
-import { type Instant, hasElapsed } from "./time.js";
-import { fencingTokenForAnswer, ownerOf } from "./term.js";
+import type { Command, TermRecord, Heartbeat } from "../records.js";
+import { type Instant, hasElapsed } from "../time.js";
+import { fencingTokenForAnswer, ownerOf } from "../leases/term.js";
 
 export type HeartbeatAnswer =
   | { kind: "taken"; fencingToken: number; stopCommands: Command[] }
@@ -32,20 +32,20 @@
 const MAX_SENT_AWAY = 20_000;
 
 /** Whether a newer heartbeat says nothing that the leader needs to hear. */
-const isUnchanged = (a: Heartbeat, b: Heartbeat): boolean =>
-  a.workerEpoch === b.workerEpoch &&
-  a.fencingToken === b.fencingToken &&
-  a.addr === b.addr &&
-  (a.reclaimNoticeSeconds === null) === (b.reclaimNoticeSeconds === null) &&
-  a.tasks.length === b.tasks.length &&
-  a.tasks.every((t, i) => {
-    const u = b.tasks[i]!;
+const isUnchanged = (heartbeat: Heartbeat, b: Heartbeat): boolean =>
+  heartbeat.workerEpoch === b.workerEpoch &&
+  heartbeat.fencingToken === b.fencingToken &&
+  heartbeat.addr === b.addr &&
+  (heartbeat.reclaimNoticeSeconds === null) === (b.reclaimNoticeSeconds === null) &&
+  heartbeat.tasks.length === b.tasks.length &&
+  heartbeat.tasks.every((task, i) => {
+    const status = b.tasks[i]!;
     return (
-      t.state === u.state &&
-      t.index === u.index &&
-      t.attempt === u.attempt &&
-      t.exitReason === u.exitReason &&
-      t.job === u.job
+      task.state === status.state &&
+      task.index === status.index &&
+      task.attempt === status.attempt &&
+      task.exitReason === status.exitReason &&
+      task.job === status.job
     );
   });
 
@@ -82,7 +82,7 @@
   /** A new term. Another leader, or one that takes this process for another, is told everything anew. */
   setTerm(term: TermRecord): void {
     const incarnation = (t: TermRecord | null): number | undefined =>
-      t?.members.find((m) => m.name === this.member)?.incarnation;
+      t?.members.find((member) => member.name === this.member)?.incarnation;
     const same =
       this.term?.leaderRevision === term.leaderRevision && incarnation(this.term) === incarnation(term);
     this.term = term;
@@ -90,25 +90,25 @@
     this.redirected.clear();
     if (same) return;
     this.outcomes = [];
-    for (const [machine, w] of this.workers) {
+    for (const [machine, worker] of this.workers) {
       this.unsentContacts.add(machine);
-      if (w.heartbeat !== null) this.unsentHeartbeats.add(machine);
+      if (worker.heartbeat !== null) this.unsentHeartbeats.add(machine);
     }
     this.finishes.tellAllAnew();
   }
 
   private worker(machine: string): Worker {
-    let w = this.workers.get(machine);
-    if (w === undefined) {
-      w = { heartbeat: null, lastHeartbeatAt: null, lastAnswerAt: null };
-      this.workers.set(machine, w);
+    let worker = this.workers.get(machine);
+    if (worker === undefined) {
+      worker = { heartbeat: null, lastHeartbeatAt: null, lastAnswerAt: null };
+      this.workers.set(machine, worker);
     }
-    return w;
+    return worker;
   }
 
   /** A worker's own heartbeat. `entitled`: this node's fence window is open; `isOver`: this job has its commit. */
   handleHeartbeat(
-    r: Heartbeat,
+    heartbeat: Heartbeat,
     entitled: boolean,
     incarnation: number,
     now: Instant,
@@ -116,27 +116,27 @@
   ): HeartbeatAnswer {
     const term = this.term;
     if (!entitled || term === null) return { kind: "unsure" };
-    if (!term.members.some((m) => m.name === this.member && m.incarnation === incarnation))
+    if (!term.members.some((member) => member.name === this.member && member.incarnation === incarnation))
       return { kind: "unsure" };
-    const owner = this.ownerName(term, r.machine, r.zone);
-    if (owner !== null && owner !== this.member && this.adopted.get(r.machine) !== owner) {
-      const away = this.redirected.get(r.machine);
+    const owner = this.ownerName(term, heartbeat.machine, heartbeat.zone);
+    if (owner !== null && owner !== this.member && this.adopted.get(heartbeat.machine) !== owner) {
+      const away = this.redirected.get(heartbeat.machine);
       if (away?.to !== owner || hasElapsed(now, away.at, COMES_BACK_WITHIN)) {
-        this.redirected.set(r.machine, { to: owner, at: now });
+        this.redirected.set(heartbeat.machine, { to: owner, at: now });
         if (this.redirected.size > MAX_SENT_AWAY)
           this.redirected.delete(this.redirected.keys().next().value!);
         return { kind: "elsewhere", member: owner };
       }
       // it came back: it can't reach the part's member, so it is taken in
-      this.adopted.set(r.machine, owner);
+      this.adopted.set(heartbeat.machine, owner);
     }
-    this.recordHeartbeat(r, now);
+    this.recordHeartbeat(heartbeat, now);
     // a late copy is answered as well, and the proof by time must reckon with that; it is no sign of life
-    this.worker(r.machine).lastAnswerAt = now;
-    this.unsentContacts.add(r.machine);
+    this.worker(heartbeat.machine).lastAnswerAt = now;
+    this.unsentContacts.add(heartbeat.machine);
     // an outage may keep the leader's stop from a machine that is still answered: whoever answers it knows as well
-    const stopCommands = r.tasks
-      .filter((t) => t.state !== "exited" && isOver(t.job))
+    const stopCommands = heartbeat.tasks
+      .filter((task) => task.state !== "exited" && isOver(task.job))
       .map(({ job, index, attempt }): Command => ({
         op: "stop",
         job,
@@ -144,36 +144,41 @@
         attempt,
         gracePeriodSeconds: 0,
       }));
-    return { kind: "taken", fencingToken: fencingTokenForAnswer(term.number, r.fencingToken), stopCommands };
+    return {
+      kind: "taken",
+      fencingToken: fencingTokenForAnswer(term.number, heartbeat.fencingToken),
+      stopCommands,
+    };
   }
 
   /** A heartbeat from a beat or from the answer to commands. */
-  recordHeartbeat(r: Heartbeat, now: Instant): void {
-    const w = this.worker(r.machine);
-    const last = w.heartbeat;
+  recordHeartbeat(heartbeat: Heartbeat, now: Instant): void {
+    const worker = this.worker(heartbeat.machine);
+    const last = worker.heartbeat;
     if (
       last !== null &&
-      (r.workerEpoch < last.workerEpoch ||
-        (r.workerEpoch === last.workerEpoch && r.sequence <= last.sequence))
+      (heartbeat.workerEpoch < last.workerEpoch ||
+        (heartbeat.workerEpoch === last.workerEpoch && heartbeat.sequence <= last.sequence))
     )
       return;
-    w.lastHeartbeatAt = now;
-    this.unsentContacts.add(r.machine);
-    if (last !== null && isUnchanged(last, r)) {
+    worker.lastHeartbeatAt = now;
+    this.unsentContacts.add(heartbeat.machine);
+    if (last !== null && isUnchanged(last, heartbeat)) {
       // most reports say nothing new: what they are made of needn't outlive them
-      w.heartbeat = { ...r, tasks: last.tasks };
+      worker.heartbeat = { ...heartbeat, tasks: last.tasks };
       return;
     }
-    w.heartbeat = r;
-    this.unsentHeartbeats.add(r.machine);
-    for (const t of r.tasks)
-      if (t.state === "exited" && t.exitReason === "done") this.finishes.finished(t.job, t.index, now);
+    worker.heartbeat = heartbeat;
+    this.unsentHeartbeats.add(heartbeat.machine);
+    for (const task of heartbeat.tasks)
+      if (task.state === "exited" && task.exitReason === "done")
+        this.finishes.finished(task.job, task.index, now);
   }
 
   /** Forgets workers that have not come for long. */
   prune(now: Instant, after: Duration.Duration): void {
-    for (const [machine, w] of this.workers) {
-      const last = Math.max(w.lastAnswerAt ?? 0, w.lastHeartbeatAt ?? 0) as Instant;
+    for (const [machine, worker] of this.workers) {
+      const last = Math.max(worker.lastAnswerAt ?? 0, worker.lastHeartbeatAt ?? 0) as Instant;
       if (!hasElapsed(now, last, after)) continue;
       this.workers.delete(machine);
       this.unsentHeartbeats.delete(machine);
@@ -215,9 +220,13 @@
     for (const machine of this.unsentContacts) {
       if (contacts.length >= most) break;
       this.unsentContacts.delete(machine);
-      const w = this.workers.get(machine);
-      if (w !== undefined)
-        contacts.push({ machine, answerAgeMs: age(w.lastAnswerAt), heartbeatAgeMs: age(w.lastHeartbeatAt) });
+      const worker = this.workers.get(machine);
+      if (worker !== undefined)
+        contacts.push({
+          machine,
+          answerAgeMs: age(worker.lastAnswerAt),
+          heartbeatAgeMs: age(worker.lastHeartbeatAt),
+        });
     }
     const storedFinishes = this.finishes.takeUntold(most);
     const commandResults = this.outcomes.slice(0, most);
--- a/src/core/admission.ts
+++ b/src/core/placement/admission.ts
@@ -1,5 +1,5 @@
 /** Can this job ever run? */
-import type { JobSpec, MachineType, Team } from "./records.js";
+import type { JobSpec, MachineType, Team } from "../records.js";
 import { isWithinLimit } from "./quota.js";
 
 export const allowsType = (job: JobSpec, type: MachineType): boolean =>
@@ -18,7 +18,9 @@
 ): string | null => {
   const team = teams.get(job.team);
   if (team === undefined) return `no such team: ${job.team}`;
-  const fits = types.some((t) => allowsType(job, t) && t.zones.some((zone) => allowsZone(job, zone)));
+  const fits = types.some(
+    (type) => allowsType(job, type) && type.zones.some((zone) => allowsZone(job, zone)),
+  );
   if (!fits) return "a task fits no allowed machine type";
   const atOnce = job.kind === "array" ? 1 : job.tasks;
   if (!isWithinLimit(team, { cpus: 0, gpus: 0 }, job, atOnce)) return "more than the team's limit";
--- a/src/core/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -3,13 +3,13 @@
  * jobs are within a guarantee, and whether deadlines may bring jobs forward.
  */
 import * as Duration from "effect/Duration";
-import { isSuspect } from "./attempt-results.js";
-import type { Job } from "./cluster.js";
-import { timeFor } from "./dependency-graph.js";
+import { isSuspect } from "../heartbeats/attempt-results.js";
+import type { Job } from "../cluster/cluster.js";
+import { timeFor } from "../jobs/dependency-graph.js";
 import { isWithinGuarantee, type Usage } from "./quota.js";
-import { RANK } from "./records.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import { RANK } from "../records.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** A job that waited this long without a single start goes before others of its rank, and with those above. */
 const LONG_WAIT = Duration.seconds(100);
@@ -102,7 +102,7 @@
     const { cluster, options } = this.scope;
     const guaranteed = new Set<Job>();
     const usageByTeam = new Map<string, Usage>();
-    const byAge = [...cluster.jobs.values()].sort((a, b) => a.revision - b.revision);
+    const byAge = [...cluster.jobs.values()].sort((job, b) => job.revision - b.revision);
     for (const job of byAge) {
       const { spec } = job;
       const team = options.teams.get(spec.team);
--- a/src/core/placement-round.ts
+++ b/src/core/placement/placement-round.ts
@@ -1,10 +1,10 @@
 /** What one step of the placer works with: the machines that may be used, and what was found out so far. */
-import type { Job, Machine } from "./cluster.js";
-import type { PendingCommands } from "./pending-commands.js";
+import type { Job, Machine } from "../cluster/cluster.js";
+import type { PendingCommands } from "../commands/pending-commands.js";
 import { isAtLeastAsDemanding } from "./placement.js";
 import type { Usage } from "./quota.js";
-import type { JobSpec } from "./records.js";
-import type { Instant } from "./time.js";
+import type { JobSpec } from "../records.js";
+import type { Instant } from "../time.js";
 
 /** Starts decided on in one step. */
 const MAX_STARTS_PER_STEP = 400;
--- a/src/core/placement.ts
+++ b/src/core/placement/placement.ts
@@ -1,6 +1,6 @@
 /** Which machine a task goes to, and what may be stopped to make room. */
 import * as Duration from "effect/Duration";
-import { type Instant, hasElapsed } from "./time.js";
+import { type Instant, hasElapsed } from "../time.js";
 import { allowsZone } from "./admission.js";
 import {
   type Cluster,
@@ -9,8 +9,8 @@
   type Machine,
   occupiesCapacity,
   rankOf,
-} from "./cluster.js";
-import type { JobSpec } from "./records.js";
+} from "../cluster/cluster.js";
+import type { JobSpec } from "../records.js";
 
 export interface Capacity {
   cpus: number;
@@ -18,10 +18,10 @@
   memoryGb: number;
 }
 
-export const freeCapacity = (m: Machine): Capacity => ({
-  cpus: m.cpus - m.used.cpus,
-  gpus: m.gpus - m.used.gpus,
-  memoryGb: m.memoryGb - m.used.memoryGb,
+export const freeCapacity = (machine: Machine): Capacity => ({
+  cpus: machine.cpus - machine.used.cpus,
+  gpus: machine.gpus - machine.used.gpus,
+  memoryGb: machine.memoryGb - machine.used.memoryGb,
 });
 
 export const fits = (spec: JobSpec, room: Capacity): boolean =>
@@ -67,19 +67,19 @@
 const MUTE_AFTER = 2;
 
 /** Machines whose heartbeats are fresh and that may be given new work. */
-export const usable = (m: Machine, now: Instant, freshFor: Duration.Duration): boolean =>
-  m.recorded &&
-  m.confirmed &&
-  !m.failed &&
-  m.releaseRequestedAt === null &&
-  m.reclaimAt === null &&
-  m.cordonedAt === null &&
-  !m.draining &&
-  m.cpus > 0 &&
-  m.addr !== null &&
-  m.unansweredBatches < MUTE_AFTER &&
-  m.lastHeartbeatAt !== null &&
-  !hasElapsed(now, m.lastHeartbeatAt, freshFor);
+export const usable = (machine: Machine, now: Instant, freshFor: Duration.Duration): boolean =>
+  machine.recorded &&
+  machine.confirmed &&
+  !machine.failed &&
+  machine.releaseRequestedAt === null &&
+  machine.reclaimAt === null &&
+  machine.cordonedAt === null &&
+  !machine.draining &&
+  machine.cpus > 0 &&
+  machine.addr !== null &&
+  machine.unansweredBatches < MUTE_AFTER &&
+  machine.lastHeartbeatAt !== null &&
+  !hasElapsed(now, machine.lastHeartbeatAt, freshFor);
 
 /** Zones of the tasks that are, or may be, on machines: `together` and `apart` look at these. */
 const zonesInUse = (cluster: Cluster, job: Job): Map<string, number> => {
@@ -108,11 +108,11 @@
 
 const within = (
   memory: ReadonlyMap<string, Instant>,
-  m: Machine,
+  machine: Machine,
   now: Instant,
   span: Duration.Duration,
 ): boolean => {
-  const at = memory.get(m.id);
+  const at = memory.get(machine.id);
   return at !== undefined && !hasElapsed(now, at, span);
 };
 
@@ -131,24 +131,29 @@
   cluster: Cluster,
   job: Job,
   partRoom: (via: string | null) => number,
-): ((m: Machine) => number[]) => {
+): ((machine: Machine) => number[]) => {
   const { spec } = job;
   if (spec.kind !== "service")
-    return (m) => {
-      const cached = m.images.has(spec.image);
-      return [cached ? 1 : 0, m.spot ? 1 : 0, cached ? 0 : partRoom(m.relayedBy), -(m.cpus - m.used.cpus)];
+    return (machine) => {
+      const cached = machine.images.has(spec.image);
+      return [
+        cached ? 1 : 0,
+        machine.spot ? 1 : 0,
+        cached ? 0 : partRoom(machine.relayedBy),
+        -(machine.cpus - machine.used.cpus),
+      ];
     };
   const most = fairShare(cluster, spec);
   const zones = spec.tasks > 1 ? zonesInUse(cluster, job) : new Map<string, number>();
-  return (m) => {
-    const same = m.attemptsByClass.get(spec.className) ?? 0;
+  return (machine) => {
+    const same = machine.attemptsByClass.get(spec.className) ?? 0;
     return [
-      m.images.has(spec.image) ? 1 : 0,
+      machine.images.has(spec.image) ? 1 : 0,
       same < most ? 1 : 0,
-      -(zones.get(m.zone) ?? 0),
-      -same / Math.max(1, m.cpus),
-      partRoom(m.relayedBy),
-      m.cpus - m.used.cpus,
+      -(zones.get(machine.zone) ?? 0),
+      -same / Math.max(1, machine.cpus),
+      partRoom(machine.relayedBy),
+      machine.cpus - machine.used.cpus,
     ];
   };
 };
@@ -167,11 +172,12 @@
   const zoneAllows = zoneRule(cluster, job);
   const out: { m: Machine }[] = [];
   const lastResort: { m: Machine }[] = [];
-  for (const m of candidates) {
-    if (!fits(job.spec, freeCapacity(m)) || !allowed(job.spec, m) || !zoneAllows(m.zone)) continue;
-    if (within(job.refusedOn, m, now, REFUSED_MEMORY)) continue;
-    if (!within(job.failedOn, m, now, ERROR_MEMORY)) out.push({ m });
-    else if (!within(job.failedOn, m, now, LAST_RESORT_AFTER)) lastResort.push({ m });
+  for (const machine of candidates) {
+    if (!fits(job.spec, freeCapacity(machine)) || !allowed(job.spec, machine) || !zoneAllows(machine.zone))
+      continue;
+    if (within(job.refusedOn, machine, now, REFUSED_MEMORY)) continue;
+    if (!within(job.failedOn, machine, now, ERROR_MEMORY)) out.push({ m: machine });
+    else if (!within(job.failedOn, machine, now, LAST_RESORT_AFTER)) lastResort.push({ m: machine });
   }
   // the fleet counts that room, so nothing more is rented: a job must not wait for its memory to end
   return out.length > 0 ? out : lastResort;
@@ -188,10 +194,10 @@
   const score = scorer(cluster, job, partRoom);
   let best: Machine | null = null;
   let bestScore: number[] = [];
-  for (const { m } of fitting(cluster, job, candidates, now)) {
-    const mine = score(m);
+  for (const { m: machine } of fitting(cluster, job, candidates, now)) {
+    const mine = score(machine);
     if (best === null || compare(mine, bestScore) < 0) {
-      best = m;
+      best = machine;
       bestScore = mine;
     }
   }
@@ -208,14 +214,17 @@
   tasks: number,
 ): { machine: Machine; tasks: number }[] => {
   const score = scorer(cluster, job, partRoom);
-  const rows = fitting(cluster, job, candidates, now).map(({ m }) => ({ m, score: score(m) }));
+  const rows = fitting(cluster, job, candidates, now).map(({ m: machine }) => ({
+    m: machine,
+    score: score(machine),
+  }));
   rows.sort((a, b) => compare(a.score, b.score));
   const out: { machine: Machine; tasks: number }[] = [];
   let left = tasks;
-  for (const { m } of rows) {
+  for (const { m: machine } of rows) {
     if (left <= 0) break;
-    const n = Math.min(left, tasksThatFit(job.spec, freeCapacity(m)));
-    out.push({ machine: m, tasks: n });
+    const n = Math.min(left, tasksThatFit(job.spec, freeCapacity(machine)));
+    out.push({ machine, tasks: n });
     left -= n;
   }
   return out;
--- a/src/core/placer.ts
+++ b/src/core/placement/placer.ts
@@ -1,9 +1,9 @@
 /** Which waiting task starts next and where. Limits, zones and unknown holds are checked here (S4, S5, S6). */
 import * as Duration from "effect/Duration";
-import { startableTasks } from "./attempt-results.js";
-import { type TaskAttempt, type Job, type Machine, removeAttempt } from "./cluster.js";
+import { startableTasks } from "../heartbeats/attempt-results.js";
+import { type TaskAttempt, type Job, type Machine, removeAttempt } from "../cluster/cluster.js";
 import type { JobQueue } from "./job-queue.js";
-import { PendingCommands } from "./pending-commands.js";
+import { PendingCommands } from "../commands/pending-commands.js";
 import {
   allowed,
   chooseMachine,
@@ -15,11 +15,11 @@
 import { PlacementRound } from "./placement-round.js";
 import { Preemption } from "./preemption.js";
 import { isWithinLimit, tasksWithinLimit, type Usage } from "./quota.js";
-import type { Team } from "./records.js";
-import type { SchedulerContext } from "./scheduler-context.js";
+import type { Team } from "../records.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { TaskStarter } from "./task-starter.js";
-import { stopGang } from "./reconciler.js";
-import { type Instant, hasElapsed } from "./time.js";
+import { stopGang } from "../scheduler/reconciler.js";
+import { type Instant, hasElapsed } from "../time.js";
 
 /** Smaller jobs would take all room that gets free: after this long a gang holds up those of its rank and below. */
 const GANG_PATIENCE = Duration.seconds(15);
--- a/src/core/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -3,13 +3,13 @@
  * room is being made, so that no more is stopped than needed, and when all machines were last searched.
  */
 import * as Duration from "effect/Duration";
-import { type TaskAttempt, type Job, type Machine, occupiesCapacity, rankOf } from "./cluster.js";
+import { type TaskAttempt, type Job, type Machine, occupiesCapacity, rankOf } from "../cluster/cluster.js";
 import type { JobQueue } from "./job-queue.js";
 import { type KnownAttempt, findPreemptionCandidates } from "./placement.js";
 import type { PlacementRound } from "./placement-round.js";
-import { type JobSpec, RANK } from "./records.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import { type JobSpec, RANK } from "../records.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** Machines on which something was started lately, where stopping costs the least. */
 const MAX_RECENT_MACHINES = 64;
--- a/src/core/quota.ts
+++ b/src/core/placement/quota.ts
@@ -1,5 +1,5 @@
 /** Team guarantees and limits (`quota`, S6). What is counted as used includes all that may still run. */
-import type { JobSpec, Team } from "./records.js";
+import type { JobSpec, Team } from "../records.js";
 
 /** Sums of fractions of processors and of gigabytes are compared up to this difference. */
 export const CAPACITY_EPSILON = 1e-6;
--- a/src/core/task-starter.ts
+++ b/src/core/placement/task-starter.ts
@@ -1,9 +1,9 @@
 /** Decides on starts: each gets an attempt first (S4) and an attempt number that is never used again. */
-import { addAttempt, type TaskAttempt, type Job, type Machine } from "./cluster.js";
-import type { PendingCommands } from "./pending-commands.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { attemptOf, ATTEMPTS_PER_TERM } from "./term.js";
-import type { Instant } from "./time.js";
+import { addAttempt, type TaskAttempt, type Job, type Machine } from "../cluster/cluster.js";
+import type { PendingCommands } from "../commands/pending-commands.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { attemptOf, ATTEMPTS_PER_TERM } from "../leases/term.js";
+import type { Instant } from "../time.js";
 
 /** Latest starts that are remembered; half of them are dropped at a time. */
 const MAX_REMEMBERED = 512;
--- a/src/core/rate-limit-selector.ts
+++ b/src/core/rates/rate-limit-selector.ts
@@ -4,7 +4,7 @@
  * and then given up again, each time for longer when the next refusal follows soon.
  */
 import * as Duration from "effect/Duration";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 export interface Rate {
   readonly rps: number;
--- a/src/core/rate-limiter.ts
+++ b/src/core/rates/rate-limiter.ts
@@ -1,6 +1,6 @@
 /** A node's share of a rate that all nodes have together: a token bucket without a clock of its own. */
 import * as Duration from "effect/Duration";
-import { type Instant, hasElapsed, plus } from "./time.js";
+import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** For how long after a refusal also the urgent keep to the rate, and how long each may wait for its turn. */
 const PACED_FOR = Duration.seconds(2);
--- a/src/core/decisions.ts
+++ b/src/core/scheduler/decisions.ts
@@ -1,6 +1,6 @@
 /** What the leader's core decides, and what it is told of the outcome. */
-import type { ScaleOutRequest } from "./autoscaler.js";
-import type { MachineRecord, Command } from "./records.js";
+import type { ScaleOutRequest } from "../autoscaling/autoscaler.js";
+import type { MachineRecord, Command } from "../records.js";
 
 /** Something to be done outside the core. The caller carries each out, or tells the core that it failed. */
 export type Decision =
--- a/src/core/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -1,22 +1,22 @@
 /** Stops what must not run, forgets what is over, moves replicas off machines that go. */
 import * as Duration from "effect/Duration";
-import { type TaskAttempt, type Machine, occupiesCapacity } from "./cluster.js";
-import type { PendingCommands } from "./pending-commands.js";
-import { chooseMachine } from "./placement.js";
+import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
+import type { PendingCommands } from "../commands/pending-commands.js";
+import { chooseMachine } from "../placement/placement.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import { type Instant, hasElapsed } from "./time.js";
+import { type Instant, hasElapsed } from "../time.js";
 
 /** An exited task takes no room: forgetting it waits this long for other commands to the same machine. */
 const FORGET_AFTER = Duration.seconds(2);
 const STOP_AGAIN_AFTER = Duration.seconds(3);
 
 /** A replica that has run long enough for its start to count, and that nobody is stopping. */
-export const isMovableReplica = (h: TaskAttempt, now: Instant): boolean =>
-  h.spec?.kind === "service" &&
-  h.state === "running" &&
-  !h.stopping &&
-  h.unacknowledgedToken === null &&
-  hasElapsed(now, h.stateSince, Duration.seconds(35));
+export const isMovableReplica = (attempt: TaskAttempt, now: Instant): boolean =>
+  attempt.spec?.kind === "service" &&
+  attempt.state === "running" &&
+  !attempt.stopping &&
+  attempt.unacknowledgedToken === null &&
+  hasElapsed(now, attempt.stateSince, Duration.seconds(35));
 
 export class Reconciler {
   constructor(private readonly scope: SchedulerContext) {}
@@ -24,21 +24,27 @@
   /** Looks at the machines about which something changed; keeps an eye on those where something is under way. */
   step(now: Instant, pendingCommands: PendingCommands): void {
     const { reconcileQueue } = this.scope.cluster;
-    for (const m of [...reconcileQueue]) {
-      m.idleSince = m.attempts.size === 0 && m.lastHeartbeatAt !== null ? (m.idleSince ?? now) : null;
+    for (const machine of [...reconcileQueue]) {
+      machine.idleSince =
+        machine.attempts.size === 0 && machine.lastHeartbeatAt !== null ? (machine.idleSince ?? now) : null;
       // whatever ends these states puts the machine back
-      const isBusy = m.commandsInFlight || this.scope.isPaused(m);
-      if (isBusy || !m.confirmed || m.addr === null || !this.machine(m, now, pendingCommands))
-        reconcileQueue.delete(m);
+      const isBusy = machine.commandsInFlight || this.scope.isPaused(machine);
+      if (
+        isBusy ||
+        !machine.confirmed ||
+        machine.addr === null ||
+        !this.machine(machine, now, pendingCommands)
+      )
+        reconcileQueue.delete(machine);
     }
   }
 
   /** Whether there is more to do here later. */
-  private machine(m: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
-    let more = m.draining || m.reclaimAt !== null;
-    if (m.reclaimAt !== null) this.evacuate(m, now, pendingCommands);
-    let moving = m.draining && [...m.attempts.values()].some((h) => h.stopping);
-    for (const attempt of m.attempts.values()) {
+  private machine(machine: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
+    let more = machine.draining || machine.reclaimAt !== null;
+    if (machine.reclaimAt !== null) this.evacuate(machine, now, pendingCommands);
+    let moving = machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
+    for (const attempt of machine.attempts.values()) {
       if (attempt.state === "dispatched") continue;
       const job = this.scope.cluster.jobs.get(attempt.job);
       if (attempt.state === "exited") {
@@ -52,7 +58,7 @@
         }
         continue;
       }
-      if (m.draining && !moving && isMovableReplica(attempt, now)) {
+      if (machine.draining && !moving && isMovableReplica(attempt, now)) {
         moving = true;
         pendingCommands.stop(attempt);
         continue;
@@ -74,30 +80,32 @@
     const { cluster } = this.scope;
     const attempts = cluster.jobs.get(attempt.job)?.attempts.get(attempt.index) ?? [];
     return attempts.some(
-      (h) =>
-        h !== attempt &&
-        occupiesCapacity(h) &&
-        h.attempt < attempt.attempt &&
-        cluster.machines.get(h.machine)!.confirmed,
+      (taskAttempt) =>
+        taskAttempt !== attempt &&
+        occupiesCapacity(taskAttempt) &&
+        taskAttempt.attempt < attempt.attempt &&
+        cluster.machines.get(taskAttempt.machine)!.confirmed,
     );
   }
 
   /** A machine that the cloud takes back soon: what can save does so, replicas move if there is room. */
-  private evacuate(m: Machine, now: Instant, pendingCommands: PendingCommands): void {
+  private evacuate(machine: Machine, now: Instant, pendingCommands: PendingCommands): void {
     const { cluster } = this.scope;
     let room: Machine[] | null = null;
-    for (const attempt of m.attempts.values()) {
+    for (const attempt of machine.attempts.values()) {
       const { spec } = attempt;
       const job = cluster.jobs.get(attempt.job);
       if (spec === null || job === undefined || attempt.state !== "running" || attempt.stopping) continue;
       const saves =
-        Duration.toMillis(spec.checkpoint) > 0 && m.reclaimAt! - now >= Duration.toMillis(spec.save);
+        Duration.toMillis(spec.checkpoint) > 0 && machine.reclaimAt! - now >= Duration.toMillis(spec.save);
       if (spec.kind === "gang") {
         if (saves) stopGang([...job.attempts.values()].flat(), pendingCommands);
         continue;
       }
       if (!saves && spec.kind !== "service") continue;
-      room ??= [...cluster.capacityIndex.atLeast(spec.cpus)].filter((x) => this.scope.usable(x, now));
+      room ??= [...cluster.capacityIndex.atLeast(spec.cpus)].filter((machine) =>
+        this.scope.usable(machine, now),
+      );
       if (saves || chooseMachine(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
     }
   }
--- a/src/core/scheduler-context.ts
+++ b/src/core/scheduler/scheduler-context.ts
@@ -1,13 +1,13 @@
 /** What every part of the leader's core looks at: its picture, its term, the machine types and its options. */
 import * as Duration from "effect/Duration";
-import { type Cluster, type Machine, newCluster, setMachine } from "./cluster.js";
-import type { FleetOptions } from "./autoscaler.js";
-import { usable } from "./placement.js";
-import type { Usage } from "./quota.js";
-import type { MachineType, Team, TermRecord } from "./records.js";
-import type { LeaseTimings } from "./term.js";
-import { type Instant, hasElapsed } from "./time.js";
-import { ZoneWatch } from "./zones.js";
+import { type Cluster, type Machine, newCluster, setMachine } from "../cluster/cluster.js";
+import type { FleetOptions } from "../autoscaling/autoscaler.js";
+import { usable } from "../placement/placement.js";
+import type { Usage } from "../placement/quota.js";
+import type { MachineType, Team, TermRecord } from "../records.js";
+import type { LeaseTimings } from "../leases/term.js";
+import { type Instant, hasElapsed } from "../time.js";
+import { ZoneWatch } from "../leases/zones.js";
 
 /** After this long a worker gives a heartbeat up. */
 const REPORT_TIMEOUT = Duration.seconds(4);
@@ -58,19 +58,19 @@
 
   setTypes(types: readonly MachineType[]): void {
     this.types = types;
-    this.typeByName = new Map(types.map((t) => [t.name, t]));
-    for (const m of this.cluster.machines.values()) this.applyType(m);
+    this.typeByName = new Map(types.map((type) => [type.name, type]));
+    for (const machine of this.cluster.machines.values()) this.applyType(machine);
   }
 
-  applyType(m: Machine): void {
-    const type = this.typeByName.get(m.type);
+  applyType(machine: Machine): void {
+    const type = this.typeByName.get(machine.type);
     if (type === undefined) return;
     const { cpus, gpus, memoryGb, cacheGb } = type;
-    setMachine(this.cluster, m, { cpus, gpus, memoryGb, cacheGb });
+    setMachine(this.cluster, machine, { cpus, gpus, memoryGb, cacheGb });
   }
 
-  readonly usable = (m: Machine, now: Instant): boolean =>
-    usable(m, now, this.fresh) && !this.isLeaseRenewalOverdue(m, now);
+  readonly usable = (machine: Machine, now: Instant): boolean =>
+    usable(machine, now, this.fresh) && !this.isLeaseRenewalOverdue(machine, now);
 
   /** Whether tasks may be started on it now: no batch is on its way, and nothing of unknown size is on it (S6). */
   isReady(machine: Machine, now: Instant): boolean {
@@ -101,9 +101,9 @@
   }
 
   /** It answers direct questions, but its heartbeats reach nobody: its lease runs out, with all that is on it. */
-  isLeaseRenewalOverdue(m: Machine, now: Instant): boolean {
+  isLeaseRenewalOverdue(machine: Machine, now: Instant): boolean {
     const span = Duration.sum(this.fresh, this.options.timings.heartbeatInterval);
-    return m.leaseRenewedAt !== null && hasElapsed(now, m.leaseRenewedAt, span);
+    return machine.leaseRenewedAt !== null && hasElapsed(now, machine.leaseRenewedAt, span);
   }
 
   usageOf(team: string): Usage {
--- a/src/core/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -4,29 +4,29 @@
  * certain that the attempt neither runs nor can still start (S4 in docs/design.md). The class only brings the parts of
  * the core together; each has a module of its own, and all share the `SchedulerContext`.
  */
-import { type Cluster, recordHeartbeat, type Machine } from "./cluster.js";
-import { type CommandBatchResult, CommandSender } from "./command-sender.js";
+import { type Cluster, recordHeartbeat, type Machine } from "../cluster/cluster.js";
+import { type CommandBatchResult, CommandSender } from "../commands/command-sender.js";
 import type { Decision, CommandOutcome } from "./decisions.js";
-import { Autoscaler, offerKey } from "./autoscaler.js";
-import { AutoscalerDecisions } from "./autoscaler-decisions.js";
-import { JobIntake } from "./job-intake.js";
-import { JobQueue } from "./job-queue.js";
-import { type ListedMachine, MachineIntake } from "./machine-intake.js";
-import { PendingCommands } from "./pending-commands.js";
-import { SlowMachineDetector } from "./slow-machine-detector.js";
-import { Placer } from "./placer.js";
-import { LeaseExpiry } from "./lease-expiry.js";
-import type { Range } from "./ranges.js";
-import type { JobSpec, MachineRecord, MachineType, Command, RentalRecord } from "./records.js";
-import type { TermRecord, Heartbeat } from "./records.js";
-import { HeartbeatHandler } from "./heartbeat-handler.js";
-import { ScaleIn } from "./scale-in.js";
+import { Autoscaler, offerKey } from "../autoscaling/autoscaler.js";
+import { AutoscalerDecisions } from "../autoscaling/autoscaler-decisions.js";
+import { JobIntake } from "../jobs/job-intake.js";
+import { JobQueue } from "../placement/job-queue.js";
+import { type ListedMachine, MachineIntake } from "../autoscaling/machine-intake.js";
+import { PendingCommands } from "../commands/pending-commands.js";
+import { SlowMachineDetector } from "../heartbeats/slow-machine-detector.js";
+import { Placer } from "../placement/placer.js";
+import { LeaseExpiry } from "../leases/lease-expiry.js";
+import type { Range } from "../ranges.js";
+import type { JobSpec, MachineRecord, MachineType, Command, RentalRecord } from "../records.js";
+import type { TermRecord, Heartbeat } from "../records.js";
+import { HeartbeatHandler } from "../heartbeats/heartbeat-handler.js";
+import { ScaleIn } from "../autoscaling/scale-in.js";
 import { type SchedulerOptions, SchedulerContext } from "./scheduler-context.js";
 import { summaryOf } from "./summary.js";
 import { Reconciler } from "./reconciler.js";
-import { ShardDrain } from "./shard-drain.js";
-import type { Instant } from "./time.js";
-import type { ZoneWatch } from "./zones.js";
+import { ShardDrain } from "../shards/shard-drain.js";
+import type { Instant } from "../time.js";
+import type { ZoneWatch } from "../leases/zones.js";
 
 export type { Decision, CommandOutcome } from "./decisions.js";
 
--- a/src/core/summary.ts
+++ b/src/core/scheduler/summary.ts
@@ -1,7 +1,7 @@
 /** Figures for the operators' log: what there is, what is in use, what waits. */
-import type { Cluster, Machine } from "./cluster.js";
+import type { Cluster, Machine } from "../cluster/cluster.js";
 import type { SchedulerContext } from "./scheduler-context.js";
-import type { Instant } from "./time.js";
+import type { Instant } from "../time.js";
 
 /** Processors of a machine's tasks by what they do; tasks of unknown size are left out. */
 const cpusByState = (machine: Machine): { starting: number; replicas: number } => {
--- a/src/core/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -4,9 +4,9 @@
  * last command: whatever was sent before is refused from then on (S2 in docs/design.md).
  */
 import { Refusal, type ShardFacts } from "#shards";
-import type { TaskAttempt, Machine } from "./cluster.js";
-import type { SchedulerContext } from "./scheduler-context.js";
-import { fencingTokenOf } from "./term.js";
+import type { TaskAttempt, Machine } from "../cluster/cluster.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { fencingTokenOf } from "../leases/term.js";
 
 /** The shard's side of the core. Owns `cluster.fencing`. */
 export class ShardDrain {
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -2,7 +2,7 @@
 import * as Data from "effect/Data";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { RateLimiter } from "../core/rate-limiter.js";
+import { RateLimiter } from "../core/rates/rate-limiter.js";
 import { call, json, makeAgent, type Reply } from "./call.js";
 import { now } from "./clock.js";
 import {
--- a/src/io/codec.ts
+++ b/src/io/codec.ts
@@ -83,28 +83,28 @@
 };
 
 /** The job record in the state service is the submission as it was accepted. */
-export const specOf = (w: WireJob): JobSpec => ({
-  id: w.ref,
-  className: w.roster,
-  team: w.crew,
-  kind: KINDS[w.shape],
-  priority: PRIORITIES[w.urgency],
-  tasks: w.chores,
-  cpus: w.vcpus,
-  gpus: w.gpus ?? 0,
-  memoryGb: w.mem_gb,
-  image: w.bundle,
-  imageGb: w.image_gb,
-  types: w.builds ?? null,
-  zone: w.district ?? null,
-  oneZone: w.together ?? false,
-  spread: w.apart ?? false,
-  spot: w.loaners ?? false,
-  estimate: Duration.seconds(w.expected_s ?? 0),
-  checkpoint: Duration.seconds(w.bookmark_s ?? 0),
-  save: Duration.seconds(w.stash_s ?? 0),
-  deadline: w.due_s == null ? null : Duration.seconds(w.due_s),
-  dependsOn: w.awaits ?? [],
+export const specOf = (wire: WireJob): JobSpec => ({
+  id: wire.ref,
+  className: wire.roster,
+  team: wire.crew,
+  kind: KINDS[wire.shape],
+  priority: PRIORITIES[wire.urgency],
+  tasks: wire.chores,
+  cpus: wire.vcpus,
+  gpus: wire.gpus ?? 0,
+  memoryGb: wire.mem_gb,
+  image: wire.bundle,
+  imageGb: wire.image_gb,
+  types: wire.builds ?? null,
+  zone: wire.district ?? null,
+  oneZone: wire.together ?? false,
+  spread: wire.apart ?? false,
+  spot: wire.loaners ?? false,
+  estimate: Duration.seconds(wire.expected_s ?? 0),
+  checkpoint: Duration.seconds(wire.bookmark_s ?? 0),
+  save: Duration.seconds(wire.stash_s ?? 0),
+  deadline: wire.due_s == null ? null : Duration.seconds(wire.due_s),
+  dependsOn: wire.awaits ?? [],
 });
 
 /** What the accepting node writes: with the time of day, so that a leader's take-over makes no job young again. */
@@ -229,11 +229,11 @@
 };
 
 const OPS = { start: "start", stop: "halt", forget: "reap" } as const;
-const wireCommand = (o: Command) => ({
-  verb: OPS[o.op],
-  chore: taskName(o.job, o.index),
-  try: o.attempt,
-  ...(o.op === "stop" ? { leeway_s: o.gracePeriodSeconds } : {}),
+const wireCommand = (command: Command) => ({
+  verb: OPS[command.op],
+  chore: taskName(command.job, command.index),
+  try: command.attempt,
+  ...(command.op === "stop" ? { leeway_s: command.gracePeriodSeconds } : {}),
 });
 
 export const heartbeatAnswer = (token: number, commands: readonly Command[]): string =>
@@ -264,22 +264,24 @@
   const builds = (body as { builds?: unknown } | undefined)?.builds;
   if (!Array.isArray(builds)) return null;
   const rows = builds as WireType[];
-  return rows.every((t) => typeof t.label === "string" && t.vcpus > 0 && Array.isArray(t.districts))
+  return rows.every(
+    (type) => typeof type.label === "string" && type.vcpus > 0 && Array.isArray(type.districts),
+  )
     ? rows
     : null;
 };
 export const typesOf = (rows: readonly WireType[]): MachineType[] =>
-  rows.map((t) => ({
-    name: t.label,
-    cpus: t.vcpus,
-    gpus: t.gpus ?? 0,
-    memoryGb: t.mem_gb,
-    cacheGb: t.cache_gb ?? 0,
-    fetchGbPerS: t.pull_gb_per_s ?? 1,
-    price: t.rate,
-    spotPrice: t.spot_price ?? t.rate,
-    boot: Duration.seconds(t.startup_s ?? 60),
-    zones: t.districts,
+  rows.map((type) => ({
+    name: type.label,
+    cpus: type.vcpus,
+    gpus: type.gpus ?? 0,
+    memoryGb: type.mem_gb,
+    cacheGb: type.cache_gb ?? 0,
+    fetchGbPerS: type.pull_gb_per_s ?? 1,
+    price: type.rate,
+    spotPrice: type.spot_price ?? type.rate,
+    boot: Duration.seconds(type.startup_s ?? 60),
+    zones: type.districts,
   }));
 
 export const rentPath = "/rentals";
@@ -371,14 +373,18 @@
   permitOf: (body: unknown) => (body as { permit: number }).permit,
   commitBody: (when: readonly Condition[], apply: readonly Change[]) =>
     JSON.stringify({
-      when: when.map((c) => ({ path: c.key, stamp: c.revision })),
+      when: when.map((condition) => ({ path: condition.key, stamp: condition.revision })),
       ...(apply.length === 0
         ? {}
         : {
-            apply: apply.map((c) =>
-              "put" in c
-                ? { write: c.put, value: c.value, ...(c.leaseId === undefined ? {} : { permit: c.leaseId }) }
-                : { delete: c.delete },
+            apply: apply.map((change) =>
+              "put" in change
+                ? {
+                    write: change.put,
+                    value: change.value,
+                    ...(change.leaseId === undefined ? {} : { permit: change.leaseId }),
+                  }
+                : { delete: change.delete },
             ),
           }),
     }),
--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -1,7 +1,7 @@
 /** What controllers say to one another, in Avro. */
 import avro from "avsc";
 import type { Command, TermRecord } from "../core/records.js";
-import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/member-update.js";
+import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/members/member-update.js";
 import type { Range } from "../core/ranges.js";
 
 /** A field of a record: its Avro name, which other versions know, and the name of the property that holds it here. */
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Command, Heartbeat } from "../core/records.js";
-import type { CommandOutcome } from "../core/scheduler.js";
+import type { CommandOutcome } from "../core/scheduler/scheduler.js";
 import { call, closeFree, json, makeAgent } from "./call.js";
 import { commandsBody, commandsPath, parseHeartbeat } from "./codec.js";
 
--- a/src/service/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -1,8 +1,8 @@
 /** The front: users, workers and health checks. */
 import http from "node:http";
 import * as Effect from "effect/Effect";
-import { unschedulableReason } from "../core/admission.js";
-import { type CommitRecord, type FaninRecord, keys, type Outcome, type Team } from "../core/records.js";
+import { unschedulableReason } from "../../core/placement/admission.js";
+import { type CommitRecord, type FaninRecord, keys, type Outcome, type Team } from "../../core/records.js";
 import {
   heartbeatAnswer,
   type Change,
@@ -17,13 +17,13 @@
   releasedRecord,
   type UserState,
   type WireJob,
-} from "../io/codec.js";
-import type { Log } from "../io/log.js";
-import { listen, readBody } from "../io/server.js";
-import { isOverTheRate, type StateClient } from "../io/state-client.js";
-import type { Leader } from "./leader.js";
-import type { Member } from "./member.js";
-import type { JobCache } from "./job-cache.js";
+} from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
+import { listen, readBody } from "../../io/server.js";
+import { isOverTheRate, type StateClient } from "../../io/state-client.js";
+import type { Leader } from "../leader/leader.js";
+import type { Member } from "../members/member.js";
+import type { JobCache } from "../job-cache.js";
 import type { JobStatus, JobStatusReader } from "./job-status.js";
 import { commitForUser } from "./user-writes.js";
 
@@ -95,19 +95,19 @@
     return listen(server, this.options.bind, this.options.connections);
   }
 
-  private send(response: http.ServerResponse, a: Answer): void {
+  private send(response: http.ServerResponse, answer: Answer): void {
     if (response.destroyed) return;
     const headers: http.OutgoingHttpHeaders = {
       "content-type": "application/json",
-      "content-length": Buffer.byteLength(a.body),
+      "content-length": Buffer.byteLength(answer.body),
     };
-    if (a.status === 503) {
+    if (answer.status === 503) {
       headers["retry-after"] = String(RETRY_AFTER_S);
       // a new connection may lead to a node that reaches the state service
       if (!this.member.reachesStateService()) headers["connection"] = "close";
     }
     if (this.connections > this.options.connections * CROWDED) headers["connection"] = "close";
-    response.writeHead(a.status, headers).end(a.body);
+    response.writeHead(answer.status, headers).end(answer.body);
   }
 
   /** Not ready while it alone can't reach the state service: other nodes then serve users better. */
@@ -151,7 +151,7 @@
           }),
         ),
       );
-      Effect.runFork(Effect.map(handled, (a) => this.send(response, a)));
+      Effect.runFork(Effect.map(handled, (answer) => this.send(response, answer)));
     });
   }
 
@@ -258,10 +258,10 @@
           return yield* this.refused(id, problem(422, "awaits names a job that was never accepted"));
         const known = parents as Parent[];
         const joined = awaits.filter((_, i) => known[i]!.state === "done");
-        const cancelled = known.some((p) => p.state === "cancelled");
-        const open = known.flatMap((p) => (p.state === "open" ? [p.condition] : []));
+        const cancelled = known.some((parent) => parent.state === "cancelled");
+        const open = known.flatMap((parent) => (parent.state === "open" ? [parent.condition] : []));
         // a cancel before a parent counts although it hasn't been passed on to the parent yet
-        const before = new Set(known.flatMap((p) => (p.state === "open" ? p.before : [])));
+        const before = new Set(known.flatMap((parent) => (parent.state === "open" ? parent.before : [])));
         const rest = [...open, ...[...before].map((key): Condition => ({ key, revision: 0 }))];
         const own = this.isNew(id);
         const when = [...own, ...rest.slice(0, Math.max(0, this.options.conditions - own.length))];
@@ -293,7 +293,8 @@
           }
           return answer(201, jobAnswer(id, "queued"));
         }
-        if (result.failed.some((key) => own.some((c) => c.key === key))) return yield* this.repeated(id);
+        if (result.failed.some((key) => own.some((condition) => condition.key === key)))
+          return yield* this.repeated(id);
         // some parent went on: what is known here is behind
         for (const p of awaits) stale.add(p);
       }
--- a/src/service/user-writes.ts
+++ b/src/service/api/user-writes.ts
@@ -6,8 +6,13 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import * as Schedule from "effect/Schedule";
-import type { Change, Condition } from "../io/codec.js";
-import { type CommitResult, isOverTheRate, type StateClient, type StateError } from "../io/state-client.js";
+import type { Change, Condition } from "../../io/codec.js";
+import {
+  type CommitResult,
+  isOverTheRate,
+  type StateClient,
+  type StateError,
+} from "../../io/state-client.js";
 
 const RETRY_AFTER = Duration.millis(150);
 export const MAX_RETRIES = 4;
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,23 +1,23 @@
 /** One controller, wired together. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { leaseTimingsOf } from "../core/term.js";
+import { leaseTimingsOf } from "../core/leases/term.js";
 import { CloudClient } from "../io/cloud-client.js";
 import type { Log } from "../io/log.js";
 import type { Settings } from "../io/settings.js";
 import type { OperatorAnswer } from "../io/shard-codec.js";
 import { StateClient } from "../io/state-client.js";
 import { WorkerClient } from "../io/worker-client.js";
-import { ApiServer } from "./api-server.js";
-import { Leader } from "./leader.js";
-import { Member } from "./member.js";
-import { Membership } from "./membership.js";
+import { ApiServer } from "./api/api-server.js";
+import { Leader } from "./leader/leader.js";
+import { Member } from "./members/member.js";
+import { Membership } from "./members/membership.js";
 import { JobCache } from "./job-cache.js";
-import { Peers, servePeers } from "./peers.js";
-import { JobReleaser } from "./job-releaser.js";
+import { Peers, servePeers } from "./members/peers.js";
+import { JobReleaser } from "./leader/job-releaser.js";
 import { serveOperators } from "./operators-server.js";
 import { shardExtension, Shards } from "./shards/shards.js";
-import { JobStatusReader } from "./job-status.js";
+import { JobStatusReader } from "./api/job-status.js";
 
 /**
  * Shares of the platform's limit of sockets. When other nodes are down all workers and users come to this one, so what
@@ -40,7 +40,7 @@
 export const runController = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
   Effect.gen(function* () {
     const timings = leaseTimingsOf(settings.workers, settings.operator.memberLease);
-    const teams = new Map(settings.teams.map((t) => [t.name, t]));
+    const teams = new Map(settings.teams.map((team) => [team.name, team]));
     const nodes = settings.peers.length + 1;
     const shardSettings = settings.operator.shards;
     const state = new StateClient(settings.state, settings.stateLimits, nodes);
@@ -159,7 +159,7 @@
     connections = () => front.connections;
     yield* servePeers(settings.peerBind, {
       sync: leader.sync,
-      deliver: (d) => member.deliver(d),
+      deliver: (delivery) => member.deliver(delivery),
       confirmTerm: (w) => ({ knowsNoNewerTerm: membership.knowsNoNewerTerm(w.termNumber) }),
       shards: shards?.handlers ?? null,
     });
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { type Instant, hasElapsed } from "../core/time.js";
-import { Waiters } from "../core/fanin.js";
+import { Waiters } from "../core/jobs/fanin.js";
 import { type FaninRecord, type JobSpec, keys, type MachineType } from "../core/records.js";
 import { instantOf, now } from "../io/clock.js";
 import { acceptedOf, readFanin, readJob, releasedOf, type Row, typesOf, type WireType } from "../io/codec.js";
--- a/src/service/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -7,18 +7,18 @@
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { faninStep, type ParentState } from "../core/fanin.js";
-import { type CommitRecord, type FaninRecord, keys } from "../core/records.js";
-import { type Instant, hasElapsed, plus } from "../core/time.js";
-import { now } from "../io/clock.js";
-import { releasedRecord } from "../io/codec.js";
-import type { Log } from "../io/log.js";
-import type { StateClient } from "../io/state-client.js";
-import type { Fanin, JobCache } from "./job-cache.js";
-import { RejectionBackoff } from "./rejection-backoff.js";
+import { faninStep, type ParentState } from "../../core/jobs/fanin.js";
+import { type CommitRecord, type FaninRecord, keys } from "../../core/records.js";
+import { type Instant, hasElapsed, plus } from "../../core/time.js";
+import { now } from "../../io/clock.js";
+import { releasedRecord } from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
+import type { StateClient } from "../../io/state-client.js";
+import type { Fanin, JobCache } from "../job-cache.js";
+import { RejectionBackoff } from "../rejection-backoff.js";
 import { LEADER_WRITE_TIMEOUT } from "./leader-write-timeout.js";
-import { Signal } from "./signal.js";
-import type { JobStatusReader } from "./job-status.js";
+import { Signal } from "../signal.js";
+import type { JobStatusReader } from "../api/job-status.js";
 
 const LOOK_EVERY = Duration.seconds(1);
 const LOOK_AT_ALL_EVERY = Duration.seconds(5);
--- a/src/service/leader.ts
+++ b/src/service/leader/leader.ts
@@ -2,10 +2,10 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
-import type { HeartbeatId } from "../core/cluster.js";
-import type { FleetOptions } from "../core/autoscaler.js";
-import { groups, jsonBytes, pack, TXN_BYTES, valueBytes } from "../core/packing.js";
-import { ProgressLog } from "../core/progress.js";
+import type { HeartbeatId } from "../../core/cluster/cluster.js";
+import type { FleetOptions } from "../../core/autoscaling/autoscaler.js";
+import { groups, jsonBytes, pack, TXN_BYTES, valueBytes } from "../../core/packing.js";
+import { ProgressLog } from "../../core/jobs/progress.js";
 import {
   type CommitRecord,
   keys,
@@ -17,30 +17,30 @@
   type Team,
   type TermRecord,
   type Heartbeat,
-} from "../core/records.js";
-import { type Decision, type CommandOutcome, Scheduler } from "../core/scheduler.js";
-import type { MachineOwnership } from "../core/scheduler-context.js";
-import type { LeaseTimings } from "../core/term.js";
-import { type Instant, instant, minus, hasElapsed, plus } from "../core/time.js";
-import { ZoneWatch } from "../core/zones.js";
-import { now } from "../io/clock.js";
-import type { CloudClient } from "../io/cloud-client.js";
-import type { Change, WireType } from "../io/codec.js";
-import type { Log } from "../io/log.js";
-import type { CommandBatch, JobProgress, SyncRequest, SyncResponse } from "../io/peer-codec.js";
-import type { StateClient } from "../io/state-client.js";
+} from "../../core/records.js";
+import { type Decision, type CommandOutcome, Scheduler } from "../../core/scheduler/scheduler.js";
+import type { MachineOwnership } from "../../core/scheduler/scheduler-context.js";
+import type { LeaseTimings } from "../../core/leases/term.js";
+import { type Instant, instant, minus, hasElapsed, plus } from "../../core/time.js";
+import { ZoneWatch } from "../../core/leases/zones.js";
+import { now } from "../../io/clock.js";
+import type { CloudClient } from "../../io/cloud-client.js";
+import type { Change, WireType } from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
+import type { CommandBatch, JobProgress, SyncRequest, SyncResponse } from "../../io/peer-codec.js";
+import type { StateClient } from "../../io/state-client.js";
 import { MachineRecordStore, opsOf } from "./machine-record-store.js";
 import { Locked } from "./locked.js";
-import { receiveUpdates } from "./update-relay.js";
-import type { Member } from "./member.js";
-import type { Leadership, Membership } from "./membership.js";
-import type { JobCache, CachedJob, BlockedJob } from "./job-cache.js";
+import { receiveUpdates } from "../members/update-relay.js";
+import type { Member } from "../members/member.js";
+import type { Leadership, Membership } from "../members/membership.js";
+import type { JobCache, CachedJob, BlockedJob } from "../job-cache.js";
 import { LEADER_WRITE_TIMEOUT } from "./leader-write-timeout.js";
-import type { Peers } from "./peers.js";
+import type { Peers } from "../members/peers.js";
 import type { JobReleaser } from "./job-releaser.js";
-import { RejectionBackoff } from "./rejection-backoff.js";
-import type { ShardLeader } from "./shards/shard-leader.js";
-import { Signal } from "./signal.js";
+import { RejectionBackoff } from "../rejection-backoff.js";
+import type { ShardLeader } from "../shards/shard-leader.js";
+import { Signal } from "../signal.js";
 
 export interface LeaderOptions {
   readonly me: string;
@@ -91,9 +91,12 @@
 const COMMANDS_IN_MESSAGE = 10_000;
 const commandWeight = (batch: CommandBatch): number => 2 + batch.commands.length;
 
-const describe = (r: Heartbeat): string =>
-  r.tasks
-    .map((t) => `${t.job}/${t.index} ${t.state}${t.exitReason === null ? "" : ` ${t.exitReason}`}`)
+const describe = (heartbeat: Heartbeat): string =>
+  heartbeat.tasks
+    .map(
+      (task) =>
+        `${task.job}/${task.index} ${task.state}${task.exitReason === null ? "" : ` ${task.exitReason}`}`,
+    )
     .join(", ");
 
 export class Leader {
@@ -139,25 +142,27 @@
     private readonly log: Log,
   ) {
     jobCache.onWaiting = (job) => this.waitingSeen(job);
-    jobCache.onWaitingOver = (id) => this.schedulerLock?.with((s) => s.waitingOver(id));
+    jobCache.onWaitingOver = (id) => this.schedulerLock?.with((scheduler) => scheduler.waitingOver(id));
     this.refusals = new RejectionBackoff(log);
     this.valueBytes = valueBytes(options.valueKb);
     this.blockBytes = this.valueBytes;
     this.sweepOps = options.txnOps;
     jobCache.onJob = (job) => this.jobSeen(job);
     jobCache.onOver = (id) => this.jobOver(id);
-    jobCache.onTypes = (types) => this.schedulerLock?.with((s) => s.setTypes(types));
+    jobCache.onTypes = (types) => this.schedulerLock?.with((scheduler) => scheduler.setTypes(types));
     membership.onLost = () => this.stop();
   }
 
   private jobSeen(job: CachedJob): void {
     if (this.schedulerLock === null || job.revision <= this.loadedRevision) return;
-    this.schedulerLock.with((s) => s.jobSeen(job.spec, job.revision, job.accepted, job.released));
+    this.schedulerLock.with((scheduler) =>
+      scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released),
+    );
     this.stepRequested.notify();
   }
 
   private waitingSeen(job: BlockedJob): void {
-    this.schedulerLock?.with((s) => s.waitingSeen(job.spec, job.accepted));
+    this.schedulerLock?.with((scheduler) => scheduler.waitingSeen(job.spec, job.accepted));
     this.jobReleaser.waitingSeen(job.spec.id);
   }
 
@@ -165,7 +170,7 @@
     this.member.jobOver(id);
     this.jobReleaser.over(id);
     if (this.schedulerLock === null) return;
-    this.schedulerLock.with((s) => s.jobOver(id));
+    this.schedulerLock.with((scheduler) => scheduler.jobOver(id));
     this.stepRequested.notify();
   }
 
@@ -183,8 +188,8 @@
   }
 
   /** A member's news; also asked by this node's own part. */
-  readonly sync = (m: SyncRequest): SyncResponse => {
-    this.members.set(m.member, { at: now(), ok: m.reachesStateService });
+  readonly sync = (request: SyncRequest): SyncResponse => {
+    this.members.set(request.member, { at: now(), ok: request.reachesStateService });
     const term = this.membership.term;
     const scheduler = this.schedulerLock;
     const base = {
@@ -193,50 +198,56 @@
       progressVersion: this.progress.version,
       reachesStateService: this.member.reachesStateService(),
     };
-    const member = term?.members.some((x) => x.name === m.member && x.incarnation === m.incarnation);
+    const member = term?.members.some(
+      (member) => member.name === request.member && member.incarnation === request.incarnation,
+    );
     if (
       scheduler === null ||
       member !== true ||
-      m.termNumber !== term?.number ||
+      request.termNumber !== term?.number ||
       !this.membership.isActingLeader()
     ) {
-      this.membership.observeTerm(m.termNumber);
+      this.membership.observeTerm(request.termNumber);
       return { ...base, accepted: false, progress: [] };
     }
     const at = now();
-    return scheduler.with((s) => {
-      for (const { heartbeat: r, ageMs } of m.heartbeats) {
-        s.heartbeatReceived(r, m.member, at, minus(at, Duration.millis(ageMs)));
+    return scheduler.with((scheduler) => {
+      for (const { heartbeat, ageMs } of request.heartbeats) {
+        scheduler.heartbeatReceived(heartbeat, request.member, at, minus(at, Duration.millis(ageMs)));
         if (this.log.isLevelEnabled("debug"))
-          this.log.debug({ machine: r.machine, tasks: describe(r) }, "heartbeat");
+          this.log.debug({ machine: heartbeat.machine, tasks: describe(heartbeat) }, "heartbeat");
       }
-      for (const { job, ranges } of m.storedFinishes) s.stored(job, ranges);
+      for (const { job, ranges } of request.storedFinishes) scheduler.stored(job, ranges);
       const answered = [];
-      for (const { machine, answerAgeMs, heartbeatAgeMs } of m.contacts) {
-        if (heartbeatAgeMs >= 0) s.contactReported(machine, minus(at, Duration.millis(heartbeatAgeMs)));
+      for (const { machine, answerAgeMs, heartbeatAgeMs } of request.contacts) {
+        if (heartbeatAgeMs >= 0)
+          scheduler.contactReported(machine, minus(at, Duration.millis(heartbeatAgeMs)));
         if (answerAgeMs >= 0) answered.push({ machine, at: minus(at, Duration.millis(answerAgeMs)) });
       }
-      s.leasesAcknowledged(
-        m.member,
-        m.incarnation,
-        m.termNumber,
-        m.leaderClockMark < 0 ? null : instant(m.leaderClockMark),
+      scheduler.leasesAcknowledged(
+        request.member,
+        request.incarnation,
+        request.termNumber,
+        request.leaderClockMark < 0 ? null : instant(request.leaderClockMark),
         answered,
         at,
       );
-      for (const x of m.commandResults)
-        this.answered(s, x.id, x.outcome, { workerEpoch: x.workerEpoch, sequence: x.sequence });
-      if (m.heartbeats.length + m.storedFinishes.length + m.commandResults.length > 0)
+      for (const result of request.commandResults)
+        this.answered(scheduler, result.id, result.outcome, {
+          workerEpoch: result.workerEpoch,
+          sequence: result.sequence,
+        });
+      if (request.heartbeats.length + request.storedFinishes.length + request.commandResults.length > 0)
         this.stepRequested.notify();
-      return { ...base, accepted: true, progress: this.progressSince(s, m.progressVersion) };
+      return { ...base, accepted: true, progress: this.progressSince(scheduler, request.progressVersion) };
     });
   };
 
-  private progressSince(s: Scheduler, version: number): JobProgress[] {
+  private progressSince(scheduler: Scheduler, version: number): JobProgress[] {
     const changed = this.progress.since(version);
     const out: JobProgress[] = [];
-    for (const id of changed ?? s.cluster.jobs.keys()) {
-      const job = s.cluster.jobs.get(id);
+    for (const id of changed ?? scheduler.cluster.jobs.keys()) {
+      const job = scheduler.cluster.jobs.get(id);
       const tasks = this.finishedJobs.get(id);
       if (tasks !== undefined) out.push({ job: id, done: tasks, running: 0, over: true });
       else if (job !== undefined)
@@ -346,7 +357,8 @@
     if (this.membership.leadership === null && !(yield* this.membership.campaign)) return;
     if (this.schedulerLock === null) yield* this.recoverState;
     else if (this.membership.isTermOutdated()) yield* this.renewTerm("members changed");
-    else if (this.schedulerLock.with((s) => s.needsNewTerm)) yield* this.renewTerm("attempt numbers run out");
+    else if (this.schedulerLock.with((scheduler) => scheduler.needsNewTerm))
+      yield* this.renewTerm("attempt numbers run out");
   }).pipe(
     Effect.catchAll((e) =>
       Effect.zipRight(
@@ -372,7 +384,7 @@
   readonly termChanged = (term: TermRecord): void => {
     this.zones.seen(term, now());
     if (term.leader !== this.options.me) this.stop();
-    else this.schedulerLock?.with((s) => s.renewTerm(term, now()));
+    else this.schedulerLock?.with((scheduler) => scheduler.renewTerm(term, now()));
     this.stepRequested.notify();
   };
 
@@ -382,16 +394,16 @@
     yield* this.stepRequested.wait(STEP_EVERY);
     yield* Effect.sleep(STEP_GATHER);
     if (this.schedulerLock === null || !this.membership.isActingLeader()) return;
-    const decisions = this.schedulerLock.with((s) => {
-      this.giveUp(s);
-      return s.step(now());
+    const decisions = this.schedulerLock.with((scheduler) => {
+      this.giveUp(scheduler);
+      return scheduler.step(now());
     });
     const commands = new Map<string | null, CommandBatch[]>();
-    for (const d of decisions)
-      if (d.kind === "commands") {
-        const via = this.route(d.via);
-        (commands.get(via) ?? commands.set(via, []).get(via)!).push(this.delivery(d));
-      } else yield* this.fork(this.carryOut(d));
+    for (const decision of decisions)
+      if (decision.kind === "commands") {
+        const via = this.route(decision.via);
+        (commands.get(via) ?? commands.set(via, []).get(via)!).push(this.delivery(decision));
+      } else yield* this.fork(this.carryOut(decision));
     for (const [via, items] of commands)
       for (const group of groups(items, commandWeight, COMMANDS_IN_MESSAGE))
         yield* this.fork(this.sendCommands(via, group));
@@ -419,7 +431,7 @@
 
   /** The member that sends commands to a machine; null: this node itself. */
   private route(via: string | null): string | null {
-    const member = this.membership.term?.members.some((m) => m.name === via) ?? false;
+    const member = this.membership.term?.members.some((member) => member.name === via) ?? false;
     return member && via !== this.options.me ? via : null;
   }
 
@@ -434,7 +446,7 @@
         {
           fencingToken,
           machine,
-          commands: commands.map((o) => `${o.op} ${o.job}/${o.index}`).join(", "),
+          commands: commands.map((command) => `${command.op} ${command.job}/${command.index}`).join(", "),
         },
         "commands",
       );
@@ -456,20 +468,20 @@
       // the part's member can't be reached, or may not send: this node sends by itself; questions may be put twice
       const own = sent === "not" ? batches : batches.filter((item) => item.commands.length === 0);
       const local = yield* this.member.deliver({ term, batches: own });
-      this.schedulerLock.with((s) => {
+      this.schedulerLock.with((scheduler) => {
         for (const item of batches)
-          if (!own.includes(item)) this.answered(s, item.id, "unknown");
-          else if (!local.accepted) this.answered(s, item.id, "barred");
+          if (!own.includes(item)) this.answered(scheduler, item.id, "unknown");
+          else if (!local.accepted) this.answered(scheduler, item.id, "barred");
       });
       this.stepRequested.notify();
     });
   }
 
-  private answered(s: Scheduler, id: number, outcome: CommandOutcome, by?: HeartbeatId): void {
+  private answered(scheduler: Scheduler, id: number, outcome: CommandOutcome, by?: HeartbeatId): void {
     const batch = this.unansweredBatches.get(id);
     if (batch === undefined) return;
     this.unansweredBatches.delete(id);
-    s.commandsAnswered(batch.machine, batch.commands, batch.fencingToken, outcome, now(), by);
+    scheduler.commandsAnswered(batch.machine, batch.commands, batch.fencingToken, outcome, now(), by);
     if (outcome !== "done" && outcome !== "barred")
       this.log.debug(
         { machine: batch.machine, outcome, count: batch.commands.length },
@@ -477,10 +489,10 @@
       );
   }
 
-  private giveUp(s: Scheduler): void {
+  private giveUp(scheduler: Scheduler): void {
     for (const [id, batch] of this.unansweredBatches) {
       if (!hasElapsed(now(), batch.at, GIVEN_UP_AFTER)) return;
-      this.answered(s, id, "unknown");
+      this.answered(scheduler, id, "unknown");
     }
   }
 
@@ -516,13 +528,13 @@
       }
       // a commit that exists is the outcome for ever, whichever it is
       if (result.ok === false && result.failed.includes(keys.commit(id))) this.jobCache.remove(id);
-      else this.schedulerLock?.with((s) => s.commitFailed(id));
+      else this.schedulerLock?.with((scheduler) => scheduler.commitFailed(id));
     }).pipe(
       Effect.catchAll((e) =>
         Effect.gen(this, function* () {
           this.log.info({ job: id, why: e.why }, "commit delayed");
           yield* Effect.sleep(Duration.millis(250));
-          this.schedulerLock?.with((s) => s.commitFailed(id));
+          this.schedulerLock?.with((scheduler) => scheduler.commitFailed(id));
           this.stepRequested.notify();
         }),
       ),
@@ -552,10 +564,10 @@
           [{ put: key, value: { machines } satisfies MachinesRecord }],
         )
         .pipe(Effect.orElseSucceed(() => null));
-      this.schedulerLock?.with((s) => {
+      this.schedulerLock?.with((scheduler) => {
         for (const b of batch)
-          if (result?.ok === true) s.recorded(b.id, b.record, now());
-          else s.recordFailed(b.id);
+          if (result?.ok === true) scheduler.recorded(b.id, b.record, now());
+          else scheduler.recordFailed(b.id);
       });
       this.stepRequested.notify();
       if (result?.ok === true) this.refusals.accepted("record of machines");
@@ -578,8 +590,9 @@
     if (hasElapsed(now(), this.rangesListed, LIST_RANGES_EVERY)) {
       this.rangesListed = now();
       const { rows } = yield* this.state.list(keys.ranges);
-      this.schedulerLock?.with((s) => {
-        for (const row of rows) if (!s.cluster.jobs.has(row.key.split("/")[1]!)) this.staleKeys.add(row.key);
+      this.schedulerLock?.with((scheduler) => {
+        for (const row of rows)
+          if (!scheduler.cluster.jobs.has(row.key.split("/")[1]!)) this.staleKeys.add(row.key);
       });
       // sets of jobs that an earlier version committed, or whose set wasn't known to who committed them: a set is
       // created with its job, so one without is left over
@@ -591,11 +604,11 @@
     const firstDeletes = ++this.sweeps % 2 === 0 ? [...this.staleKeys].slice(0, this.sweepOps) : [];
     const most = Math.min(MAX_REWRITES, this.sweepOps - firstDeletes.length);
     const rewrites = this.machineRecords.changed(most, room, now());
-    const rewriteOps = rewrites.reduce((sum, r) => sum + opsOf(r), 0);
+    const rewriteOps = rewrites.reduce((sum, rewrite) => sum + opsOf(rewrite), 0);
     const left = this.sweepOps - rewriteOps;
     const deletes = [...this.staleKeys].slice(0, left);
     if (deletes.length + rewrites.length === 0) return;
-    const created = rewrites.flatMap((r) => r.pieces);
+    const created = rewrites.flatMap((rewrite) => rewrite.pieces);
     const result = yield* this.state.commit(
       [
         { key: keys.leader, revision: leadership.revision },
@@ -632,7 +645,9 @@
     } else {
       // a piece that exists: an earlier copy of its split, whose answer was lost, was carried out
       const { failed } = result;
-      this.machineRecords.written(rewrites.filter((r) => r.pieces.some((p) => failed.includes(p.key))));
+      this.machineRecords.written(
+        rewrites.filter((rewrite) => rewrite.pieces.some((p) => failed.includes(p.key))),
+      );
     }
   }).pipe(Effect.ignore, Effect.forever);
 
@@ -641,8 +656,8 @@
   private readonly fleetLoop = Effect.gen(this, function* () {
     yield* Effect.sleep(Duration.millis(700));
     if (this.schedulerLock === null || !this.membership.isActingLeader()) return;
-    for (const d of this.schedulerLock.with((s) => s.stepFleet(now())))
-      if (d.kind !== "commands") yield* this.fork(this.carryOut(d));
+    for (const decision of this.schedulerLock.with((scheduler) => scheduler.stepFleet(now())))
+      if (decision.kind !== "commands") yield* this.fork(this.carryOut(decision));
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.sync(() => this.log.error({ cause: cause.toString() }, "fleet failed")),
@@ -652,7 +667,9 @@
 
   private readonly summaryLoop = Effect.gen(this, function* () {
     yield* Effect.sleep(Duration.seconds(5));
-    this.schedulerLock?.with((s) => this.log.info({ term: s.term.number, ...s.summary(now()) }, "summary"));
+    this.schedulerLock?.with((scheduler) =>
+      this.log.info({ term: scheduler.term.number, ...scheduler.summary(now()) }, "summary"),
+    );
   }).pipe(Effect.forever);
 
   private rent(d: Extract<Decision, { kind: "rent" }>): Effect.Effect<void> {
@@ -662,7 +679,9 @@
       if (leadership === null || term === null || this.schedulerLock === null) return;
       const name = `r-${term.number}-${++this.rentals}`;
       const { type, zone, spot, count } = d.rent;
-      this.schedulerLock.with((s) => s.fleet.outstanding.set(name, { offer: d.rent, count, at: now() }));
+      this.schedulerLock.with((scheduler) =>
+        scheduler.fleet.outstanding.set(name, { offer: d.rent, count, at: now() }),
+      );
       const record: RentalRecord = { type: type.name, zone, spot, count };
       const stored = yield* this.state
         .commit(
@@ -676,7 +695,7 @@
         yield* Effect.sleep(this.refusals.refused("rental", stored.error));
       if (stored?.ok !== true) {
         // not sent: the name is never used again
-        this.schedulerLock?.with((s) => s.fleet.outstanding.delete(name));
+        this.schedulerLock?.with((scheduler) => scheduler.fleet.outstanding.delete(name));
         return;
       }
       this.log.info({ term: term.number, rental: name, type: type.name, zone, spot, count }, "rents");
@@ -703,7 +722,7 @@
       // sent again under the same name it would only get the same answer: its record can go in its turn
       this.staleKeys.add(keys.rental(name));
       this.log.info({ rental: name, got: got.length, refused: machines === null }, "rental answered");
-      this.schedulerLock?.with((s) => s.rentalAnswered(name, r, got, now()));
+      this.schedulerLock?.with((scheduler) => scheduler.rentalAnswered(name, r, got, now()));
       this.stepRequested.notify();
     });
   }
@@ -717,17 +736,18 @@
         "releases",
       );
       // nothing is on an empty machine, and nothing more will start there: a next leader needn't wait for it
-      this.schedulerLock?.with((s) => {
+      this.schedulerLock?.with((scheduler) => {
         for (const id of machines) {
-          const m = s.cluster.machines.get(id);
-          if (m !== undefined && m.confirmed && m.attempts.size === 0) this.machineRecords.remove(id);
+          const machine = scheduler.cluster.machines.get(id);
+          if (machine !== undefined && machine.confirmed && machine.attempts.size === 0)
+            this.machineRecords.remove(id);
         }
       });
       const gone = yield* this.cloud.release(machines).pipe(
         Effect.as(true),
         Effect.orElseSucceed(() => false),
       );
-      this.schedulerLock?.with((s) => s.releaseAnswered(machines, gone, now()));
+      this.schedulerLock?.with((scheduler) => scheduler.releaseAnswered(machines, gone, now()));
       this.stepRequested.notify();
       if (gone) for (const id of machines) this.machineRecords.remove(id);
     });
@@ -741,7 +761,7 @@
 
   private readonly listLoop = Effect.gen(this, function* () {
     const rows = yield* this.cloud.list();
-    this.schedulerLock?.with((s) => s.listed(rows, now()));
+    this.schedulerLock?.with((scheduler) => scheduler.listed(rows, now()));
     this.stepRequested.notify();
     yield* Effect.sleep(Duration.max(this.options.listEvery, this.listPause(rows.length)));
   }).pipe(
@@ -753,8 +773,9 @@
     const rows = yield* this.cloud.types();
     const old = this.jobCache.types;
     this.jobCache.setTypes(rows);
-    const same = (a: typeof old, b: typeof old) =>
-      a.length === b.length && a.every((t, i) => t.name === b[i]!.name && t.cpus === b[i]!.cpus);
+    const same = (types: typeof old, b: typeof old) =>
+      types.length === b.length &&
+      types.every((type, i) => type.name === b[i]!.name && type.cpus === b[i]!.cpus);
     this.typesUnwritten ||= !same(old, this.jobCache.types);
     const leadership = this.membership.leadership;
     if (leadership !== null && this.typesUnwritten) yield* this.writeTypes(rows, leadership);
--- a/src/service/machine-record-store.ts
+++ b/src/service/leader/machine-record-store.ts
@@ -14,9 +14,9 @@
  * - A late rewrite of a block that was split brings the block back, with more machines than are left of it: machines
  *   that are gone, or that are in a piece as well. The next leader reads it and deletes it in time.
  */
-import { jsonBytes, pack } from "../core/packing.js";
-import type { MachineRecord } from "../core/records.js";
-import type { Instant } from "../core/time.js";
+import { jsonBytes, pack } from "../../core/packing.js";
+import type { MachineRecord } from "../../core/records.js";
+import type { Instant } from "../../core/time.js";
 
 type Machines = Readonly<Record<string, MachineRecord>>;
 
@@ -52,10 +52,10 @@
   putOff: Instant | null;
 }
 
-export const opsOf = (r: Rewrite): number => 1 + r.pieces.length;
-const bytesOf = (r: Rewrite): number =>
-  (r.machines === null ? 0 : jsonBytes(r.machines)) +
-  r.pieces.reduce((sum, p) => sum + jsonBytes(p), 0) +
+export const opsOf = (rewrite: Rewrite): number => 1 + rewrite.pieces.length;
+const bytesOf = (rewrite: Rewrite): number =>
+  (rewrite.machines === null ? 0 : jsonBytes(rewrite.machines)) +
+  rewrite.pieces.reduce((sum, p) => sum + jsonBytes(p), 0) +
   250;
 
 export class MachineRecordStore {
@@ -104,14 +104,14 @@
       else if (machines.size === 0) candidates.push({ key, machines: null, pieces: [], version });
       else candidates.push({ key, machines: Object.fromEntries(machines), pieces: [], version });
     }
-    const cost = (r: Rewrite): number => (r.machines === null ? 0 : 1) + r.pieces.length;
-    candidates.sort((a, b) => cost(a) - cost(b));
+    const cost = (rewrite: Rewrite): number => (rewrite.machines === null ? 0 : 1) + rewrite.pieces.length;
+    candidates.sort((rewrite, b) => cost(rewrite) - cost(b));
     const out: Rewrite[] = [];
     let ops = most;
     let bytes = room?.txnBytes ?? Infinity;
-    for (const c of candidates) {
+    for (const rewrite of candidates) {
       if (ops < 1) break;
-      const r = room === undefined ? c : this.fitted(c, room, ops, bytes);
+      const r = room === undefined ? rewrite : this.fitted(rewrite, room, ops, bytes);
       if (r === null || opsOf(r) > ops || (room !== undefined && bytesOf(r) > bytes)) continue;
       out.push(r);
       ops -= opsOf(r);
@@ -121,16 +121,17 @@
   }
 
   /** A block that is too large for one value is split if there is room for that; if not it stays for now: null. */
-  private fitted(r: Rewrite, room: Room, ops: number, bytes: number): Rewrite | null {
-    if (r.machines === null || jsonBytes({ machines: r.machines }) <= room.valueBytes) return r;
-    const parts = pack(Object.entries(r.machines), room.valueBytes);
-    if (parts.length < 2) return r;
-    if (1 + parts.length > ops || jsonBytes(r.machines) + 250 * parts.length > bytes) return null;
+  private fitted(rewrite: Rewrite, room: Room, ops: number, bytes: number): Rewrite | null {
+    if (rewrite.machines === null || jsonBytes({ machines: rewrite.machines }) <= room.valueBytes)
+      return rewrite;
+    const parts = pack(Object.entries(rewrite.machines), room.valueBytes);
+    if (parts.length < 2) return rewrite;
+    if (1 + parts.length > ops || jsonBytes(rewrite.machines) + 250 * parts.length > bytes) return null;
     const pieces = parts.map((machines) => ({ key: room.newKey(), machines }));
-    const block = this.blocks.get(r.key)!;
+    const block = this.blocks.get(rewrite.key)!;
     block.split = pieces;
     for (const p of pieces) this.add(p.key, p.machines, true);
-    return { ...r, machines: null, pieces };
+    return { ...rewrite, machines: null, pieces };
   }
 
   /** They were carried out, by this transaction or, for a split whose pieces exist, by an earlier copy. */
--- a/src/service/member.ts
+++ b/src/service/members/member.ts
@@ -1,29 +1,29 @@
 /** A member at work: takes reports, delivers commands, stores finishes, and keeps the leader informed. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import type { Heartbeat } from "../core/records.js";
-import { TXN_BYTES, valueBytes } from "../core/packing.js";
-import { keys, type TermRecord } from "../core/records.js";
-import type { Writing } from "../core/finish-store.js";
-import { type HeartbeatAnswer, WorkerPartition } from "../core/worker-partition.js";
-import { type Instant, hasElapsed } from "../core/time.js";
-import { now } from "../io/clock.js";
-import type { Change, Condition } from "../io/codec.js";
-import type { Log } from "../io/log.js";
+import type { Heartbeat } from "../../core/records.js";
+import { TXN_BYTES, valueBytes } from "../../core/packing.js";
+import { keys, type TermRecord } from "../../core/records.js";
+import type { Writing } from "../../core/members/finish-store.js";
+import { type HeartbeatAnswer, WorkerPartition } from "../../core/members/worker-partition.js";
+import { type Instant, hasElapsed } from "../../core/time.js";
+import { now } from "../../io/clock.js";
+import type { Change, Condition } from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
 import type {
   CommandDelivery,
   DeliveryReceipt,
   CommandBatch,
   SyncRequest,
   SyncResponse,
-} from "../io/peer-codec.js";
-import type { StateClient } from "../io/state-client.js";
-import type { WorkerClient } from "../io/worker-client.js";
+} from "../../io/peer-codec.js";
+import type { StateClient } from "../../io/state-client.js";
+import type { WorkerClient } from "../../io/worker-client.js";
 import { type FragmentLimits, fragmentLimits, relayUpdate } from "./update-relay.js";
 import type { Membership } from "./membership.js";
 import type { Peers } from "./peers.js";
-import { RejectionBackoff } from "./rejection-backoff.js";
-import { Signal } from "./signal.js";
+import { RejectionBackoff } from "../rejection-backoff.js";
+import { Signal } from "../signal.js";
 
 /** Bytes of one ranges record; with its key, a condition and names it needs so much more of a transaction. */
 const RANGES_BYTES = 3000;
@@ -98,10 +98,10 @@
     return this.state.failingSince === null;
   }
 
-  handleHeartbeat(r: Heartbeat): HeartbeatAnswer {
+  handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
     const { incarnation } = this.membership;
     const answer = this.partition.handleHeartbeat(
-      r,
+      heartbeat,
       this.membership.mayAnswerWorkers(),
       incarnation,
       now(),
@@ -118,16 +118,16 @@
   readonly termChanged = (): void => this.syncRequested.notify();
 
   /** Commands go out only under the term in force, and only while this node is entitled. */
-  deliver(d: CommandDelivery): Effect.Effect<DeliveryReceipt> {
+  deliver(delivery: CommandDelivery): Effect.Effect<DeliveryReceipt> {
     return Effect.gen(this, function* () {
-      if ((this.membership.term?.number ?? 0) < d.term.number) {
-        this.membership.observeTerm(d.term.number);
-        for (let i = 0; i < 20 && (this.membership.term?.number ?? 0) < d.term.number; i++)
+      if ((this.membership.term?.number ?? 0) < delivery.term.number) {
+        this.membership.observeTerm(delivery.term.number);
+        for (let i = 0; i < 20 && (this.membership.term?.number ?? 0) < delivery.term.number; i++)
           yield* Effect.sleep(Duration.millis(25));
       }
       for (let i = 0; i < 20 && !this.membership.mayAct(); i++) yield* Effect.sleep(Duration.millis(25));
-      const may = this.maySend(d.term) && this.workers.hasRoom();
-      if (may) for (const item of d.batches) Effect.runFork(this.send(d.term, item));
+      const may = this.maySend(delivery.term) && this.workers.hasRoom();
+      if (may) for (const item of delivery.batches) Effect.runFork(this.send(delivery.term, item));
       return { accepted: may };
     });
   }
@@ -137,17 +137,17 @@
   }
 
   /** One machine's commands; their outcome is news for the leader. */
-  private send(term: TermRecord, d: CommandBatch): Effect.Effect<void> {
+  private send(term: TermRecord, batch: CommandBatch): Effect.Effect<void> {
     const came = now();
     const may = (): boolean => this.maySend(term) && !hasElapsed(now(), came, TURN_WITHIN);
     // a queue may have held it up: what isn't allowed any more isn't sent
     const send = Effect.suspend(() =>
       may()
-        ? this.workers.sendCommands(d.addr, d.fencingToken, d.workerEpoch, d.commands, may)
+        ? this.workers.sendCommands(batch.addr, batch.fencingToken, batch.workerEpoch, batch.commands, may)
         : Effect.succeed({ outcome: "barred" as const, report: null }),
     );
     return Effect.map(send, ({ outcome, report: heartbeat }) => {
-      this.partition.commandsAnswered(d.id, outcome, heartbeat, now());
+      this.partition.commandsAnswered(batch.id, outcome, heartbeat, now());
       this.wake();
     });
   }
@@ -258,9 +258,9 @@
 
   private write(writings: readonly Writing[]): Effect.Effect<boolean> {
     return Effect.gen(this, function* () {
-      const when: Condition[] = writings.map((w) => ({ key: keys.commit(w.job), revision: 0 }));
-      const apply: Change[] = writings.flatMap((w) =>
-        w.puts.map((p) => ({ put: p.key, value: { ranges: p.ranges } })),
+      const when: Condition[] = writings.map((write) => ({ key: keys.commit(write.job), revision: 0 }));
+      const apply: Change[] = writings.flatMap((write) =>
+        write.puts.map((p) => ({ put: p.key, value: { ranges: p.ranges } })),
       );
       const result = yield* this.state
         .commit(when, apply, "later")
@@ -279,11 +279,11 @@
         this.refusals.accepted("finishes");
         this.storePuts = Math.min(this.options.txnOps, this.storePuts + 1);
       }
-      for (const w of writings) {
-        const over = result.ok === false && result.failed.includes(keys.commit(w.job));
+      for (const write of writings) {
+        const over = result.ok === false && result.failed.includes(keys.commit(write.job));
         const failed = refused && alone ? "refused" : "failed";
         this.partition.finishes.storeAnswered(
-          w,
+          write,
           result.ok === true ? "stored" : over ? "over" : failed,
           now(),
         );
--- a/src/service/membership.ts
+++ b/src/service/members/membership.ts
@@ -7,18 +7,18 @@
   hasFreshJobView,
   sameMembers,
   type LeaseTimings,
-} from "../core/term.js";
-import { type Instant, hasElapsed } from "../core/time.js";
+} from "../../core/leases/term.js";
+import { type Instant, hasElapsed } from "../../core/time.js";
 import {
   keys,
   type LeaderRecord,
   type MemberRecord,
   type TermMember,
   type TermRecord,
-} from "../core/records.js";
-import { now } from "../io/clock.js";
-import type { Change, Row } from "../io/codec.js";
-import type { Log } from "../io/log.js";
+} from "../../core/records.js";
+import { now } from "../../io/clock.js";
+import type { Change, Row } from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
 import {
   decodeLeader,
   decodeMember,
@@ -26,10 +26,10 @@
   encodeLeader,
   encodeMember,
   encodeTerm,
-} from "../io/record-codec.js";
-import type { CommitResult, StateClient, StateError } from "../io/state-client.js";
-import { RejectionBackoff } from "./rejection-backoff.js";
-import { Signal } from "./signal.js";
+} from "../../io/record-codec.js";
+import type { CommitResult, StateClient, StateError } from "../../io/state-client.js";
+import { RejectionBackoff } from "../rejection-backoff.js";
+import { Signal } from "../signal.js";
 
 export interface Leadership {
   readonly revision: number;
@@ -129,7 +129,11 @@
   }
 
   private inTerm(): boolean {
-    return this.term?.members.some((m) => m.name === this.me && m.incarnation === this.incarnation) ?? false;
+    return (
+      this.term?.members.some(
+        (member) => member.name === this.me && member.incarnation === this.incarnation,
+      ) ?? false
+    );
   }
 
   isActingLeader(): boolean {
@@ -149,7 +153,11 @@
     this.termConfirmedAt = null;
     this.peerConfirmations.clear();
     this.log.info(
-      { term: this.term.number, leader: this.term.leader, members: this.term.members.map((m) => m.name) },
+      {
+        term: this.term.number,
+        leader: this.term.leader,
+        members: this.term.members.map((member) => member.name),
+      },
       "term",
     );
     this.onTerm(this.term);
@@ -232,16 +240,16 @@
 
   private readonly watchLoop = Effect.gen(this, function* () {
     const list = yield* this.state.list(keys.cluster);
-    this.rows = new Map(list.rows.map((r) => [r.key, r]));
+    this.rows = new Map(list.rows.map((row) => [row.key, row]));
     this.synced = true;
     this.watched = list.revision;
     this.react();
     let revision = list.revision;
     for (;;) {
       const got = yield* this.state.watch(keys.cluster, revision, Duration.seconds(10));
-      for (const e of got.events)
-        if (e.value === undefined) this.rows.delete(e.key);
-        else this.rows.set(e.key, { key: e.key, value: e.value, revision: e.revision });
+      for (const event of got.events)
+        if (event.value === undefined) this.rows.delete(event.key);
+        else this.rows.set(event.key, { key: event.key, value: event.value, revision: event.revision });
       revision = got.revision;
       this.watched = revision;
       if (got.events.length > 0) this.react();
@@ -271,7 +279,7 @@
           incarnation: row.revision,
           zone: decodeMember(row.value).zone,
         });
-    return out.sort((a, b) => (a.name < b.name ? -1 : 1));
+    return out.sort((member, b) => (member.name < b.name ? -1 : 1));
   }
 
   /** Whether the term names other members than those that are there. */
@@ -325,12 +333,13 @@
       concurrency: 2,
     });
     const old = row === null ? null : decodeTerm(row.value);
-    const members: TermMember[] = list.rows.map((r) => ({
-      name: r.key.slice(keys.members.length),
-      incarnation: r.revision,
-      zone: decodeMember(r.value).zone,
+    const members: TermMember[] = list.rows.map((row) => ({
+      name: row.key.slice(keys.members.length),
+      incarnation: row.revision,
+      zone: decodeMember(row.value).zone,
     }));
-    if (!members.some((m) => m.name === this.me && m.incarnation === this.incarnation)) return false;
+    if (!members.some((member) => member.name === this.me && member.incarnation === this.incarnation))
+      return false;
     const term: TermRecord = {
       number: (old?.number ?? 0) + 1,
       leaderRevision: leadership.revision,
--- a/src/service/peers.ts
+++ b/src/service/members/peers.ts
@@ -2,7 +2,7 @@
 import http from "node:http";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { call, type CallFailed, makeAgent } from "../io/call.js";
+import { call, type CallFailed, makeAgent } from "../../io/call.js";
 import {
   type Codec,
   type CommandDelivery,
@@ -18,8 +18,8 @@
   type TermConfirmation,
   termConfirmationCodec,
   termConfirmationRequestCodec,
-} from "../io/peer-codec.js";
-import { listen, readBody } from "../io/server.js";
+} from "../../io/peer-codec.js";
+import { listen, readBody } from "../../io/server.js";
 import {
   offerCodec,
   type OperatorAnswer,
@@ -31,7 +31,7 @@
   releaseCodec,
   shardPaths,
   type ShardOffer,
-} from "../io/shard-codec.js";
+} from "../../io/shard-codec.js";
 import type { ReleaseRequest } from "#shards";
 
 const TYPE = "avro/binary";
--- a/src/service/update-relay.ts
+++ b/src/service/members/update-relay.ts
@@ -5,11 +5,11 @@
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { jsonBytes, valueBytes } from "../core/packing.js";
-import { keys } from "../core/records.js";
-import type { Log } from "../io/log.js";
-import { type SyncRequest, syncRequestCodec } from "../io/peer-codec.js";
-import type { StateClient } from "../io/state-client.js";
+import { jsonBytes, valueBytes } from "../../core/packing.js";
+import { keys } from "../../core/records.js";
+import type { Log } from "../../io/log.js";
+import { type SyncRequest, syncRequestCodec } from "../../io/peer-codec.js";
+import type { StateClient } from "../../io/state-client.js";
 
 const MAX_PIECE = 9000;
 const MAX_PIECES = 4;
@@ -83,10 +83,10 @@
       const got = yield* state.watch(keys.memberUpdates, revision, Duration.seconds(20));
       revision = got.revision;
       const byChange = new Map<string, Fragment[]>();
-      for (const e of got.events) {
-        if (e.value === undefined) continue;
-        const change = `${e.key.split("/")[1]} ${e.revision}`;
-        (byChange.get(change) ?? byChange.set(change, []).get(change)!).push(e.value as Fragment);
+      for (const event of got.events) {
+        if (event.value === undefined) continue;
+        const change = `${event.key.split("/")[1]} ${event.revision}`;
+        (byChange.get(change) ?? byChange.set(change, []).get(change)!).push(event.value as Fragment);
       }
       for (const pieces of byChange.values()) {
         const sync = fromFragments(pieces);
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -1,6 +1,6 @@
 /** What the state service refuses as it is (400): said now and then, and tried again ever more rarely. */
 import * as Duration from "effect/Duration";
-import { Backoff } from "../core/backoff.js";
+import { Backoff } from "../core/rates/backoff.js";
 import { type Instant, hasElapsed } from "../core/time.js";
 import { now } from "../io/clock.js";
 import type { Log } from "../io/log.js";
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -14,18 +14,18 @@
   weightOf,
   type WriteOutcome,
 } from "#shards";
-import type { Machine } from "../../core/cluster.js";
-import { shardKeys } from "../../core/shard-keys.js";
-import type { Scheduler } from "../../core/scheduler.js";
-import { fencingTokenOf } from "../../core/term.js";
+import type { Machine } from "../../core/cluster/cluster.js";
+import { shardKeys } from "../../core/shards/shard-keys.js";
+import type { Scheduler } from "../../core/scheduler/scheduler.js";
+import { fencingTokenOf } from "../../core/leases/term.js";
 import { type Instant, hasElapsed } from "../../core/time.js";
 import { now } from "../../io/clock.js";
 import type { Log } from "../../io/log.js";
 import { parseRefusal, type SampleWorker } from "../../io/shard-codec.js";
 import type { StateClient } from "../../io/state-client.js";
-import type { Locked } from "../locked.js";
-import type { Membership } from "../membership.js";
-import type { Peers } from "../peers.js";
+import type { Locked } from "../leader/locked.js";
+import type { Membership } from "../members/membership.js";
+import type { Peers } from "../members/peers.js";
 import { MoveLog, type MoveOutcome } from "./move-log.js";
 import type { ShardMoveExerciser } from "./shard-move-exerciser.js";
 import { ShardLoads } from "./shard-loads.js";
@@ -179,7 +179,9 @@
 
   private machinesOf(leading: Leading, shard: ShardId): readonly Machine[] {
     return leading.scheduler.with((scheduler) =>
-      [...scheduler.cluster.machines.values()].filter((m) => this.view.shardOf(m.id, m.zone) === shard),
+      [...scheduler.cluster.machines.values()].filter(
+        (machine) => this.view.shardOf(machine.id, machine.zone) === shard,
+      ),
     );
   }
 
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -5,7 +5,7 @@
 import type { Log } from "../../io/log.js";
 import type { SampleWorker, ShardOffer } from "../../io/shard-codec.js";
 import type { WorkerClient } from "../../io/worker-client.js";
-import type { Membership } from "../membership.js";
+import type { Membership } from "../members/membership.js";
 import type { ShardView } from "./shard-view.js";
 import type { ShardWriter } from "./shard-writer.js";
 
--- a/src/service/shards/shard-move-exerciser.ts
+++ b/src/service/shards/shard-move-exerciser.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Assignment, ShardId, ShardLoad } from "#shards";
-import { shardKeys } from "../../core/shard-keys.js";
+import { shardKeys } from "../../core/shards/shard-keys.js";
 import { type Instant, hasElapsed } from "../../core/time.js";
 import type { StateClient } from "../../io/state-client.js";
 import type { ShardLeader } from "./shard-leader.js";
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -1,11 +1,11 @@
 /** What operators ask about shards: answered by the leader, which other controllers pass the question on to. */
 import * as Effect from "effect/Effect";
 import { describeRefusal, parseShardId, Refusal, type ShardId, type ShardState } from "#shards";
-import { shardKeys } from "../../core/shard-keys.js";
+import { shardKeys } from "../../core/shards/shard-keys.js";
 import type { OperatorAnswer, OperatorRequest } from "../../io/shard-codec.js";
 import type { StateClient } from "../../io/state-client.js";
-import type { Membership } from "../membership.js";
-import type { Peers } from "../peers.js";
+import type { Membership } from "../members/membership.js";
+import type { Peers } from "../members/peers.js";
 import type { MoveOutcome } from "./move-log.js";
 import type { ShardLeader } from "./shard-leader.js";
 import type { ShardView } from "./shard-view.js";
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -12,7 +12,7 @@
   type StoredShard,
 } from "#shards";
 import type { TermRecord } from "../../core/records.js";
-import { shardKeys } from "../../core/shard-keys.js";
+import { shardKeys } from "../../core/shards/shard-keys.js";
 import { type Instant, hasElapsed, withClockDrift } from "../../core/time.js";
 import { now } from "../../io/clock.js";
 import type { Row } from "../../io/codec.js";
--- a/src/service/shards/shard-writer.ts
+++ b/src/service/shards/shard-writer.ts
@@ -2,7 +2,7 @@
 import * as Effect from "effect/Effect";
 import { encodeShardState, type ShardWrite, type WriteOutcome } from "#shards";
 import { keys } from "../../core/records.js";
-import { shardKeys } from "../../core/shard-keys.js";
+import { shardKeys } from "../../core/shards/shard-keys.js";
 import type { Log } from "../../io/log.js";
 import type { StateClient } from "../../io/state-client.js";
 import { RejectionBackoff } from "../rejection-backoff.js";
--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -1,8 +1,8 @@
 /** Attempt numbers: one term has a million, and none may ever be used for two starts (S4). */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import { TaskStarter } from "../src/core/task-starter.js";
-import { attemptOf, ATTEMPTS_PER_TERM } from "../src/core/term.js";
+import { TaskStarter } from "../src/core/placement/task-starter.js";
+import { attemptOf, ATTEMPTS_PER_TERM } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
 import { EAST, Scene } from "./scene.js";
 import { jobSpec as spec } from "./specs.js";
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -7,12 +7,12 @@
 import * as Duration from "effect/Duration";
 import { groups, pack, valueBytes } from "../src/core/packing.js";
 import type { MachineRecord, TaskStatus, TermRecord, Heartbeat } from "../src/core/records.js";
-import { type Decision, Scheduler } from "../src/core/scheduler.js";
-import { leaseTimingsOf, fencingTokenOf } from "../src/core/term.js";
+import { type Decision, Scheduler } from "../src/core/scheduler/scheduler.js";
+import { leaseTimingsOf, fencingTokenOf } from "../src/core/leases/term.js";
 import { type Instant, instant } from "../src/core/time.js";
-import { WorkerPartition } from "../src/core/worker-partition.js";
+import { WorkerPartition } from "../src/core/members/worker-partition.js";
 import { syncRequestCodec } from "../src/io/peer-codec.js";
-import { MachineRecordStore } from "../src/service/machine-record-store.js";
+import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
 import { countVisits, largeFleetJob } from "./large-fleet.js";
 import { TYPES } from "./model.js";
 
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -5,14 +5,14 @@
 import * as Effect from "effect/Effect";
 import * as Fiber from "effect/Fiber";
 import { keys } from "../src/core/records.js";
-import { leaseTimingsOf } from "../src/core/term.js";
+import { leaseTimingsOf } from "../src/core/leases/term.js";
 import { now } from "../src/io/clock.js";
 import { makeLog } from "../src/io/log.js";
 import { encodeLeader, encodeMember } from "../src/io/record-codec.js";
 import { StateClient, Unavailable } from "../src/io/state-client.js";
-import { Membership } from "../src/service/membership.js";
+import { Membership } from "../src/service/members/membership.js";
 import { JobCache } from "../src/service/job-cache.js";
-import { JobStatusReader } from "../src/service/job-status.js";
+import { JobStatusReader } from "../src/service/api/job-status.js";
 import { StateStandIn } from "./standins.js";
 
 const standIn = new StateStandIn();
--- a/test/model-pipelines.ts
+++ b/test/model-pipelines.ts
@@ -3,7 +3,7 @@
  * knows of them, users who submit, ask and call off through any node, and the leader who looks after what waits. It
  * does what front, status, releases and mirror do, over a state service that answers late or not at all.
  */
-import { faninStep, type ParentState, Waiters } from "../src/core/fanin.js";
+import { faninStep, type ParentState, Waiters } from "../src/core/jobs/fanin.js";
 import type { JobSpec, Outcome } from "../src/core/records.js";
 import { CloseLooks, UnansweredQuestions } from "./model/users-questions.js";
 import { MixedVersions, type Version } from "./model/versions.js";
