--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -4,7 +4,7 @@
 import * as Duration from "effect/Duration";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { DependencyGraph, timeFor } from "../src/core/dependency-graph.js";
+import { DependencyGraph, timeFor } from "../src/core/jobs/dependency-graph.js";
 import { type JobSpec, type Priority, RANK } from "../src/core/records.js";
 import { type Instant, instant } from "../src/core/time.js";
 import { jobSpec } from "./specs.js";
--- a/test/rates.test.ts
+++ b/test/rates.test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
-import { RateLimiter } from "../src/core/rate-limiter.js";
-import { RateLimitSelector } from "../src/core/rate-limit-selector.js";
+import { RateLimiter } from "../src/core/rates/rate-limiter.js";
+import { RateLimitSelector } from "../src/core/rates/rate-limit-selector.js";
 import { instant } from "../src/core/time.js";
 
 /** A state service whose rate of changes falls, and nodes that want to write more than it ever takes. */
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -14,7 +14,7 @@
 import * as Duration from "effect/Duration";
 import { RangeSet } from "../src/core/ranges.js";
 import { keys, type MachineRecord } from "../src/core/records.js";
-import { shardKeys } from "../src/core/shard-keys.js";
+import { shardKeys } from "../src/core/shards/shard-keys.js";
 import {
   acceptedOf,
   jobRecord,
@@ -26,8 +26,8 @@
 } from "../src/io/codec.js";
 import * as peerCodec from "../src/io/peer-codec.js";
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
-import { MachineRecordStore } from "../src/service/machine-record-store.js";
-import { fromFragments } from "../src/service/update-relay.js";
+import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
+import { fromFragments } from "../src/service/members/update-relay.js";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
 import { CloudStandIn, StateStandIn } from "./standins.js";
 
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -1,7 +1,7 @@
 /** What the core does for a handoff: what stands against one, silence towards paused machines, and raised tokens. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
-import type { Machine } from "../src/core/cluster.js";
+import type { Machine } from "../src/core/cluster/cluster.js";
 import type { TaskState } from "../src/core/records.js";
 import { instant } from "../src/core/time.js";
 import { EAST, Scene } from "./scene.js";
--- a/test/shard-messages.test.ts
+++ b/test/shard-messages.test.ts
@@ -15,7 +15,7 @@
   shardPaths,
 } from "../src/io/shard-codec.js";
 import { serveOperators } from "../src/service/operators-server.js";
-import { servePeers } from "../src/service/peers.js";
+import { servePeers } from "../src/service/members/peers.js";
 import { freePort } from "./controller-process.js";
 
 const SHARD = shardAt("east", 7);
--- a/test/user-writes.test.ts
+++ b/test/user-writes.test.ts
@@ -6,7 +6,7 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { isOverTheRate, StateClient } from "../src/io/state-client.js";
-import { commitForUser, MAX_RETRIES } from "../src/service/user-writes.js";
+import { commitForUser, MAX_RETRIES } from "../src/service/api/user-writes.js";
 import { StateStandIn } from "./standins.js";
 
 const SEEDS = 12;
