--- /dev/null
+++ b/src/service/leader/cloud-inventory.ts
@@ -0,0 +1,99 @@
+/** What the cloud has: the list of this cluster's machines, and the machine types that it offers. */
+import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
+import { jsonBytes } from "../../core/packing.js";
+import { keys, type MachineType } from "../../core/records.js";
+import { now } from "../../io/clock.js";
+import type { WireType } from "../../io/codec.js";
+import type { Leadership } from "../members/membership.js";
+import type { LeaderContext } from "./leader-context.js";
+
+/** How long the types may be missing in the state service before this node asks the cloud itself; how often it does. */
+const TYPES_MISSING_FOR = Duration.seconds(5);
+const ASK_FOR_TYPES_EVERY = Duration.seconds(30);
+const REFRESH_TYPES_EVERY = Duration.seconds(30);
+const RETRY_PAUSE = Duration.seconds(1);
+/** Machines in one answer of the cloud's list. */
+const LIST_PAGE = 500;
+/** The share of the cloud's rate that lists may take: the rest is for scaling. */
+const LIST_SHARE_OF_RATE = 0.5;
+
+const sameTypes = (types: readonly MachineType[], others: readonly MachineType[]): boolean =>
+  types.length === others.length &&
+  types.every((type, i) => type.name === others[i]?.name && type.cpus === others[i]?.cpus);
+
+/** Keeps the scheduler's list of machines and every node's machine types up to date. */
+export class CloudInventory {
+  /** Whether the types have changed since they were last written. */
+  private typesUnwritten = false;
+
+  constructor(private readonly context: LeaderContext) {}
+
+  private readonly listOnce = Effect.gen(this, function* () {
+    const rows = yield* this.context.services.cloud.list();
+    this.context.schedulerLock?.with((scheduler) => scheduler.listed(rows, now()));
+    this.context.stepRequested.notify();
+    yield* Effect.sleep(Duration.max(this.context.options.listEvery, this.listPause(rows.length)));
+  });
+
+  /** Lists the machines, for as long as this node leads. */
+  readonly listMachines: Effect.Effect<never> = this.listOnce.pipe(
+    Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
+    Effect.forever,
+  );
+
+  /** So long that lists of this many machines take no more than their share of the cloud's rate. */
+  private listPause(machines: number): Duration.Duration {
+    const requests = Math.ceil(machines / LIST_PAGE);
+    return Duration.seconds(requests / (this.context.options.cloudRps * LIST_SHARE_OF_RATE));
+  }
+
+  private readonly refreshTypesOnce = Effect.gen(this, function* () {
+    const { cloud, jobCache, membership } = this.context.services;
+    const rows = yield* cloud.types();
+    const before = jobCache.types;
+    jobCache.setTypes(rows);
+    this.typesUnwritten ||= !sameTypes(before, jobCache.types);
+    const { leadership } = membership;
+    if (leadership !== null && this.typesUnwritten) yield* this.writeTypes(rows, leadership);
+    this.context.stepRequested.notify();
+    yield* Effect.sleep(REFRESH_TYPES_EVERY);
+  });
+
+  /** Asks for the machine types and stores them for the other nodes, for as long as this node leads. */
+  readonly refreshTypes: Effect.Effect<never> = this.refreshTypesOnce.pipe(
+    Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
+    Effect.forever,
+  );
+
+  private writeTypes(rows: readonly WireType[], leadership: Leadership): Effect.Effect<void> {
+    return Effect.gen(this, function* () {
+      const { rejections } = this.context;
+      if (jsonBytes(rows) > this.context.valueBytes) {
+        rejections.refused("types", "more than a value may hold: every node asks the cloud for them");
+        return;
+      }
+      const result = yield* this.context.services.state.commit(
+        [{ key: keys.leader, revision: leadership.revision }],
+        [{ put: keys.types, value: rows }],
+      );
+      if (result.ok === null) rejections.refused("types", result.error);
+      else this.typesUnwritten = false;
+    }).pipe(Effect.ignore);
+  }
+
+  private readonly learnTypesOnce = Effect.gen(this, function* () {
+    const { cloud, jobCache, membership } = this.context.services;
+    yield* Effect.sleep(TYPES_MISSING_FOR);
+    if (jobCache.types.length > 0 || membership.leadership !== null) return;
+    const rows = yield* cloud.types();
+    jobCache.setTypes(rows);
+    yield* Effect.sleep(ASK_FOR_TYPES_EVERY);
+  });
+
+  /** Types that aren't in the state service, being too many for one value: a node that doesn't lead asks as well. */
+  readonly learnTypes: Effect.Effect<never> = this.learnTypesOnce.pipe(
+    Effect.catchAll(() => Effect.sleep(ASK_FOR_TYPES_EVERY)),
+    Effect.forever,
+  );
+}
--- /dev/null
+++ b/src/service/leader/failover-recovery.ts
@@ -0,0 +1,119 @@
+/**
+ * Failover recovery: a new leader writes its term first, then loads all records and builds a scheduler from them. What
+ * it knows from earlier counts for nothing (S5).
+ */
+import * as Effect from "effect/Effect";
+import type { ZoneWatch } from "../../core/leases/zones.js";
+import { keys, type TermRecord } from "../../core/records.js";
+import { Scheduler } from "../../core/scheduler/scheduler.js";
+import type { Instant } from "../../core/time.js";
+import { now } from "../../io/clock.js";
+import type { Row } from "../../io/codec.js";
+import type { StateError } from "../../io/state-client.js";
+import type { Leadership } from "../members/membership.js";
+import type { LeaderContext } from "./leader-context.js";
+import type { MachineRecorder } from "./machine-recorder.js";
+import type { ProgressReporter } from "./progress-reporter.js";
+import { jobOfRanges, machinesIn, rangesIn } from "./stored-records.js";
+
+/** The records that were loaded, and the leadership that they were loaded for. */
+export interface LoadedState {
+  readonly leadership: Leadership;
+  readonly term: TermRecord;
+  /** When loading began. */
+  readonly startedAt: Instant;
+  readonly jobs: readonly Row[];
+  /** Jobs written up to this revision are among `jobs`; later ones come from the job cache. */
+  readonly jobsRevision: number;
+  readonly ranges: readonly Row[];
+  readonly machines: readonly Row[];
+  readonly rentals: readonly Row[];
+}
+
+/** Loads the state and restores a scheduler from it. */
+export class FailoverRecovery {
+  constructor(
+    private readonly context: LeaderContext,
+    private readonly recorder: MachineRecorder,
+    private readonly progress: ProgressReporter,
+    private readonly zones: ZoneWatch,
+  ) {}
+
+  /** Writes a term of this leader and loads all records; null: this node doesn't lead. */
+  load(): Effect.Effect<LoadedState | null, StateError> {
+    return Effect.gen(this, function* () {
+      const { membership, state } = this.context.services;
+      const { leadership } = membership;
+      if (leadership === null || !(yield* membership.writeTerm)) return null;
+      const { term } = membership;
+      if (term === null) return null;
+      const startedAt = now();
+      const [jobs, ranges, machines, rentals] = yield* Effect.all(
+        [state.list(keys.jobs), state.list(keys.ranges), state.list(keys.machines), state.list(keys.rentals)],
+        { concurrency: 4 },
+      );
+      return {
+        leadership,
+        term,
+        startedAt,
+        jobs: jobs.rows,
+        jobsRevision: jobs.revision,
+        ranges: ranges.rows,
+        machines: machines.rows,
+        rentals: rentals.rows,
+      };
+    });
+  }
+
+  /** Whether this node still leads as it did when loading began. To be asked in the step that uses what was loaded. */
+  isCurrent({ leadership, term }: LoadedState): boolean {
+    const { membership } = this.context.services;
+    return membership.leadership === leadership && membership.term === term;
+  }
+
+  /** A scheduler that knows all that was loaded, and what the job cache has heard of since. */
+  restore(loaded: LoadedState): Scheduler {
+    const { term, leadership, startedAt } = loaded;
+    const scheduler = new Scheduler(this.context.options, term, leadership.revision, startedAt, this.zones);
+    this.progress.follow(scheduler);
+    this.restoreMachines(scheduler, loaded);
+    scheduler.setTypes(this.context.services.jobCache.types);
+    this.restoreJobs(scheduler, loaded);
+    this.restoreRanges(scheduler, loaded);
+    this.catchUp(scheduler, loaded);
+    return scheduler;
+  }
+
+  private restoreMachines(scheduler: Scheduler, { machines, startedAt }: LoadedState): void {
+    this.recorder.reset();
+    for (const row of machines) {
+      const records = machinesIn(row);
+      this.recorder.store.add(row.key, records);
+      for (const [id, record] of Object.entries(records)) scheduler.recorded(id, record, startedAt);
+    }
+  }
+
+  private restoreJobs(scheduler: Scheduler, { jobs }: LoadedState): void {
+    for (const row of jobs) {
+      const job = this.context.services.jobCache.put(row.key, row.value, row.revision);
+      if (typeof job !== "string") scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released);
+    }
+  }
+
+  private restoreRanges(scheduler: Scheduler, { ranges }: LoadedState): void {
+    for (const row of ranges) {
+      const id = jobOfRanges(row);
+      if (scheduler.cluster.jobs.has(id)) scheduler.stored(id, rangesIn(row));
+      else this.context.staleKeys.add(row.key);
+    }
+  }
+
+  /** The job cache may have heard of later jobs, and later ends, while the records were read. */
+  private catchUp(scheduler: Scheduler, { jobsRevision }: LoadedState): void {
+    const { jobCache } = this.context.services;
+    for (const job of jobCache.jobs.values())
+      if (job.revision > jobsRevision) scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released);
+    for (const job of jobCache.waiting.values()) scheduler.waitingSeen(job.spec, job.accepted);
+    for (const id of [...scheduler.cluster.jobs.keys()]) if (!jobCache.jobs.has(id)) scheduler.jobOver(id);
+  }
+}
--- /dev/null
+++ b/src/service/leader/machine-recorder.ts
@@ -0,0 +1,122 @@
+/** Machine records: a machine is stored, with many others in one record, before anything starts on it (S5). */
+import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
+import { pack } from "../../core/packing.js";
+import { keys, type MachineRecord, type MachinesRecord } from "../../core/records.js";
+import { now } from "../../io/clock.js";
+import type { CommitResult } from "../../io/state-client.js";
+import type { Leadership } from "../members/membership.js";
+import type { LeaderContext } from "./leader-context.js";
+import { MachineRecordStore } from "./machine-record-store.js";
+
+/** Machines that come together are recorded together. */
+const GATHER = Duration.millis(100);
+const RETRY_PAUSE = Duration.millis(300);
+/** Machines in one record, however many would fit: each that goes has the rest of them written anew. */
+const MAX_MACHINES_PER_RECORD = 40;
+/** A refused record of machines is tried again with fewer, down to this many bytes. */
+const MIN_RECORD_BYTES = 256;
+
+interface UnrecordedMachine {
+  readonly id: string;
+  readonly record: MachineRecord;
+}
+
+/** Stores records of new machines, and knows which record holds which machine. */
+export class MachineRecorder {
+  /** Which key holds which machines; garbage collection rewrites them. */
+  store = new MachineRecordStore();
+  private readonly unrecorded: UnrecordedMachine[] = [];
+  /** Bytes in one record: fewer once one was refused. */
+  private recordBytes: number;
+
+  constructor(private readonly context: LeaderContext) {
+    this.recordBytes = context.valueBytes;
+  }
+
+  /** A new leader reads all records anew. */
+  reset(): void {
+    this.store = new MachineRecordStore();
+  }
+
+  /** This node leads no longer: the next leader records what is missing. */
+  clear(): void {
+    this.unrecorded.length = 0;
+  }
+
+  /** A machine to be recorded. */
+  add(id: string, record: MachineRecord): void {
+    this.unrecorded.push({ id, record });
+  }
+
+  /** A key that no other record of machines ever has. */
+  readonly newKey = (): string =>
+    keys.machinesOf(`${this.context.termNumber}-${this.context.nextSequence()}`);
+
+  /** Records machines, many at a time, for as long as this leadership lasts. */
+  run(leadership: Leadership): Effect.Effect<never> {
+    return Effect.forever(this.recordOnce(leadership));
+  }
+
+  private recordOnce(leadership: Leadership): Effect.Effect<void> {
+    return Effect.gen(this, function* () {
+      yield* Effect.sleep(GATHER);
+      const next = this.unrecorded.slice(0, MAX_MACHINES_PER_RECORD);
+      const machines = pack(
+        next.map(({ id, record }) => [id, record] as const),
+        this.recordBytes,
+      )[0];
+      if (machines === undefined) return;
+      const batch = this.takeRecorded(machines);
+      const key = this.newKey();
+      // also when the answer is lost: what may be written has to be deleted some day
+      this.store.add(key, machines);
+      const result = yield* this.write(key, machines, leadership);
+      this.tellScheduler(batch, result?.ok === true);
+      yield* this.pauseAfter(result);
+    });
+  }
+
+  /** The machines at the head of the queue that are in `machines`. */
+  private takeRecorded(machines: MachinesRecord["machines"]): UnrecordedMachine[] {
+    const firstLeft = this.unrecorded.findIndex(({ id }) => !(id in machines));
+    return this.unrecorded.splice(0, firstLeft === -1 ? this.unrecorded.length : firstLeft);
+  }
+
+  /** null: not carried out, or the answer was lost. */
+  private write(
+    key: string,
+    machines: MachinesRecord["machines"],
+    leadership: Leadership,
+  ): Effect.Effect<CommitResult | null> {
+    return this.context.services.state
+      .commit(
+        [
+          { key: keys.leader, revision: leadership.revision },
+          { key, revision: 0 },
+        ],
+        [{ put: key, value: { machines } satisfies MachinesRecord }],
+      )
+      .pipe(Effect.orElseSucceed(() => null));
+  }
+
+  private tellScheduler(batch: readonly UnrecordedMachine[], recorded: boolean): void {
+    this.context.schedulerLock?.with((scheduler) => {
+      for (const { id, record } of batch)
+        if (recorded) scheduler.recorded(id, record, now());
+        else scheduler.recordFailed(id);
+    });
+    this.context.stepRequested.notify();
+  }
+
+  private pauseAfter(result: CommitResult | null): Effect.Effect<void> {
+    const { rejections } = this.context;
+    if (result?.ok === true) {
+      rejections.accepted("record of machines");
+      return Effect.void;
+    }
+    if (result?.ok !== null) return Effect.sleep(RETRY_PAUSE);
+    this.recordBytes = Math.max(MIN_RECORD_BYTES, Math.floor(this.recordBytes / 2));
+    return Effect.sleep(rejections.refused("record of machines", result.error));
+  }
+}
--- /dev/null
+++ b/src/service/leader/member-sync.ts
@@ -0,0 +1,117 @@
+/** Members' updates: heartbeats, stored finishes, acknowledged leases and command outcomes reach the scheduler here. */
+import * as Duration from "effect/Duration";
+import type { Heartbeat } from "../../core/records.js";
+import type { Scheduler } from "../../core/scheduler/scheduler.js";
+import { hasElapsed, type Instant, instant, minus } from "../../core/time.js";
+import { now } from "../../io/clock.js";
+import type { SyncRequest, SyncResponse } from "../../io/peer-codec.js";
+import type { CommandDispatcher } from "./command-dispatcher.js";
+import type { LeaderContext } from "./leader-context.js";
+import type { ProgressReporter } from "./progress-reporter.js";
+
+/** Every node asks the state service for something more often than this, so it notices an outage within it. */
+const OUTAGE_NOTICED_WITHIN = Duration.millis(1200);
+
+const describeTasks = (heartbeat: Heartbeat): string =>
+  heartbeat.tasks
+    .map(
+      ({ job, index, state, exitReason }) =>
+        `${job}/${index} ${state}${exitReason === null ? "" : ` ${exitReason}`}`,
+    )
+    .join(", ");
+
+/** Answers members, and remembers which of them reach the state service. */
+export class MemberSync {
+  private readonly memberStatus = new Map<string, { readonly at: Instant; readonly ok: boolean }>();
+
+  constructor(
+    private readonly context: LeaderContext,
+    private readonly dispatcher: CommandDispatcher,
+    private readonly progress: ProgressReporter,
+  ) {}
+
+  /** A member's update; refused unless this node leads in the term that the member names, which counts the member in. */
+  readonly sync = (request: SyncRequest): SyncResponse => {
+    const { member, membership } = this.context.services;
+    this.memberStatus.set(request.member, { at: now(), ok: request.reachesStateService });
+    const base = {
+      termNumber: membership.term?.number ?? 0,
+      leaderClockMark: now(),
+      progressVersion: this.progress.version,
+      reachesStateService: member.reachesStateService(),
+    };
+    const { schedulerLock } = this.context;
+    if (schedulerLock === null || !this.mayAccept(request)) {
+      membership.observeTerm(request.termNumber);
+      return { ...base, accepted: false, progress: [] };
+    }
+    const receivedAt = now();
+    return schedulerLock.with((scheduler) => {
+      this.apply(scheduler, request, receivedAt);
+      const progress = this.progress.since(scheduler, request.progressVersion);
+      return { ...base, accepted: true, progress };
+    });
+  };
+
+  private mayAccept(request: SyncRequest): boolean {
+    const { membership } = this.context.services;
+    const { term } = membership;
+    if (term === null || request.termNumber !== term.number) return false;
+    const isMember = term.members.some(
+      ({ name, incarnation }) => name === request.member && incarnation === request.incarnation,
+    );
+    return isMember && membership.isActingLeader();
+  }
+
+  private apply(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
+    this.applyHeartbeats(scheduler, request, receivedAt);
+    for (const { job, ranges } of request.storedFinishes) scheduler.stored(job, ranges);
+    this.applyContacts(scheduler, request, receivedAt);
+    for (const { id, outcome, workerEpoch, sequence } of request.commandResults)
+      this.dispatcher.answered(scheduler, id, outcome, { workerEpoch, sequence });
+    if (request.heartbeats.length + request.storedFinishes.length + request.commandResults.length > 0)
+      this.context.stepRequested.notify();
+  }
+
+  private applyHeartbeats(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
+    const { log } = this.context.services;
+    for (const { heartbeat, ageMs } of request.heartbeats) {
+      const heardAt = minus(receivedAt, Duration.millis(ageMs));
+      scheduler.heartbeatReceived(heartbeat, request.member, receivedAt, heardAt);
+      if (log.isLevelEnabled("debug"))
+        log.debug({ machine: heartbeat.machine, tasks: describeTasks(heartbeat) }, "heartbeat");
+    }
+  }
+
+  /** Signs of life, and the evidence for the expiry of leases (S3). An age below zero: there was none. */
+  private applyContacts(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
+    const answered = [];
+    for (const { machine, answerAgeMs, heartbeatAgeMs } of request.contacts) {
+      if (heartbeatAgeMs >= 0)
+        scheduler.contactReported(machine, minus(receivedAt, Duration.millis(heartbeatAgeMs)));
+      if (answerAgeMs >= 0) answered.push({ machine, at: minus(receivedAt, Duration.millis(answerAgeMs)) });
+    }
+    scheduler.leasesAcknowledged(
+      request.member,
+      request.incarnation,
+      request.termNumber,
+      request.leaderClockMark < 0 ? null : instant(request.leaderClockMark),
+      answered,
+      receivedAt,
+    );
+  }
+
+  /**
+   * Whether this node alone can't reach the state service: another one said that it does, so long after this one's
+   * requests began to fail that it would have noticed an outage of all.
+   */
+  aloneWithoutState(): boolean {
+    const { member, state } = this.context.services;
+    const since = state.failingSince;
+    if (since === null) return false;
+    return [...this.memberStatus, ...member.peerStatus].some(
+      ([name, status]) =>
+        name !== this.context.options.me && status.ok && hasElapsed(status.at, since, OUTAGE_NOTICED_WITHIN),
+    );
+  }
+}
--- /dev/null
+++ b/src/service/leader/scale-in.ts
@@ -0,0 +1,49 @@
+/** Scale-in: returns machines to the cloud, and drops their records once they are gone for certain (S3). */
+import * as Effect from "effect/Effect";
+import type { Decision } from "../../core/scheduler/scheduler.js";
+import { now } from "../../io/clock.js";
+import type { LeaderContext } from "./leader-context.js";
+import type { MachineRecorder } from "./machine-recorder.js";
+
+const MACHINES_IN_LOG_LINE = 5;
+
+/** The machines that a decision returns. */
+export type ScaleInDecision = Extract<Decision, { kind: "release" }>;
+
+/** Returns machines and tells the scheduler whether they are gone. */
+export class ScaleIn {
+  constructor(
+    private readonly context: LeaderContext,
+    private readonly recorder: MachineRecorder,
+  ) {}
+
+  /** Returns machines to the cloud. */
+  release({ machines, reason }: ScaleInDecision): Effect.Effect<void> {
+    return Effect.gen(this, function* () {
+      const { cloud, log, membership } = this.context.services;
+      if (membership.leadership === null) return;
+      const { termNumber } = this.context;
+      const named = machines.slice(0, MACHINES_IN_LOG_LINE);
+      log.info({ count: machines.length, machines: named, reason, termNumber }, "scale-in requested");
+      this.dropEmpty(machines);
+      const gone = yield* cloud.release(machines).pipe(
+        Effect.as(true),
+        Effect.orElseSucceed(() => false),
+      );
+      this.context.schedulerLock?.with((scheduler) => scheduler.releaseAnswered(machines, gone, now()));
+      this.context.stepRequested.notify();
+      if (gone) for (const id of machines) this.recorder.store.remove(id);
+    });
+  }
+
+  /** Nothing is on an empty machine, and nothing more will start there: a next leader needn't wait for it. */
+  private dropEmpty(machines: readonly string[]): void {
+    this.context.schedulerLock?.with((scheduler) => {
+      for (const id of machines) {
+        const machine = scheduler.cluster.machines.get(id);
+        if (machine !== undefined && machine.confirmed && machine.attempts.size === 0)
+          this.recorder.store.remove(id);
+      }
+    });
+  }
+}
--- /dev/null
+++ b/src/service/leader/step-loop.ts
@@ -0,0 +1,119 @@
+/** The loops that ask the scheduler for decisions and have them carried out, and its summary for operators. */
+import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
+import type { Decision } from "../../core/scheduler/scheduler.js";
+import { now } from "../../io/clock.js";
+import type { CommandBatch } from "../../io/peer-codec.js";
+import type { CommandDispatcher } from "./command-dispatcher.js";
+import type { JobCommitter } from "./job-committer.js";
+import type { LeaderContext } from "./leader-context.js";
+import type { MachineRecorder } from "./machine-recorder.js";
+import type { ScaleIn } from "./scale-in.js";
+import type { ScaleOut } from "./scale-out.js";
+
+/** Pause between two steps, at most. */
+const STEP_EVERY = Duration.millis(250);
+/** Events that come together are decided on together. */
+const GATHER = Duration.millis(35);
+const SCALE_EVERY = Duration.millis(700);
+const SUMMARY_EVERY = Duration.seconds(5);
+
+/** Who carries out which kind of decision. */
+export interface DecisionHandlers {
+  readonly dispatcher: CommandDispatcher;
+  readonly committer: JobCommitter;
+  readonly recorder: MachineRecorder;
+  readonly scaleOut: ScaleOut;
+  readonly scaleIn: ScaleIn;
+}
+
+/** Steps the scheduler while this node leads. */
+export class StepLoop {
+  constructor(
+    private readonly context: LeaderContext,
+    private readonly handlers: DecisionHandlers,
+  ) {}
+
+  private readonly stepOnce = Effect.gen(this, function* () {
+    yield* this.context.stepRequested.wait(STEP_EVERY);
+    yield* Effect.sleep(GATHER);
+    const decisions = this.decide();
+    const { dispatcher } = this.handlers;
+    const batchesByMember = new Map<string | null, CommandBatch[]>();
+    for (const decision of decisions) {
+      if (decision.kind !== "commands") {
+        yield* this.context.fork(this.carryOut(decision));
+        continue;
+      }
+      const via = dispatcher.route(decision.via);
+      const batches = batchesByMember.get(via) ?? [];
+      if (batches.length === 0) batchesByMember.set(via, batches);
+      batches.push(dispatcher.prepare(decision));
+    }
+    for (const [via, batches] of batchesByMember) yield* dispatcher.dispatch(via, batches);
+  });
+
+  /** Decides on all but the fleet's size, for as long as this node leads. */
+  readonly run: Effect.Effect<never> = this.stepOnce.pipe(
+    Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "step failed")),
+    Effect.forever,
+  );
+
+  private decide(): Decision[] {
+    const { schedulerLock, services } = this.context;
+    if (schedulerLock === null || !services.membership.isActingLeader()) return [];
+    return schedulerLock.with((scheduler) => {
+      this.handlers.dispatcher.expireUnanswered(scheduler);
+      return scheduler.step(now());
+    });
+  }
+
+  private carryOut(decision: Exclude<Decision, { kind: "commands" }>): Effect.Effect<void> {
+    const { committer, recorder, scaleIn, scaleOut } = this.handlers;
+    switch (decision.kind) {
+      case "commit":
+        return committer.commit(decision.job, decision.tasks);
+      case "record":
+        return Effect.sync(() => recorder.add(decision.machine, decision.record));
+      case "rent":
+        return scaleOut.request(decision);
+      case "release":
+        return scaleIn.release(decision);
+      case "note":
+        return Effect.sync(() =>
+          this.context.services.log.info({ termNumber: this.context.termNumber }, decision.text),
+        );
+      default:
+        return decision satisfies never;
+    }
+  }
+
+  private readonly scaleOnce = Effect.gen(this, function* () {
+    yield* Effect.sleep(SCALE_EVERY);
+    const { schedulerLock, services } = this.context;
+    if (schedulerLock === null || !services.membership.isActingLeader()) return;
+    for (const decision of schedulerLock.with((scheduler) => scheduler.stepFleet(now())))
+      if (decision.kind !== "commands") yield* this.context.fork(this.carryOut(decision));
+  });
+
+  /** Decides on the fleet's size, for as long as this node leads. */
+  readonly scale: Effect.Effect<never> = this.scaleOnce.pipe(
+    Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "autoscaler failed")),
+    Effect.forever,
+  );
+
+  /** One line of figures for operators every few seconds. */
+  readonly summaries: Effect.Effect<never> = Effect.gen(this, function* () {
+    yield* Effect.sleep(SUMMARY_EVERY);
+    this.context.schedulerLock?.with((scheduler) =>
+      this.context.services.log.info(
+        { termNumber: scheduler.term.number, ...scheduler.summary(now()) },
+        "summary",
+      ),
+    );
+  }).pipe(Effect.forever);
+
+  private logFailure(cause: string, message: string): Effect.Effect<void> {
+    return Effect.sync(() => this.context.services.log.error({ cause }, message));
+  }
+}
