--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,7 +1,8 @@
-/** One controller, wired together. */
+/** One controller: builds its parts, wires them together, and serves users, workers, peers and operators. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { leaseTimingsOf } from "../core/leases/term.js";
+import { leaseTimingsOf, type LeaseTimings } from "../core/leases/term.js";
+import type { Team } from "../core/records.js";
 import { CloudClient } from "../io/cloud-client.js";
 import type { Log } from "../io/log.js";
 import type { Settings } from "../io/settings.js";
@@ -9,25 +10,231 @@
 import { StateClient } from "../io/state-client.js";
 import { WorkerClient } from "../io/worker-client.js";
 import { ApiServer } from "./api/api-server.js";
-import { Leader } from "./leader/leader.js";
+import { JobStatusReader } from "./api/job-status.js";
+import { JobCache } from "./job-cache.js";
+import { JobReleaser } from "./leader/job-releaser.js";
+import { Leader, type LeaderServices } from "./leader/leader.js";
 import { Member } from "./members/member.js";
 import { Membership } from "./members/membership.js";
-import { JobCache } from "./job-cache.js";
 import { Peers, servePeers } from "./members/peers.js";
-import { JobReleaser } from "./leader/job-releaser.js";
 import { serveOperators } from "./operators-server.js";
 import { shardExtension, Shards } from "./shards/shards.js";
-import { JobStatusReader } from "./api/job-status.js";
 
 /**
  * Shares of the platform's limit of sockets. When other nodes are down all workers and users come to this one, so what
  * is kept open to workers gives way to them.
  */
-const FRONT = 0.85;
-const CALLS = 0.06;
-const KEPT = 0.3;
+const API_SHARE = 0.85;
+const WORKER_CALLS_SHARE = 0.06;
+const IDLE_WORKER_CONNECTIONS_SHARE = 0.3;
 /** The state service, the cloud and the other nodes. */
-const OTHERS = 0.05;
+const OTHERS_SHARE = 0.05;
+
+/** A watch of the jobs is answered within this share of the time for which a view of them counts as fresh. */
+const WATCH_SHARE_OF_VIEW_AGE = 0.2;
+const MAX_WATCH = Duration.seconds(2);
+/** Conditions in one transaction for each change that it may hold. */
+const CONDITIONS_PER_CHANGE = 4;
+/** A machine's last contact is kept for this long after its expiry. */
+const KEPT_AFTER_EXPIRY = Duration.seconds(20);
+const MIN_LIST_PAUSE_S = 2;
+
+/** What the parts are built from. */
+interface Foundation {
+  readonly settings: Settings;
+  readonly log: Log;
+  readonly timings: LeaseTimings;
+  readonly teams: ReadonlyMap<string, Team>;
+  readonly state: StateClient;
+  readonly cloud: CloudClient;
+  readonly peers: Peers;
+  /** Open connections of users and workers: none until the API server, which is built last, counts them. */
+  readonly apiConnections: { count: () => number };
+}
+
+/** How this node takes part in the cluster, whether it leads or not. */
+interface Cluster {
+  readonly jobCache: JobCache;
+  readonly membership: Membership;
+  readonly member: Member;
+  /** null: shards are off. */
+  readonly shards: Shards | null;
+}
+
+/** The whole controller. */
+interface Controller extends Foundation, Cluster {
+  readonly status: JobStatusReader;
+  readonly leader: Leader;
+  readonly apiServer: ApiServer;
+}
+
+const layFoundation = (settings: Settings, log: Log): Foundation => {
+  const state = new StateClient(settings.state, settings.stateLimits, settings.peers.length + 1);
+  state.setLeading(false);
+  return {
+    settings,
+    log,
+    timings: leaseTimingsOf(settings.workers, settings.operator.memberLease),
+    teams: new Map(settings.teams.map((team) => [team.name, team])),
+    state,
+    cloud: new CloudClient(settings.cloud, settings.cloudLimits.rps),
+    peers: new Peers(settings.peers),
+    apiConnections: { count: () => 0 },
+  };
+};
+
+const buildJobCache = ({ state, log, timings }: Foundation): JobCache =>
+  new JobCache(
+    state,
+    log,
+    Duration.min(MAX_WATCH, Duration.times(timings.jobViewMaxAge, WATCH_SHARE_OF_VIEW_AGE)),
+  );
+
+const buildMembership = (foundation: Foundation, jobCache: JobCache): Membership => {
+  const { settings, timings, state, log, peers } = foundation;
+  return new Membership(
+    settings.member,
+    settings.zone,
+    timings,
+    state,
+    log,
+    settings.peers.map((peer) => peer.member),
+    (other, termNumber) => peers.confirmTerm(other, termNumber),
+    () => jobCache.read,
+    settings.operator.shards.enabled ? shardExtension(settings.member, state) : undefined,
+  );
+};
+
+const buildWorkerClient = ({ settings, apiConnections }: Foundation): WorkerClient => {
+  const { maxConnections } = settings;
+  return new WorkerClient(Math.ceil(maxConnections * WORKER_CALLS_SHARE), () => {
+    const left = maxConnections * (1 - OTHERS_SHARE - WORKER_CALLS_SHARE) - apiConnections.count();
+    return Math.min(left, maxConnections * IDLE_WORKER_CONNECTIONS_SHARE);
+  });
+};
+
+const buildMember = (foundation: Foundation, membership: Membership, workers: WorkerClient): Member => {
+  const { settings, timings, state, peers, log } = foundation;
+  const options = {
+    me: settings.member,
+    txnOps: settings.stateLimits.txnOps,
+    valueKb: settings.stateLimits.valueKb,
+    keepFor: Duration.sum(timings.machineExpiry, KEPT_AFTER_EXPIRY),
+  };
+  return new Member(options, membership, state, workers, peers, log);
+};
+
+const buildShards = (foundation: Foundation, membership: Membership, workers: WorkerClient): Shards => {
+  const { settings, timings, state, peers, log, apiConnections } = foundation;
+  const options = {
+    me: settings.member,
+    settings: settings.operator.shards,
+    timings,
+    txnOps: settings.stateLimits.txnOps,
+    freeConnections: () => settings.maxConnections * API_SHARE - apiConnections.count(),
+  };
+  return new Shards(options, membership, state, workers, peers, log);
+};
+
+const buildCluster = (foundation: Foundation): Cluster => {
+  const jobCache = buildJobCache(foundation);
+  const membership = buildMembership(foundation, jobCache);
+  const workers = buildWorkerClient(foundation);
+  const member = buildMember(foundation, membership, workers);
+  const { enabled } = foundation.settings.operator.shards;
+  const shards = enabled ? buildShards(foundation, membership, workers) : null;
+  if (shards !== null) member.partition.ownerName = shards.ownerLookup(member.partition.ownerName);
+  return { jobCache, membership, member, shards };
+};
+
+const maxConditions = (settings: Settings): number => settings.stateLimits.txnOps * CONDITIONS_PER_CHANGE;
+
+const buildLeader = (foundation: Foundation, cluster: Cluster, jobReleaser: JobReleaser): Leader => {
+  const { settings, timings, teams, state, cloud, peers, log } = foundation;
+  const { jobCache, membership, member, shards } = cluster;
+  const { reuse, idleBoots, warmFor } = settings.operator;
+  const listLagS = Duration.toSeconds(settings.cloudLimits.listLag);
+  const services: LeaderServices = {
+    membership,
+    member,
+    jobCache,
+    state,
+    cloud,
+    peers,
+    jobReleaser,
+    shards: shards?.leader ?? null,
+    log,
+  };
+  return new Leader(
+    {
+      me: settings.member,
+      timings,
+      teams,
+      fleet: { reuse, idleBoots, warmFor },
+      startLatencyObjectives: settings.startGoals,
+      ...(shards === null ? {} : { ownership: shards.ownership }),
+      txnOps: settings.stateLimits.txnOps,
+      valueKb: settings.stateLimits.valueKb,
+      cloudRps: settings.cloudLimits.rps,
+      listEvery: Duration.seconds(Math.max(MIN_LIST_PAUSE_S, listLagS / 2)),
+    },
+    services,
+  );
+};
+
+const buildApiServer = (
+  { settings, teams, state, log }: Foundation,
+  { jobCache, member }: Cluster,
+  status: JobStatusReader,
+  leader: Leader,
+): ApiServer => {
+  const options = {
+    bind: settings.front,
+    connections: Math.floor(settings.maxConnections * API_SHARE),
+    teams,
+    valueKb: settings.stateLimits.valueKb,
+    conditions: maxConditions(settings),
+  };
+  return new ApiServer(options, state, jobCache, status, member, leader, log);
+};
+
+/** Whoever changes the term, the jobs or their outcomes tells the parts that rest on them. */
+const wireListeners = ({
+  jobCache,
+  membership,
+  member,
+  shards,
+  status,
+  leader,
+}: Omit<Controller, "apiServer">) => {
+  jobCache.leading = () => membership.leadership !== null;
+  membership.onTerm = (term) => {
+    shards?.view.setTerm(term, membership.termRevision);
+    member.partition.setTerm(term);
+    leader.termChanged(term);
+    member.termChanged();
+  };
+  member.isOpen = (job) => jobCache.jobs.has(job);
+  member.isOver = (job) => jobCache.isOver(job);
+  member.onDone = (job, tasks) => {
+    status.remember(job, { outcome: "done", tasks });
+    jobCache.remove(job);
+  };
+};
+
+const buildController = (settings: Settings, log: Log): Controller => {
+  const foundation = layFoundation(settings, log);
+  const cluster = buildCluster(foundation);
+  const { state, apiConnections } = foundation;
+  const { jobCache } = cluster;
+  const status = new JobStatusReader(state, jobCache, maxConditions(settings), log);
+  const jobReleaser = new JobReleaser(state, jobCache, status, log);
+  const leader = buildLeader(foundation, cluster, jobReleaser);
+  wireListeners({ ...foundation, ...cluster, status, leader });
+  const apiServer = buildApiServer(foundation, cluster, status, leader);
+  apiConnections.count = () => apiServer.connections;
+  return { ...foundation, ...cluster, status, leader, apiServer };
+};
 
 /** What operators are told where the settings don't turn shards on. */
 const shardsAreOff = (): Effect.Effect<OperatorAnswer> =>
@@ -36,149 +243,41 @@
     body: JSON.stringify({ reason: "shards are off in this controller's settings" }),
   });
 
-/** Runs until the process is killed; fails only when a socket can't be bound. */
-export const runController = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
+/** Scheduling goes on without the operators' socket: an operator can ask another controller. */
+const serveOperatorsIfSet = ({ settings, shards, log }: Controller): Effect.Effect<void> => {
+  const { operatorsSocket } = settings.operator;
+  if (operatorsSocket === null) return Effect.void;
+  return serveOperators(
+    operatorsSocket,
+    shards === null ? shardsAreOff : (request) => shards.operator.ask(request),
+  ).pipe(
+    Effect.catchAll((error) =>
+      Effect.sync(() => log.error({ reason: error.message, operatorsSocket }, "no operators' socket")),
+    ),
+  );
+};
+
+const serve = (controller: Controller): Effect.Effect<void, Error> =>
   Effect.gen(function* () {
-    const timings = leaseTimingsOf(settings.workers, settings.operator.memberLease);
-    const teams = new Map(settings.teams.map((team) => [team.name, team]));
-    const nodes = settings.peers.length + 1;
-    const shardSettings = settings.operator.shards;
-    const state = new StateClient(settings.state, settings.stateLimits, nodes);
-    state.setLeading(false);
-    const cloud = new CloudClient(settings.cloud, settings.cloudLimits.rps);
-    const peers = new Peers(settings.peers);
-    const mirror = new JobCache(
-      state,
-      log,
-      Duration.min(Duration.seconds(2), Duration.times(timings.jobViewMaxAge, 0.2)),
-    );
-    const membership = new Membership(
-      settings.member,
-      settings.zone,
-      timings,
-      state,
-      log,
-      settings.peers.map((p) => p.member),
-      (other, token) => peers.confirmTerm(other, token),
-      () => mirror.read,
-      shardSettings.enabled ? shardExtension(settings.member, state) : undefined,
-    );
-    // the front, which is made last, knows
-    let connections: (() => number) | null = null;
-    const workers = new WorkerClient(Math.ceil(settings.maxConnections * CALLS), () => {
-      const left = settings.maxConnections * (1 - OTHERS - CALLS) - (connections?.() ?? 0);
-      return Math.min(left, settings.maxConnections * KEPT);
-    });
-    const member = new Member(
-      {
-        me: settings.member,
-        txnOps: settings.stateLimits.txnOps,
-        valueKb: settings.stateLimits.valueKb,
-        keepFor: Duration.sum(timings.machineExpiry, Duration.seconds(20)),
-      },
-      membership,
-      state,
-      workers,
-      peers,
-      log,
-    );
-    const shards = shardSettings.enabled
-      ? new Shards(
-          {
-            me: settings.member,
-            settings: shardSettings,
-            timings,
-            txnOps: settings.stateLimits.txnOps,
-            freeConnections: () => settings.maxConnections * FRONT - (connections?.() ?? 0),
-          },
-          membership,
-          state,
-          workers,
-          peers,
-          log,
-        )
-      : null;
-    if (shards !== null) member.partition.ownerName = shards.ownerLookup(member.partition.ownerName);
-    const status = new JobStatusReader(state, mirror, settings.stateLimits.txnOps * 4, log);
-    const releases = new JobReleaser(state, mirror, status, log);
-    const leader = new Leader(
-      {
-        me: settings.member,
-        timings,
-        teams,
-        fleet: {
-          reuse: settings.operator.reuse,
-          idleBoots: settings.operator.idleBoots,
-          warmFor: settings.operator.warmFor,
-        },
-        startLatencyObjectives: settings.startGoals,
-        ...(shards === null ? {} : { ownership: shards.ownership }),
-        txnOps: settings.stateLimits.txnOps,
-        valueKb: settings.stateLimits.valueKb,
-        cloudRps: settings.cloudLimits.rps,
-        listEvery: Duration.seconds(Math.max(2, Duration.toSeconds(settings.cloudLimits.listLag) / 2)),
-      },
-      {
-        membership,
-        member,
-        jobCache: mirror,
-        state,
-        cloud,
-        peers,
-        jobReleaser: releases,
-        shards: shards?.leader ?? null,
-        log,
-      },
-    );
-    mirror.leading = () => membership.leadership !== null;
-    membership.onTerm = (term) => {
-      shards?.view.setTerm(term, membership.termRevision);
-      member.partition.setTerm(term);
-      leader.termChanged(term);
-      member.termChanged();
-    };
-    member.isOpen = (job) => mirror.jobs.has(job);
-    member.isOver = (job) => mirror.isOver(job);
-    member.onDone = (job, tasks) => {
-      status.remember(job, { outcome: "done", tasks });
-      mirror.remove(job);
-    };
-    const front = new ApiServer(
-      {
-        bind: settings.front,
-        connections: Math.floor(settings.maxConnections * FRONT),
-        teams,
-        valueKb: settings.stateLimits.valueKb,
-        conditions: settings.stateLimits.txnOps * 4,
-      },
-      state,
-      mirror,
-      status,
-      member,
-      leader,
-      log,
-    );
-    connections = () => front.connections;
+    const { settings, log, leader, member, membership, shards, apiServer } = controller;
     yield* servePeers(settings.peerBind, {
       sync: leader.sync,
       deliver: (delivery) => member.deliver(delivery),
-      confirmTerm: (w) => ({ knowsNoNewerTerm: membership.knowsNoNewerTerm(w.termNumber) }),
+      confirmTerm: ({ termNumber }) => ({ knowsNoNewerTerm: membership.knowsNoNewerTerm(termNumber) }),
       shards: shards?.handlers ?? null,
     });
-    const { operatorsSocket } = settings.operator;
-    // scheduling goes on without it: an operator can ask another controller
-    if (operatorsSocket !== null)
-      yield* serveOperators(
-        operatorsSocket,
-        shards === null ? shardsAreOff : (r) => shards.operator.ask(r),
-      ).pipe(
-        Effect.catchAll((error) =>
-          Effect.sync(() => log.error({ why: error.message, operatorsSocket }, "no operators' socket")),
-        ),
-      );
-    yield* front.serve();
+    yield* serveOperatorsIfSet(controller);
+    yield* apiServer.serve();
     log.info({ front: settings.front, peers: settings.peerBind }, "listening");
-    yield* Effect.all([membership.run, mirror.run, member.run, leader.run, shards?.run ?? Effect.void], {
+  });
+
+/** Runs until the process is killed; fails only when a socket can't be bound. */
+export const runController = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
+  Effect.gen(function* () {
+    const controller = buildController(settings, log);
+    yield* serve(controller);
+    const { membership, jobCache, member, leader, shards } = controller;
+    yield* Effect.all([membership.run, jobCache.run, member.run, leader.run, shards?.run ?? Effect.void], {
       concurrency: "unbounded",
       discard: true,
     });
--- a/src/service/leader/locked.ts
+++ b/src/service/leader/locked.ts
@@ -3,6 +3,8 @@
  * nothing else runs until it returns, and being synchronous it can't be held over I/O. A semaphore (effect's)
  * would add a queue for no gain on a quarter of a core; see docs/design.md.
  */
+
+/** A state that is reached only in sections. */
 export class Locked<S> {
   constructor(private state: S) {}
 
--- a/src/service/leader/stored-records.ts
+++ b/src/service/leader/stored-records.ts
@@ -1,8 +1,8 @@
 /**
- * The rows that the leader loads, as records. Only leaders write these keys, and always with these types, so rows aren't
- * checked again; this is the one place that says so.
+ * The rows that the leader reads, as records. Only controllers write these keys, and always with these types, so rows
+ * aren't checked again; this is the one place that says so.
  */
-import type { MachinesRecord, RangesRecord, RentalRecord } from "../../core/records.js";
+import type { CommitRecord, MachinesRecord, RangesRecord, RentalRecord } from "../../core/records.js";
 import { keys } from "../../core/records.js";
 import type { Row } from "../../io/codec.js";
 
@@ -20,3 +20,6 @@
   name: row.key.slice(keys.rentals.length),
   record: row.value as RentalRecord,
 });
+
+/** A job's outcome. */
+export const commitIn = (row: Row): CommitRecord => row.value as CommitRecord;
