--- a/src/core/autoscaling/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -1,44 +1,55 @@
 /** Which machines to rent and to return, given what waits and what is idle. Called about once a second. */
+import type { Machine } from "../cluster/cluster.js";
 import { startableTasks } from "../heartbeats/attempt-results.js";
-import type { Job, Machine } from "../cluster/cluster.js";
-import type { Decision } from "../scheduler/decisions.js";
-import type { Autoscaler } from "./autoscaler.js";
 import type { JobQueue } from "../placement/job-queue.js";
 import { tasksWithinLimit } from "../placement/quota.js";
-import type { ScaleIn } from "./scale-in.js";
+import type { Decision } from "../scheduler/decisions.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import type { Instant } from "../time.js";
+import type { Autoscaler, WaitingTasks } from "./autoscaler.js";
+import { GracefulEviction } from "./graceful-eviction.js";
+import type { ScaleIn } from "./scale-in.js";
+import type { ScaleInReason } from "./scale-in-reason.js";
 
 /** Machines returned in one request. */
-const MAX_RELEASE = 100;
+const MAX_MACHINES_PER_RELEASE = 100;
 
-/** Brings together what is returned for cause (`MachineReturns`), what is idle, and what is to be rented (`Fleet`). */
+/** Brings together what is returned for cause (`ScaleIn`), what is idle, and what is to be rented (`Autoscaler`). */
 export class AutoscalerDecisions {
+  private readonly eviction: GracefulEviction;
+
   constructor(
     private readonly scope: SchedulerContext,
-    private readonly fleet: Autoscaler,
-    private readonly returns: ScaleIn,
+    private readonly autoscaler: Autoscaler,
+    private readonly scaleIn: ScaleIn,
     private readonly queue: JobQueue,
-  ) {}
+  ) {
+    this.eviction = new GracefulEviction(scope);
+  }
 
-  /** Releases of machines that are faulty, silent, drained or idle; and which machines are to be drained. */
+  /** Releases of machines that are faulty, silent, emptied or idle (S3); and which machines are to be emptied. */
   release(now: Instant): Decision[] {
     const { cluster, typeByName } = this.scope;
-    const releases = this.returns.step(now);
-    const idle = this.fleet.spare(cluster, typeByName, now, (machine) => this.scope.usable(machine, now));
-    if (idle.length > 0) {
-      const others = releases.get("idle") ?? [];
-      releases.set("idle", [...others, ...idle.map((machine) => machine.id)]);
-    }
+    const plan = this.scaleIn.step(now);
+    const surplus = this.autoscaler.surplusMachines(cluster, typeByName, now, (machine) =>
+      this.scope.usable(machine, now),
+    );
+    if (surplus.length > 0)
+      plan.set(
+        "idle",
+        surplus.map((machine) => machine.id),
+      );
     const decisions: Decision[] = [];
-    for (const [why, machines] of releases)
-      for (let start = 0; start < machines.length; start += MAX_RELEASE)
-        decisions.push(this.releaseSome(machines.slice(start, start + MAX_RELEASE), why, now));
-    this.returns.consolidate(now, this.fleet.expectedCpus(now));
+    for (const [reason, machines] of plan)
+      for (let start = 0; start < machines.length; start += MAX_MACHINES_PER_RELEASE)
+        decisions.push(
+          this.releaseBatch(machines.slice(start, start + MAX_MACHINES_PER_RELEASE), reason, now),
+        );
+    this.eviction.step(now, this.autoscaler.expectedCpus(now));
     return decisions;
   }
 
-  private releaseSome(machines: string[], reason: string, now: Instant): Decision {
+  private releaseBatch(machines: string[], reason: ScaleInReason, now: Instant): Decision {
     for (const id of machines) {
       const machine = this.scope.cluster.machines.get(id);
       if (machine !== undefined) machine.releaseRequestedAt = now;
@@ -46,25 +57,25 @@
     return { kind: "release", machines, reason };
   }
 
-  /** Rentals for what neither free nor booting machines will hold. */
-  rent(now: Instant): Decision[] {
+  /** Requests for what neither free nor booting machines will hold (S10). */
+  scaleOut(now: Instant): Decision[] {
     const { cluster, types } = this.scope;
     const isUsable = (machine: Machine): boolean =>
       this.scope.usable(machine, now) || this.scope.isReconnecting(machine, now);
-    const rents = this.fleet.rent(cluster, this.wanted(now), types, now, isUsable);
-    return rents.map((rent) => ({ kind: "rent", rent }));
+    const requests = this.autoscaler.scaleOut(cluster, this.waitingTasks(now), types, now, isUsable);
+    return requests.map((rent) => ({ kind: "rent", rent }));
   }
 
   /** Waiting jobs, with as many tasks as their team's limit allows. */
-  private wanted(now: Instant): { job: Job; tasks: number }[] {
-    const wanted: { job: Job; tasks: number }[] = [];
+  private waitingTasks(now: Instant): WaitingTasks[] {
+    const waiting: WaitingTasks[] = [];
     for (const job of this.queue.sorted(now)) {
       const team = this.scope.options.teams.get(job.spec.team);
       if (team === undefined) continue;
-      const room = tasksWithinLimit(team, this.scope.usageOf(job.spec.team), job.spec);
-      const tasks = Math.min(startableTasks(job, now), room);
-      if (tasks > 0) wanted.push({ job, tasks });
+      const withinLimit = tasksWithinLimit(team, this.scope.usageOf(job.spec.team), job.spec);
+      const tasks = Math.min(startableTasks(job, now), withinLimit);
+      if (tasks > 0) waiting.push({ job, tasks });
     }
-    return wanted;
+    return waiting;
   }
 }
--- /dev/null
+++ b/src/core/autoscaling/graceful-eviction.ts
@@ -0,0 +1,132 @@
+/**
+ * Empties underused machines without ending work early, so that they can be returned. While nothing waits and there is
+ * more capacity than is likely to be needed soon, the machines that cost the most for the least get no new work: short
+ * tasks run out there, and replicas move if they all fit beside other running work where their image is cached already
+ * (the gap is then a stop and a start). When work waits, they are used again.
+ */
+import { isWaitingForRoom } from "../heartbeats/attempt-results.js";
+import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
+import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/placement.js";
+import type { JobSpec } from "../records.js";
+import { isMovableReplica } from "../scheduler/reconciler.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import type { Instant } from "../time.js";
+
+/** Share of all machines from which replicas may be moving at once. */
+const MOVING_SHARE = 0.02;
+/** Machines that begin to be emptied in one step: the larger of a number and a share of all machines. */
+const EVICTED_PER_STEP = 4;
+const EVICTED_PER_STEP_SHARE = 0.0025;
+/** Processors kept free beyond what is expected, as a share of those in use. */
+const SPARE_SHARE = 0.1;
+/** A machine is underused if at most this share of its processors is in use. */
+const UNDERUSED_SHARE = 0.5;
+
+interface Target {
+  readonly machine: Machine;
+  /** Free capacity that no replica was promised yet. */
+  readonly free: Capacity;
+}
+
+const isReplica = (attempt: TaskAttempt): boolean =>
+  attempt.spec?.kind === "service" && occupiesCapacity(attempt);
+
+const replicasOn = (machine: Machine): TaskAttempt[] => [...machine.attempts.values()].filter(isReplica);
+
+/** Decides which machines are being emptied; what is on them is moved by the reconciler. */
+export class GracefulEviction {
+  constructor(private readonly scope: SchedulerContext) {}
+
+  /** `expectedCpus`: processors that work likely to arrive soon will need. */
+  step(now: Instant, expectedCpus: number): void {
+    const { cluster } = this.scope;
+    const draining = [...cluster.machines.values()].filter((machine) => machine.draining);
+    if ([...cluster.pendingJobs].some((job) => job.spec.kind !== "service" && isWaitingForRoom(job, now))) {
+      for (const machine of draining) machine.draining = false;
+      if (draining.length > 0) cluster.capacityVersion++;
+      return;
+    }
+    const ready = [...cluster.byLastHeartbeat].filter((machine) => this.scope.usable(machine, now));
+    const moving = draining.filter((machine) => [...machine.attempts.values()].some(isReplica)).length;
+    this.evict(ready, moving, expectedCpus, now);
+  }
+
+  /** `movingNow`: machines from which replicas are moving already. */
+  private evict(ready: readonly Machine[], movingNow: number, expectedCpus: number, now: Instant): void {
+    const { cluster } = this.scope;
+    let freeCpus = 0;
+    let usedCpus = 0;
+    for (const machine of ready) {
+      freeCpus += machine.cpus - machine.used.cpus;
+      usedCpus += machine.used.cpus;
+    }
+    const targets = this.targets(ready);
+    const cpusToKeep = expectedCpus + usedCpus * SPARE_SHARE;
+    const mayMove = Math.max(1, cluster.machines.size * MOVING_SHARE);
+    let moving = movingNow;
+    let evictionsLeft = Math.max(EVICTED_PER_STEP, cluster.machines.size * EVICTED_PER_STEP_SHARE);
+    for (const machine of this.mostWasteful(ready)) {
+      if (evictionsLeft <= 0) return;
+      // what runs on it goes elsewhere, or comes back elsewhere
+      if (freeCpus - machine.cpus < cpusToKeep) continue;
+      const replicas = replicasOn(machine);
+      if (replicas.length > 0) {
+        if (moving >= mayMove || !this.canMove(machine, replicas, targets, now)) continue;
+        moving++;
+      }
+      freeCpus -= machine.cpus;
+      evictionsLeft--;
+      machine.draining = true;
+      cluster.reconcileQueue.add(machine);
+    }
+  }
+
+  /** Underused machines, the one first whose unused processors cost the most. */
+  private mostWasteful(ready: readonly Machine[]): Machine[] {
+    return ready
+      .filter((machine) => machine.attempts.size > 0 && machine.used.cpus <= machine.cpus * UNDERUSED_SHARE)
+      .map((machine) => ({
+        machine,
+        wasted: this.price(machine) * (1 - machine.used.cpus / machine.cpus),
+      }))
+      .sort((one, other) => other.wasted - one.wasted)
+      .map(({ machine }) => machine);
+  }
+
+  private price(machine: Machine): number {
+    const type = this.scope.typeByName.get(machine.type);
+    if (type === undefined) return 0;
+    return machine.spot ? type.spotPrice : type.price;
+  }
+
+  /** Machines with free capacity beside other running work. */
+  private targets(ready: readonly Machine[]): Target[] {
+    return ready
+      .filter((machine) => this.scope.cluster.capacityIndex.has(machine) && machine.attempts.size > 0)
+      .map((machine) => ({ machine, free: freeCapacity(machine) }));
+  }
+
+  /** Whether all replicas fit elsewhere. What was found is reserved, also if one of them fits nowhere. */
+  private canMove(
+    machine: Machine,
+    replicas: readonly TaskAttempt[],
+    targets: readonly Target[],
+    now: Instant,
+  ): boolean {
+    return replicas.every((attempt) => {
+      const { spec } = attempt;
+      if (spec === null || !isMovableReplica(attempt, now) || spec.oneZone || spec.spread) return false;
+      if (!this.scope.cluster.jobs.has(attempt.job)) return false;
+      const target = targets.find((candidate) => candidate.machine !== machine && canTake(candidate, spec));
+      if (target === undefined) return false;
+      reserve(spec, target.free, 1);
+      return true;
+    });
+  }
+}
+
+const canTake = ({ machine, free }: Target, spec: JobSpec): boolean =>
+  !machine.draining &&
+  machine.images.has(spec.image) &&
+  allowed(spec, machine) &&
+  tasksThatFit(spec, free) > 0;
--- a/src/core/scheduler/decisions.ts
+++ b/src/core/scheduler/decisions.ts
@@ -1,5 +1,6 @@
 /** What the leader's core decides, and what it is told of the outcome. */
-import type { ScaleOutRequest } from "../autoscaling/autoscaler.js";
+import type { ScaleOutRequest } from "../autoscaling/offers.js";
+import type { ScaleInReason } from "../autoscaling/scale-in-reason.js";
 import type { MachineRecord, Command } from "../records.js";
 
 /** Something to be done outside the core. The caller carries each out, or tells the core that it failed. */
@@ -22,7 +23,7 @@
   /** Rent machines (S10). */
   | { kind: "rent"; rent: ScaleOutRequest }
   /** Return machines to the cloud (S3). */
-  | { kind: "release"; machines: string[]; reason: string }
+  | { kind: "release"; machines: string[]; reason: ScaleInReason }
   /** A line for the log. */
   | { kind: "note"; text: string };
 
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -7,7 +7,8 @@
 import { type Cluster, recordHeartbeat, type Machine } from "../cluster/cluster.js";
 import { type CommandBatchResult, CommandSender } from "../commands/command-sender.js";
 import type { Decision, CommandOutcome } from "./decisions.js";
-import { Autoscaler, offerKey } from "../autoscaling/autoscaler.js";
+import { Autoscaler } from "../autoscaling/autoscaler.js";
+import { offerKey } from "../autoscaling/offers.js";
 import { AutoscalerDecisions } from "../autoscaling/autoscaler-decisions.js";
 import { JobIntake } from "../jobs/job-intake.js";
 import { JobQueue } from "../placement/job-queue.js";
@@ -257,7 +258,7 @@
     const releases = this.fleetDecisions.release(now);
     // before the first list, machines that were rented by an earlier leader are not known
     if (!this.listedOnce) return releases;
-    return [...releases, ...this.fleetDecisions.rent(now)];
+    return [...releases, ...this.fleetDecisions.scaleOut(now)];
   }
 
   /** The certain outcome of a recorded rental (S10). */
