--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,7 +1,8 @@
 /** How many machines, of which type, where, and of which kind: what to rent for waiting work, and what to return. */
 import * as Duration from "effect/Duration";
 import type { Cluster, Job, Machine } from "../cluster/cluster.js";
-import { allowed, freeCapacity, reserve, tasksThatFit } from "../placement/placement.js";
+import { freeCapacity, reserve, tasksThatFit } from "../placement/capacity.js";
+import { allowed } from "../placement/eligibility.js";
 import type { MachineType } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
 import { ArrivalForecast, type TaskDemand } from "./arrival-forecast.js";
--- a/src/core/autoscaling/graceful-eviction.ts
+++ b/src/core/autoscaling/graceful-eviction.ts
@@ -6,7 +6,8 @@
  */
 import { isWaitingForRoom } from "../heartbeats/attempt-results.js";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
-import { allowed, freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/placement.js";
+import { freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/capacity.js";
+import { allowed } from "../placement/eligibility.js";
 import type { JobSpec } from "../records.js";
 import { isMovableReplica } from "../scheduler/reconciler.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
--- a/src/core/autoscaling/scale-out-plan.ts
+++ b/src/core/autoscaling/scale-out-plan.ts
@@ -4,7 +4,8 @@
  */
 import * as Duration from "effect/Duration";
 import { type Machine, occupiesCapacity } from "../cluster/cluster.js";
-import { allowed, type Capacity, freeCapacity, reserve, tasksThatFit } from "../placement/placement.js";
+import { type Capacity, freeCapacity, reserve, tasksThatFit } from "../placement/capacity.js";
+import { allowed } from "../placement/eligibility.js";
 import { CAPACITY_EPSILON } from "../placement/quota.js";
 import type { JobSpec, MachineType } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
--- /dev/null
+++ b/src/core/placement/bin-packing.ts
@@ -0,0 +1,90 @@
+/** Which machine a task goes to, and how the tasks of an array are packed onto several. */
+import * as Duration from "effect/Duration";
+import type { Cluster, Job, Machine } from "../cluster/cluster.js";
+import { type Instant, hasElapsed } from "../time.js";
+import { fits, freeCapacity, tasksThatFit } from "./capacity.js";
+import { allowed } from "./eligibility.js";
+import { compareScores, machineScorer, type PartCapacity } from "./machine-score.js";
+import { zoneRule } from "./zone-rules.js";
+
+/** A job keeps away from a machine where it failed; where there is no other, it is tried there again sooner. */
+const AVOID_AFTER_FAILURE = Duration.seconds(60);
+const LAST_RESORT_AFTER = Duration.seconds(10);
+/** A job keeps away for so long from a machine whose worker refused it. */
+const AVOID_AFTER_REFUSAL = Duration.seconds(5);
+
+/** Where to look for a machine. */
+export interface MachineSearch {
+  /** Machines that may be given work now. */
+  readonly candidates: Iterable<Machine>;
+  readonly now: Instant;
+  readonly partCapacity: PartCapacity;
+}
+
+/** So many tasks for one machine. */
+export interface PackedTasks {
+  readonly machine: Machine;
+  readonly tasks: number;
+}
+
+const happenedWithin = (
+  memory: ReadonlyMap<string, Instant>,
+  machine: Machine,
+  now: Instant,
+  span: Duration.Duration,
+): boolean => {
+  const at = memory.get(machine.id);
+  return at !== undefined && !hasElapsed(now, at, span);
+};
+
+/** Machines on which one task of the job fits and may run. */
+const fittingMachines = (cluster: Cluster, job: Job, { candidates, now }: MachineSearch): Machine[] => {
+  const zoneAllows = zoneRule(cluster, job);
+  const fitting: Machine[] = [];
+  const lastResort: Machine[] = [];
+  for (const machine of candidates) {
+    if (!fits(job.spec, freeCapacity(machine)) || !allowed(job.spec, machine) || !zoneAllows(machine.zone))
+      continue;
+    if (happenedWithin(job.refusedOn, machine, now, AVOID_AFTER_REFUSAL)) continue;
+    if (!happenedWithin(job.failedOn, machine, now, AVOID_AFTER_FAILURE)) fitting.push(machine);
+    else if (!happenedWithin(job.failedOn, machine, now, LAST_RESORT_AFTER)) lastResort.push(machine);
+  }
+  // the autoscaler counts that capacity, so nothing more is rented: a job must not wait for its memory to end
+  return fitting.length > 0 ? fitting : lastResort;
+};
+
+/** The best machine for one task. */
+export const chooseMachine = (cluster: Cluster, job: Job, search: MachineSearch): Machine | null => {
+  const score = machineScorer(cluster, job, search.partCapacity);
+  let best: Machine | null = null;
+  let bestScore: number[] = [];
+  for (const machine of fittingMachines(cluster, job, search)) {
+    const mine = score(machine);
+    if (best === null || compareScores(mine, bestScore) < 0) {
+      best = machine;
+      bestScore = mine;
+    }
+  }
+  return best;
+};
+
+/** Machines for up to so many tasks of one array, scored once and then filled one after the other. */
+export const packTasks = (
+  cluster: Cluster,
+  job: Job,
+  search: MachineSearch,
+  tasks: number,
+): PackedTasks[] => {
+  const score = machineScorer(cluster, job, search.partCapacity);
+  const scored = fittingMachines(cluster, job, search).map((machine) => ({ machine, score: score(machine) }));
+  scored.sort((one, other) => compareScores(one.score, other.score));
+  const packed: PackedTasks[] = [];
+  let left = tasks;
+  for (const { machine } of scored) {
+    if (left <= 0) break;
+    const fitting = Math.min(left, tasksThatFit(job.spec, freeCapacity(machine)));
+    packed.push({ machine, tasks: fitting });
+    left -= fitting;
+  }
+  return packed;
+};
--- /dev/null
+++ b/src/core/placement/capacity.ts
@@ -0,0 +1,47 @@
+/** Arithmetic of what a machine has free and what a task needs, in processors, GPUs and gigabytes of memory. */
+import type { Machine } from "../cluster/cluster.js";
+import type { JobSpec } from "../records.js";
+import { CAPACITY_EPSILON } from "./quota.js";
+
+/** Keeps a task that asks for nothing of a kind from dividing by zero. */
+const LEAST_DEMAND = 1e-9;
+
+/** An amount of each resource. */
+export interface Capacity {
+  cpus: number;
+  gpus: number;
+  memoryGb: number;
+}
+
+/** What no task on the machine occupies. */
+export const freeCapacity = (machine: Machine): Capacity => ({
+  cpus: machine.cpus - machine.used.cpus,
+  gpus: machine.gpus - machine.used.gpus,
+  memoryGb: machine.memoryGb - machine.used.memoryGb,
+});
+
+/** Whether one task of the job fits. */
+export const fits = (spec: JobSpec, capacity: Capacity): boolean =>
+  spec.cpus <= capacity.cpus + CAPACITY_EPSILON &&
+  spec.gpus <= capacity.gpus + CAPACITY_EPSILON &&
+  spec.memoryGb <= capacity.memoryGb + CAPACITY_EPSILON;
+
+/** How many tasks of the job fit side by side. */
+export const tasksThatFit = (spec: JobSpec, capacity: Capacity): number =>
+  Math.max(
+    0,
+    Math.floor(
+      Math.min(
+        (capacity.cpus + CAPACITY_EPSILON) / Math.max(spec.cpus, LEAST_DEMAND),
+        spec.gpus > 0 ? (capacity.gpus + CAPACITY_EPSILON) / spec.gpus : Infinity,
+        (capacity.memoryGb + CAPACITY_EPSILON) / Math.max(spec.memoryGb, LEAST_DEMAND),
+      ),
+    ),
+  );
+
+/** Takes what so many tasks need out of `capacity`; a negative number gives it back. */
+export const reserve = (spec: JobSpec, capacity: Capacity, tasks: number): void => {
+  capacity.cpus -= tasks * spec.cpus;
+  capacity.gpus -= tasks * spec.gpus;
+  capacity.memoryGb -= tasks * spec.memoryGb;
+};
--- /dev/null
+++ b/src/core/placement/eligibility.ts
@@ -0,0 +1,50 @@
+/** Which machines may be given work at all, and which a job's own wishes allow; other tasks and free capacity aside. */
+import type * as Duration from "effect/Duration";
+import type { Machine } from "../cluster/cluster.js";
+import type { JobSpec } from "../records.js";
+import { type Instant, hasElapsed } from "../time.js";
+import { allowsZone } from "./admission.js";
+
+/** Direct questions without an answer after which a machine gets no new work. */
+const UNREACHABLE_AFTER_BATCHES = 2;
+
+/** What a job's wishes are about: a machine, or one that could be rented. */
+export interface MachineKind {
+  readonly type: string;
+  readonly zone: string;
+  readonly spot: boolean;
+}
+
+/** Whether the job's own wishes allow this machine. */
+export const allowed = (spec: JobSpec, machine: MachineKind): boolean =>
+  (spec.types === null || spec.types.includes(machine.type)) &&
+  allowsZone(spec, machine.zone) &&
+  (spec.spot || !machine.spot);
+
+/** Where no task of `failed` could go, none of `spec` can: it wants as much, and may go nowhere else. */
+export const isAtLeastAsDemanding = (spec: JobSpec, failed: JobSpec): boolean =>
+  failed.cpus <= spec.cpus &&
+  failed.gpus <= spec.gpus &&
+  failed.memoryGb <= spec.memoryGb &&
+  (failed.spot || !spec.spot) &&
+  failed.types === null &&
+  failed.zone === null;
+
+/** Whether the machine's last heartbeat is younger than `freshFor` and it may be given new work (S3, S5). */
+export const isUsable = (machine: Machine, now: Instant, freshFor: Duration.Duration): boolean =>
+  isInService(machine) &&
+  machine.cpus > 0 &&
+  machine.addr !== null &&
+  machine.unansweredBatches < UNREACHABLE_AFTER_BATCHES &&
+  machine.lastHeartbeatAt !== null &&
+  !hasElapsed(now, machine.lastHeartbeatAt, freshFor);
+
+/** Whether the machine is known for certain, works, and isn't about to go. */
+const isInService = (machine: Machine): boolean =>
+  machine.recorded &&
+  machine.confirmed &&
+  !machine.failed &&
+  machine.releaseRequestedAt === null &&
+  machine.reclaimAt === null &&
+  machine.cordonedAt === null &&
+  !machine.draining;
--- /dev/null
+++ b/src/core/placement/gang-placer.ts
@@ -0,0 +1,90 @@
+/** Gang scheduling: all tasks of a job start at once, under one attempt number, or none does. */
+import * as Duration from "effect/Duration";
+import { type Job, type Machine, removeAttempt, type TaskAttempt } from "../cluster/cluster.js";
+import { PendingCommands } from "../commands/pending-commands.js";
+import type { Team } from "../records.js";
+import { stopGang } from "../scheduler/reconciler.js";
+import type { SchedulerContext } from "../scheduler/scheduler-context.js";
+import { type Instant, hasElapsed } from "../time.js";
+import { chooseMachine } from "./bin-packing.js";
+import { freeCapacity, tasksThatFit } from "./capacity.js";
+import { allowed } from "./eligibility.js";
+import type { PlacementRound } from "./placement-round.js";
+import { isWithinLimit } from "./quota.js";
+import type { TaskStarter } from "./task-starter.js";
+
+/** Smaller jobs would take all capacity that gets free: after this long a gang holds up those of its rank and below. */
+const HOLDS_UP_OTHERS_AFTER = Duration.seconds(15);
+/** Stands for the zone of every machine where a gang's zones don't matter. */
+const ANY_ZONE = "";
+
+/** Places gangs. */
+export class GangPlacer {
+  constructor(
+    private readonly scope: SchedulerContext,
+    private readonly starter: TaskStarter,
+  ) {}
+
+  /** Starts the gang, or lets it hold up others if it has waited for long and could run on the machines there are. */
+  placeOrHoldUpOthers(job: Job, team: Team, round: PlacementRound): void {
+    const isPlaced = this.place(job, team, round);
+    if (isPlaced) round.startsLeft -= job.spec.tasks;
+    else if (
+      hasElapsed(round.now, job.releasedAt, HOLDS_UP_OTHERS_AFTER) &&
+      this.fitsEmptyMachines(job, round.now)
+    )
+      round.heldUpRank = job.rank;
+  }
+
+  /** A broken gang is taken down whole before its next attempt. */
+  private place(job: Job, team: Team, round: PlacementRound): boolean {
+    const { spec } = job;
+    if (stopGang([...job.attempts.values()].flat(), round.pendingCommands) > 0) return false;
+    if (job.pending.size < spec.tasks) return false;
+    const used = round.mostUsed(this.scope.usageOf(spec.team));
+    if (!isWithinLimit(team, used, spec, spec.tasks)) return false;
+    if (!spec.oneZone) return this.placeOn(job, round.candidates, round);
+    const zones = new Set(round.candidates.map((machine) => machine.zone));
+    for (const zone of zones) {
+      const inZone = round.candidates.filter((machine) => machine.zone === zone);
+      if (this.placeOn(job, inZone, round)) return true;
+    }
+    return false;
+  }
+
+  /** Tries to place a whole gang on the given machines; leaves nothing behind if it doesn't fit. */
+  private placeOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
+    const { spec } = job;
+    const { now, partCapacity } = round;
+    let fitting = 0;
+    for (const machine of candidates)
+      if (allowed(spec, machine)) fitting += tasksThatFit(spec, freeCapacity(machine));
+    if (fitting < spec.tasks) return false;
+    const attempt = this.starter.nextAttempt();
+    const trial = new PendingCommands();
+    const started: TaskAttempt[] = [];
+    for (const index of job.pending.take(spec.tasks)) {
+      const machine = chooseMachine(this.scope.cluster, job, { candidates, now, partCapacity });
+      if (machine === null) break;
+      started.push(this.starter.start({ job, index, attempt, machine }, now, trial));
+    }
+    if (started.length === spec.tasks) {
+      trial.moveTo(round.pendingCommands);
+      return true;
+    }
+    for (const taskAttempt of started) removeAttempt(this.scope.cluster, taskAttempt);
+    return false;
+  }
+
+  /** Whether the machines there are could run the whole gang if they were empty. */
+  private fitsEmptyMachines(job: Job, now: Instant): boolean {
+    const { spec } = job;
+    const tasksByZone = new Map<string, number>();
+    for (const machine of this.scope.cluster.byLastHeartbeat) {
+      if (!this.scope.usable(machine, now) || !allowed(spec, machine)) continue;
+      const zone = spec.oneZone ? machine.zone : ANY_ZONE;
+      tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + tasksThatFit(spec, machine));
+    }
+    return [...tasksByZone.values()].some((tasks) => tasks >= spec.tasks);
+  }
+}
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -21,6 +21,7 @@
 /** While a job above the lowest rank has waited this long without a start, no deadline brings lower jobs forward. */
 const STARVED_AFTER = Duration.seconds(40);
 
+/** What a waiting job is sorted by. */
 interface Entry {
   readonly job: Job;
   readonly isOverdue: boolean;
@@ -28,11 +29,11 @@
   readonly isGuaranteed: boolean;
 }
 
-const compareEntries = (a: Entry, b: Entry): number =>
-  Number(b.isOverdue) - Number(a.isOverdue) ||
-  b.rank - a.rank ||
-  Number(b.isGuaranteed) - Number(a.isGuaranteed) ||
-  a.job.revision - b.job.revision;
+const compareEntries = (one: Entry, other: Entry): number =>
+  Number(other.isOverdue) - Number(one.isOverdue) ||
+  other.rank - one.rank ||
+  Number(other.isGuaranteed) - Number(one.isGuaranteed) ||
+  one.job.revision - other.job.revision;
 
 /** A job that fails wherever it runs was started often enough: it goes before no others. */
 const hasStarted = (job: Job, now: Instant): boolean =>
@@ -45,8 +46,8 @@
 /** Sorts the cluster's waiting jobs; a look at each of them, and no more. */
 export class JobQueue {
   private guaranteed: ReadonlySet<Job> = new Set();
-  /** `Cluster.jobChanges` when `guaranteed` was worked out. */
-  private guaranteedAt = -1;
+  /** `Cluster.jobSetVersion` when `guaranteed` was worked out. */
+  private guaranteedAtVersion = -1;
   private someStarved = false;
 
   constructor(private readonly scope: SchedulerContext) {}
@@ -93,8 +94,8 @@
 
   private updateGuaranteed(): void {
     const { cluster } = this.scope;
-    if (this.guaranteedAt === cluster.jobSetVersion) return;
-    this.guaranteedAt = cluster.jobSetVersion;
+    if (this.guaranteedAtVersion === cluster.jobSetVersion) return;
+    this.guaranteedAtVersion = cluster.jobSetVersion;
     this.guaranteed = this.guaranteedJobs();
   }
 
@@ -102,7 +103,7 @@
     const { cluster, options } = this.scope;
     const guaranteed = new Set<Job>();
     const usageByTeam = new Map<string, Usage>();
-    const byAge = [...cluster.jobs.values()].sort((job, b) => job.revision - b.revision);
+    const byAge = [...cluster.jobs.values()].sort((one, other) => one.revision - other.revision);
     for (const job of byAge) {
       const { spec } = job;
       const team = options.teams.get(spec.team);
--- a/src/core/placement/placement-round.ts
+++ b/src/core/placement/placement-round.ts
@@ -1,7 +1,7 @@
 /** What one step of the placer works with: the machines that may be used, and what was found out so far. */
 import type { Job, Machine } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
-import { isAtLeastAsDemanding } from "./placement.js";
+import { isAtLeastAsDemanding } from "./eligibility.js";
 import type { Usage } from "./quota.js";
 import type { JobSpec } from "../records.js";
 import type { Instant } from "../time.js";
@@ -11,68 +11,70 @@
 
 /** The state of one step; nothing of it outlives the step. */
 export class PlacementRound {
-  /** Machines with room that may be given work now. */
+  /** Machines with free capacity that may be given work now. */
   readonly candidates: Machine[] = [];
   /** How many more tasks may be started in this step. */
   startsLeft: number;
-  /** Jobs of this rank and below wait for the sake of a gang. */
-  gangRank = -1;
-  private readonly roomByMember = new Map<string | null, number>();
-  private readonly noRoomFor: JobSpec[] = [];
-  private readonly nothingToStopFor: Job[] = [];
+  /** Jobs of this rank and below wait for the sake of a gang; -1: none does. */
+  heldUpRank = -1;
+  private readonly freeCpusByMember = new Map<string | null, number>();
+  /** Jobs for which a search found no machine in this step. */
+  private readonly unplaceable: JobSpec[] = [];
+  /** Jobs for which a search found nothing to preempt in this step. */
+  private readonly unpreemptable: Job[] = [];
 
   constructor(
     readonly now: Instant,
     readonly pendingCommands: PendingCommands,
     readonly notes: string[],
-    /** What machines may hold that this leader doesn't know of: it counts against every limit (S6). */
-    private readonly unseen: Usage,
+    /** What may run on machines without this leader's knowledge: it counts against every limit (S6). */
+    private readonly unseenUsage: Usage,
     mostStarts = Infinity,
   ) {
     this.startsLeft = Math.min(MAX_STARTS_PER_STEP, mostStarts);
   }
 
-  /** Free processors of a member's part. */
-  readonly partRoom = (via: string | null): number => this.roomByMember.get(via) ?? 0;
+  /** Free processors of the machines that a member relays for; null: of those that no member does. */
+  readonly partCapacity = (member: string | null): number => this.freeCpusByMember.get(member) ?? 0;
 
-  /** Takes note of a machine that may be used. */
+  /** Adds a machine that may be used. */
   addCandidate(machine: Machine): void {
     this.candidates.push(machine);
-    this.roomByMember.set(
+    this.freeCpusByMember.set(
       machine.relayedBy,
-      this.partRoom(machine.relayedBy) + machine.cpus - machine.used.cpus,
+      this.partCapacity(machine.relayedBy) + machine.cpus - machine.used.cpus,
     );
   }
 
   /** A task was started in a member's part. */
-  takeFromPart(via: string | null, cpus: number): void {
-    this.roomByMember.set(via, this.partRoom(via) - cpus);
+  takeFromPart(member: string | null, cpus: number): void {
+    this.freeCpusByMember.set(member, this.partCapacity(member) - cpus);
   }
 
   /** The most that a team may be using (S6). */
-  mostUsed(seen: Usage): Usage {
-    return { cpus: seen.cpus + this.unseen.cpus, gpus: seen.gpus + this.unseen.gpus };
+  mostUsed(known: Usage): Usage {
+    return { cpus: known.cpus + this.unseenUsage.cpus, gpus: known.gpus + this.unseenUsage.gpus };
   }
 
   /** Whether a search for a job that is no harder to place has found nothing. */
   isHopeless(spec: JobSpec): boolean {
-    return this.noRoomFor.some((failed) => isAtLeastAsDemanding(spec, failed));
+    return this.unplaceable.some((failed) => isAtLeastAsDemanding(spec, failed));
   }
 
-  /** A search for room found too little. */
-  foundNoRoom(spec: JobSpec): void {
-    this.noRoomFor.push(spec);
+  /** A search for machines found too few. */
+  foundNoCapacity(spec: JobSpec): void {
+    this.unplaceable.push(spec);
   }
 
-  /** Whether nothing could be stopped for a job of at least this rank that is no harder to place. */
-  isNothingToStop(job: Job): boolean {
-    return this.nothingToStopFor.some(
+  /** Whether nothing could be preempted for a job of at least this rank that is no harder to place. */
+  hasNothingToPreempt(job: Job): boolean {
+    return this.unpreemptable.some(
       (failed) => failed.rank >= job.rank && isAtLeastAsDemanding(job.spec, failed.spec),
     );
   }
 
-  /** A search for tasks to stop found none. */
-  foundNothingToStop(job: Job): void {
-    this.nothingToStopFor.push(job);
+  /** A search for tasks to preempt found none. */
+  foundNothingToPreempt(job: Job): void {
+    this.unpreemptable.push(job);
   }
 }
--- a/src/core/placement/quota.ts
+++ b/src/core/placement/quota.ts
@@ -4,7 +4,7 @@
 /** Sums of fractions of processors and of gigabytes are compared up to this difference. */
 export const CAPACITY_EPSILON = 1e-6;
 
-/** Room that is in use. */
+/** Capacity that is in use. */
 export interface Usage {
   cpus: number;
   gpus: number;
@@ -17,18 +17,18 @@
 export const isWithinLimit = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
   within(used.cpus + job.cpus * tasks, team.maxCpus) && within(used.gpus + job.gpus * tasks, team.maxGpus);
 
-/** Whether so many tasks more would keep the team within its guarantee; a guarantee of 0 holds nothing. */
+/** Whether so many tasks more would keep the team within its guarantee; a guarantee of 0 covers nothing. */
 export const isWithinGuarantee = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
   used.cpus + job.cpus * tasks <= team.guaranteedCpus + CAPACITY_EPSILON &&
   used.gpus + job.gpus * tasks <= team.guaranteedGpus + CAPACITY_EPSILON;
 
-/** How many tasks of the given size one limit leaves room for. */
-const roomFor = (limit: number, used: number, each: number): number =>
+/** How many tasks that need `each` one limit leaves space for. */
+const tasksWithin = (limit: number, used: number, each: number): number =>
   limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + CAPACITY_EPSILON) / each);
 
 /** How many tasks of an array its team's limit allows at once, next to `used`. */
 export const tasksWithinLimit = (team: Team, used: Usage, job: JobSpec): number => {
-  const byCpus = roomFor(team.maxCpus, used.cpus, job.cpus);
-  const byGpus = roomFor(team.maxGpus, used.gpus, job.gpus);
+  const byCpus = tasksWithin(team.maxCpus, used.cpus, job.cpus);
+  const byGpus = tasksWithin(team.maxGpus, used.gpus, job.gpus);
   return Math.max(0, Math.min(byCpus, byGpus));
 };
--- a/src/core/placement/task-starter.ts
+++ b/src/core/placement/task-starter.ts
@@ -6,50 +6,56 @@
 import type { Instant } from "../time.js";
 
 /** Latest starts that are remembered; half of them are dropped at a time. */
-const MAX_REMEMBERED = 512;
+const MAX_RECENT_STARTS = 512;
 /** With so many numbers left, a new term is due: it comes long before they are used up. */
-const RENEW_TERM_AT = 100_000;
+const RENEW_TERM_AT_ATTEMPTS_LEFT = 100_000;
 /** Numbers kept back for gangs, whose trial placements use one each. */
-const RESERVED = 1000;
+const RESERVED_ATTEMPTS = 1000;
+
+/** One task, the number of its attempt, and where it is to run. */
+export interface TaskStart {
+  readonly job: Job;
+  readonly index: number;
+  readonly attempt: number;
+  readonly machine: Machine;
+}
 
 /** Numbers the attempts of one leader, anew in each of its terms. */
 export class TaskStarter {
-  private attempts = 0;
-  private token = 0;
+  /** Attempt numbers used in the term below. */
+  private attemptsUsed = 0;
+  private termNumber = 0;
 
   constructor(private readonly scope: SchedulerContext) {}
 
   /** How many more tasks may be started in this term. */
   get startsLeft(): number {
-    return Math.max(0, this.attemptsLeft - RESERVED);
+    return Math.max(0, this.attemptsLeft - RESERVED_ATTEMPTS);
   }
 
   /** Whether the numbers of this term are about to be used up, so that the leader has to begin a new one. */
   get needsNewTerm(): boolean {
-    return this.attemptsLeft <= RENEW_TERM_AT;
+    return this.attemptsLeft <= RENEW_TERM_AT_ATTEMPTS_LEFT;
   }
 
   private get attemptsLeft(): number {
-    return ATTEMPTS_PER_TERM - (this.token === this.scope.term.number ? this.attempts : 0);
+    return ATTEMPTS_PER_TERM - (this.termNumber === this.scope.term.number ? this.attemptsUsed : 0);
   }
 
   /** The attempt of the next start; all tasks of a gang share one. */
   nextAttempt(): number {
     const { number } = this.scope.term;
-    if (this.token !== number) {
-      this.token = number;
-      this.attempts = 0;
+    if (this.termNumber !== number) {
+      this.termNumber = number;
+      this.attemptsUsed = 0;
     }
-    this.attempts++;
-    return attemptOf(number, this.attempts);
+    this.attemptsUsed++;
+    return attemptOf(number, this.attemptsUsed);
   }
 
-  /** Adds the hold and the command of one start. */
+  /** Adds the attempt and the command of one start. */
   start(
-    job: Job,
-    index: number,
-    attempt: number,
-    machine: Machine,
+    { job, index, attempt, machine }: TaskStart,
     now: Instant,
     pendingCommands: PendingCommands,
   ): TaskAttempt {
@@ -70,9 +76,10 @@
       stored: false,
     };
     addAttempt(cluster, taskAttempt);
-    // gangs are never stopped for others
+    // gangs are never preempted
     if (job.spec.kind !== "gang") cluster.recentStarts.push(taskAttempt);
-    if (cluster.recentStarts.length > MAX_REMEMBERED) cluster.recentStarts.splice(0, MAX_REMEMBERED / 2);
+    if (cluster.recentStarts.length > MAX_RECENT_STARTS)
+      cluster.recentStarts.splice(0, MAX_RECENT_STARTS / 2);
     pendingCommands.start(machine.id, job.spec.id, index, attempt);
     return taskAttempt;
   }
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
-import { chooseMachine } from "../placement/placement.js";
+import { chooseMachine } from "../placement/bin-packing.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import { type Instant, hasElapsed } from "../time.js";
 
@@ -106,7 +106,8 @@
       room ??= [...cluster.capacityIndex.atLeast(spec.cpus)].filter((machine) =>
         this.scope.usable(machine, now),
       );
-      if (saves || chooseMachine(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
+      if (saves || chooseMachine(cluster, job, { candidates: room, now, partCapacity: () => 0 }) !== null)
+        pendingCommands.stop(attempt);
     }
   }
 }
--- a/src/core/scheduler/scheduler-context.ts
+++ b/src/core/scheduler/scheduler-context.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import { type Cluster, type Machine, newCluster, setMachine } from "../cluster/cluster.js";
 import type { FleetOptions } from "../autoscaling/autoscaler.js";
-import { usable } from "../placement/placement.js";
+import { isUsable } from "../placement/eligibility.js";
 import type { Usage } from "../placement/quota.js";
 import type { MachineType, Team, TermRecord } from "../records.js";
 import type { LeaseTimings } from "../leases/term.js";
@@ -70,7 +70,7 @@
   }
 
   readonly usable = (machine: Machine, now: Instant): boolean =>
-    usable(machine, now, this.fresh) && !this.isLeaseRenewalOverdue(machine, now);
+    isUsable(machine, now, this.fresh) && !this.isLeaseRenewalOverdue(machine, now);
 
   /** Whether tasks may be started on it now: no batch is on its way, and nothing of unknown size is on it (S6). */
   isReady(machine: Machine, now: Instant): boolean {
