--- a/src/core/autoscaling/machine-intake.ts
+++ b/src/core/autoscaling/machine-intake.ts
@@ -1,4 +1,4 @@
-/** Takes in what the leader hears of machines from the state service and the cloud. */
+/** Takes in what the state service and the cloud say of machines. */
 import * as Duration from "effect/Duration";
 import { addMachine, removeMachine, type Machine, newMachine, setMachine } from "../cluster/cluster.js";
 import type { MachineRecord } from "../records.js";
@@ -13,8 +13,8 @@
   readonly ageMs: number;
 }
 
-/** Late lists and reports may name machines that are gone; of the oldest nothing comes any more. */
-const MAX_GONE = 20_000;
+/** Released machines that are remembered. Late lists and heartbeats may name machines that are gone; of the oldest nothing comes any more. */
+const MAX_GONE_MACHINES = 20_000;
 
 /** The machines: none is taken in again after its release was answered (S3). */
 export class MachineIntake {
@@ -88,7 +88,7 @@
   }
 
   private forgetOldest(): void {
-    if (this.gone.size <= MAX_GONE) return;
+    if (this.gone.size <= MAX_GONE_MACHINES) return;
     for (const oldest of this.gone) {
       this.gone.delete(oldest);
       return;
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -8,38 +8,45 @@
 import { type JobSpec, RANK } from "../records.js";
 import { type Instant, minus, plus } from "../time.js";
 
-/** How much longer than estimated a job's longest task may run; and what its place in the queue and its image take. */
-const LONGEST_TASK = 1.5;
+/** A job's longest task may run for so many times its estimate. */
+const LONGEST_TASK_FACTOR = 1.5;
+/** What a job's place in the queue and its image may take. */
 const START_TAKES = Duration.seconds(15);
 
-/** How long a job with room for all its tasks takes until the last of them is done. */
+/** How long a job with capacity for all its tasks takes until the last of them is done. */
 export const timeFor = (spec: JobSpec): Duration.Duration =>
-  Duration.sum(Duration.times(spec.estimate, LONGEST_TASK), START_TAKES);
+  Duration.sum(Duration.times(spec.estimate, LONGEST_TASK_FACTOR), START_TAKES);
 
+/** An unfinished job. */
 interface Node {
   readonly id: string;
   readonly ownRank: number;
+  /** How long it takes from its start on. */
   readonly time: Duration.Duration;
   /** Its own deadline, from its submission on. */
-  ownDue: Instant | null;
+  ownDeadline: Instant | null;
   /** The jobs that it names, known or not; what would close a cycle is left out. */
   readonly parents: Set<string>;
+  /** The highest rank of the job itself and of all that need it. */
   rank: number;
   /** When it has to be done for the sake of the jobs that need it. */
-  inner: Instant | null;
+  inheritedDeadline: Instant | null;
 }
 
-const earlier = (a: Instant | null, b: Instant | null): Instant | null =>
-  a === null ? b : b === null || a <= b ? a : b;
+const earlierOf = (one: Instant | null, other: Instant | null): Instant | null => {
+  if (one === null) return other;
+  return other === null || one <= other ? one : other;
+};
 
-const dueOf = (node: Node): Instant | null => earlier(node.ownDue, node.inner);
+const deadlineOf = (node: Node): Instant | null => earlierOf(node.ownDeadline, node.inheritedDeadline);
 
 /** When the jobs before this one have to be done. */
-const startBy = (node: Node): Instant | null => {
-  const due = dueOf(node);
-  return due === null ? null : minus(due, node.time);
+const latestStart = (node: Node): Instant | null => {
+  const deadline = deadlineOf(node);
+  return deadline === null ? null : minus(deadline, node.time);
 };
 
+/** The unfinished jobs, by what they need; each has the rank and the deadline that those which need it ask of it. */
 export class DependencyGraph {
   private readonly nodes = new Map<string, Node>();
   /** Known jobs by the jobs that they name, known or not: a child may be heard of before its parent. */
@@ -48,71 +55,89 @@
   /** How many jobs were looked at since the start, for tests of the work that an event takes. */
   visits = 0;
 
+  /** How many unfinished jobs are known. */
   get size(): number {
     return this.nodes.size;
   }
+
+  /** Whether the job is known and unfinished. */
   has(id: string): boolean {
     return this.nodes.has(id);
   }
+
   /** The highest rank of the job itself and of all that need it. */
   rank(id: string): number | null {
     return this.nodes.get(id)?.rank ?? null;
   }
+
   /** When it has to be done for the sake of the jobs that need it; null: no such deadline. */
   inner(id: string): Instant | null {
-    return this.nodes.get(id)?.inner ?? null;
+    return this.nodes.get(id)?.inheritedDeadline ?? null;
   }
-  /** Its own deadline or the inner one, whichever is earlier. */
+
+  /** Its own deadline or the inherited one, whichever is earlier; null: it has neither. */
   due(id: string): Instant | null {
     const node = this.nodes.get(id);
-    return node === undefined ? null : dueOf(node);
+    return node === undefined ? null : deadlineOf(node);
   }
 
   /** Jobs whose values changed since this was last asked. */
   takeChanged(): string[] {
-    const out = [...this.changed];
+    const changed = [...this.changed];
     this.changed.clear();
-    return out;
+    return changed;
   }
 
   /** A job that isn't over. Known already: it was released, or the moment of its submission is known better. */
   add(spec: JobSpec, accepted: Instant): void {
-    const ownDue = spec.deadline === null ? null : plus(accepted, spec.deadline);
+    const ownDeadline = spec.deadline === null ? null : plus(accepted, spec.deadline);
     const known = this.nodes.get(spec.id);
     if (known !== undefined) {
-      if (known.ownDue === ownDue) return;
-      const sooner = ownDue !== null && (known.ownDue === null || ownDue < known.ownDue);
-      known.ownDue = ownDue;
-      this.changed.add(known.id);
-      if (sooner) this.raised(known);
-      else this.eased(known.parents);
+      this.setOwnDeadline(known, ownDeadline);
       return;
     }
     const node: Node = {
       id: spec.id,
       ownRank: RANK[spec.priority],
       time: timeFor(spec),
-      ownDue,
+      ownDeadline,
       parents: new Set(),
       rank: RANK[spec.priority],
-      inner: null,
+      inheritedDeadline: null,
     };
     this.nodes.set(node.id, node);
     this.changed.add(node.id);
-    // a job that nobody named before can't close a cycle, and that is the usual order
-    const named = this.children.has(node.id);
-    for (const parent of spec.dependsOn) {
-      if (parent === node.id || (named && this.needs(parent, node.id))) continue;
+    this.addParents(node, spec.dependsOn);
+    for (const child of this.children.get(node.id) ?? []) {
+      this.visits++;
+      this.inherit(
+        node,
+        Math.max(node.rank, child.rank),
+        earlierOf(node.inheritedDeadline, latestStart(child)),
+      );
+    }
+    this.propagateStricter(node);
+  }
+
+  private setOwnDeadline(node: Node, ownDeadline: Instant | null): void {
+    if (node.ownDeadline === ownDeadline) return;
+    const isEarlier = ownDeadline !== null && (node.ownDeadline === null || ownDeadline < node.ownDeadline);
+    node.ownDeadline = ownDeadline;
+    this.changed.add(node.id);
+    if (isEarlier) this.propagateStricter(node);
+    else this.propagateLooser(node.parents);
+  }
+
+  private addParents(node: Node, dependsOn: readonly string[]): void {
+    // a job that nobody named before can't close a cycle, and that is what usually happens
+    const isNamed = this.children.has(node.id);
+    for (const parent of dependsOn) {
+      if (parent === node.id || (isNamed && this.needs(parent, node.id))) continue;
       node.parents.add(parent);
       const siblings = this.children.get(parent);
       if (siblings === undefined) this.children.set(parent, new Set([node]));
       else siblings.add(node);
     }
-    for (const child of this.children.get(node.id) ?? []) {
-      this.visits++;
-      this.set(node, Math.max(node.rank, child.rank), earlier(node.inner, startBy(child)));
-    }
-    this.raised(node);
   }
 
   /** The job is done or cancelled: nothing before it is needed for its sake any more. */
@@ -122,26 +147,26 @@
     this.nodes.delete(id);
     this.changed.delete(id);
     for (const parent of node.parents) {
-      const siblings = this.children.get(parent)!;
-      siblings.delete(node);
-      if (siblings.size === 0) this.children.delete(parent);
+      const siblings = this.children.get(parent);
+      siblings?.delete(node);
+      if (siblings?.size === 0) this.children.delete(parent);
     }
-    this.eased(node.parents);
+    this.propagateLooser(node.parents);
   }
 
   /** Whether `id` needs `other`, directly or through others. */
   private needs(id: string, other: string): boolean {
     const seen = new Set([id]);
-    for (const at of seen) {
-      if (at === other) return true;
+    for (const current of seen) {
+      if (current === other) return true;
       this.visits++;
-      for (const parent of this.nodes.get(at)?.parents ?? []) seen.add(parent);
+      for (const parent of this.nodes.get(current)?.parents ?? []) seen.add(parent);
     }
     return false;
   }
 
-  /** More is asked of a job: what it needs gets that too, as far as it is news there. */
-  private raised(from: Node): void {
+  /** More is asked of a job: what it needs inherits that, as far as it changes anything there. */
+  private propagateStricter(from: Node): void {
     const work = new Set([from]);
     // a set goes on to what is added meanwhile; taken out first, a job may come up again
     for (const node of work) {
@@ -151,14 +176,14 @@
         const parent = this.nodes.get(id);
         if (parent === undefined) continue;
         const rank = Math.max(parent.rank, node.rank);
-        const inner = earlier(parent.inner, startBy(node));
-        if (this.set(parent, rank, inner)) work.add(parent);
+        const deadline = earlierOf(parent.inheritedDeadline, latestStart(node));
+        if (this.inherit(parent, rank, deadline)) work.add(parent);
       }
     }
   }
 
-  /** Less is asked of these jobs, at most: they go by what is left of those that need them. */
-  private eased(from: Iterable<string>): void {
+  /** Perhaps less is asked of these jobs: they go by what is left of those that need them. */
+  private propagateLooser(from: Iterable<string>): void {
     const work = new Set(from);
     for (const id of work) {
       work.delete(id);
@@ -171,21 +196,22 @@
 
   private recompute(node: Node): boolean {
     let rank = node.ownRank;
-    let inner: Instant | null = null;
+    let deadline: Instant | null = null;
     for (const child of this.children.get(node.id) ?? []) {
       // nothing is asked beyond what was: one of many children doesn't make us look at all
-      if (rank === node.rank && inner === node.inner) break;
+      if (rank === node.rank && deadline === node.inheritedDeadline) break;
       this.visits++;
       rank = Math.max(rank, child.rank);
-      inner = earlier(inner, startBy(child));
+      deadline = earlierOf(deadline, latestStart(child));
     }
-    return this.set(node, rank, inner);
+    return this.inherit(node, rank, deadline);
   }
 
-  private set(node: Node, rank: number, inner: Instant | null): boolean {
-    if (rank === node.rank && inner === node.inner) return false;
+  /** Whether the values changed. */
+  private inherit(node: Node, rank: number, deadline: Instant | null): boolean {
+    if (rank === node.rank && deadline === node.inheritedDeadline) return false;
     node.rank = rank;
-    node.inner = inner;
+    node.inheritedDeadline = deadline;
     this.changed.add(node.id);
     return true;
   }
--- a/src/core/jobs/job-intake.ts
+++ b/src/core/jobs/job-intake.ts
@@ -1,4 +1,4 @@
-/** Takes in what the leader hears of jobs: beginnings, releases, stored finishes and ends. */
+/** Takes in what the state service says of jobs: submissions, releases, stored finishes and ends. */
 import {
   addJob,
   type Cluster,
@@ -18,54 +18,54 @@
   else markFinished(cluster, job, index, index + 1);
 };
 
-/** The unfinished jobs: released ones are in the cluster, waiting ones only count for the jobs that they need. */
+/** The unfinished jobs: released ones are in the cluster, blocked ones only count for the jobs that they need. */
 export class JobIntake {
-  private readonly pipelines = new DependencyGraph();
-  private readonly waitingForOthers = new Set<string>();
+  private readonly dependencies = new DependencyGraph();
+  private readonly blocked = new Set<string>();
 
   constructor(private readonly cluster: Cluster) {}
 
-  /** Jobs known to wait for others. */
-  get awaiting(): ReadonlySet<string> {
-    return this.waitingForOthers;
+  /** Jobs known to depend on unfinished ones. */
+  get blockedJobs(): ReadonlySet<string> {
+    return this.blocked;
   }
 
   /** A released job; null if it was known already. Its waiting record may be heard of before or after this (S12). */
   released(spec: JobSpec, revision: number, accepted: Instant, released: Instant): Job | null {
     if (this.cluster.jobs.has(spec.id)) return null;
     const job = addJob(this.cluster, spec, revision, accepted, released);
-    this.waitingForOthers.delete(spec.id);
-    this.pipelines.add(spec, accepted);
-    job.rank = this.pipelines.rank(spec.id) ?? job.rank;
-    job.deadlineAt = this.pipelines.due(spec.id);
-    this.passOn();
+    this.blocked.delete(spec.id);
+    this.dependencies.add(spec, accepted);
+    job.rank = this.dependencies.rank(spec.id) ?? job.rank;
+    job.deadlineAt = this.dependencies.due(spec.id);
+    this.updateInherited();
     for (const [index, attempts] of job.attempts)
       if (attempts.some((attempt) => attempt.exitReason === "done")) finishTask(this.cluster, job, index);
     return job;
   }
 
-  /** A job that waits for others: it is not started, and counts only for the jobs that it needs. */
+  /** A job that depends on others: it is not started, and counts only for the jobs that it needs. */
   waiting(spec: JobSpec, accepted: Instant): void {
     if (this.cluster.jobs.has(spec.id)) return;
-    this.waitingForOthers.add(spec.id);
-    this.pipelines.add(spec, accepted);
-    this.passOn();
+    this.blocked.add(spec.id);
+    this.dependencies.add(spec, accepted);
+    this.updateInherited();
   }
 
-  /** A job waits no longer: it was released or cancelled. */
+  /** A job is blocked no longer: it was released or cancelled. */
   waitingOver(id: string): void {
-    if (!this.waitingForOthers.delete(id)) return;
-    this.pipelines.remove(id);
-    this.passOn();
+    if (!this.blocked.delete(id)) return;
+    this.dependencies.remove(id);
+    this.updateInherited();
   }
 
   /** The job has its commit. */
   over(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (job !== undefined) removeJob(this.cluster, job);
-    this.waitingForOthers.delete(id);
-    this.pipelines.remove(id);
-    this.passOn();
+    this.blocked.delete(id);
+    this.dependencies.remove(id);
+    this.updateInherited();
   }
 
   /** Finishes that are in the state service (S7): workers may forget these tasks. */
@@ -88,7 +88,7 @@
     scheduleReconciliation(this.cluster, job, index);
   }
 
-  /** The commit could not be made: it is decided on again. */
+  /** The commit record could not be created (S7): it is decided on again. */
   commitFailed(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (job === undefined) return;
@@ -97,16 +97,16 @@
   }
 
   /** Gives released jobs the rank and the deadline that they inherit from the jobs that need them. */
-  private passOn(): void {
-    for (const id of this.pipelines.takeChanged()) {
+  private updateInherited(): void {
+    for (const id of this.dependencies.takeChanged()) {
       const job = this.cluster.jobs.get(id);
-      const rank = this.pipelines.rank(id);
+      const rank = this.dependencies.rank(id);
       if (job === undefined || rank === null) continue;
-      const due = this.pipelines.due(id);
-      if (job.rank === rank && job.deadlineAt === due) continue;
+      const deadline = this.dependencies.due(id);
+      if (job.rank === rank && job.deadlineAt === deadline) continue;
       job.rank = rank;
-      job.deadlineAt = due;
-      // the queue's order changes, and what may be stopped for whom
+      job.deadlineAt = deadline;
+      // the queue is sorted anew, and what may be preempted for whom changes
       this.cluster.capacityVersion++;
     }
   }
--- a/src/core/jobs/progress.ts
+++ b/src/core/jobs/progress.ts
@@ -1,25 +1,37 @@
-/** Which jobs' progress changed since when, so that members are told changes alone. */
+/** Which jobs' progress changed since when, so that members are told of changes alone. */
 
-const MAX_LOG = 4000;
+/** Changes that are remembered; half of them are dropped at a time. */
+const MAX_CHANGES = 4000;
 
+interface Change {
+  readonly version: number;
+  readonly job: string;
+}
+
+/** The latest changes of jobs' progress, numbered. */
 export class ProgressLog {
+  /** The number of the latest change. */
   version = 0;
-  private log: { version: number; job: string }[] = [];
+  private readonly changes: Change[] = [];
 
+  /** A job's progress changed; several changes in a row of one job count as one. */
   changed(job: string): void {
     this.version++;
-    if (this.log.at(-1)?.job === job) this.log.pop();
-    this.log.push({ version: this.version, job });
-    if (this.log.length > MAX_LOG) this.log.splice(0, MAX_LOG / 2);
+    if (this.changes.at(-1)?.job === job) this.changes.pop();
+    this.changes.push({ version: this.version, job });
+    if (this.changes.length > MAX_CHANGES) this.changes.splice(0, MAX_CHANGES / 2);
   }
 
-  /** Jobs changed after `version`; null: too long ago, or never told: tell everything. */
+  /** Jobs changed after `version`, the latest first; null: that is too long ago, or below 0, so all must be told. */
   since(version: number): Set<string> | null {
-    const first = this.log[0];
+    const first = this.changes[0];
     if (version < 0 || (first !== undefined && version < first.version - 1)) return null;
-    const out = new Set<string>();
-    for (let i = this.log.length - 1; i >= 0 && this.log[i]!.version > version; i--)
-      out.add(this.log[i]!.job);
-    return out;
+    const jobs = new Set<string>();
+    for (let index = this.changes.length - 1; index >= 0; index--) {
+      const change = this.changes[index];
+      if (change === undefined || change.version <= version) break;
+      jobs.add(change.job);
+    }
+    return jobs;
   }
 }
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -91,7 +91,7 @@
 
   /** Jobs known to wait for others. */
   get awaitingJobs(): ReadonlySet<string> {
-    return this.jobs.awaiting;
+    return this.jobs.blockedJobs;
   }
 
   /** The same leader goes on under a higher token: what it knows stays true. */
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { type Instant, hasElapsed } from "../core/time.js";
-import { Waiters } from "../core/jobs/fanin.js";
+import { BlockedJobs } from "../core/jobs/fanin.js";
 import { type FaninRecord, type JobSpec, keys, type MachineType } from "../core/records.js";
 import { instantOf, now } from "../io/clock.js";
 import { acceptedOf, readFanin, readJob, releasedOf, type Row, typesOf, type WireType } from "../io/codec.js";
@@ -39,7 +39,7 @@
   /** Jobs that wait for others, and the fan-in sets of these and of those released since. */
   readonly waiting = new Map<string, BlockedJob>();
   readonly fanins = new Map<string, Fanin>();
-  readonly waiters = new Waiters();
+  readonly waiters = new BlockedJobs();
   /** Jobs whose end was seen: a late answer that still has their record must not bring them back. */
   private readonly over = new Set<string>();
   types: readonly MachineType[] = [];
--- a/test/model-pipelines.ts
+++ b/test/model-pipelines.ts
@@ -3,7 +3,7 @@
  * knows of them, users who submit, ask and call off through any node, and the leader who looks after what waits. It
  * does what front, status, releases and mirror do, over a state service that answers late or not at all.
  */
-import { faninStep, type ParentState, Waiters } from "../src/core/jobs/fanin.js";
+import { faninStep, type ParentState, BlockedJobs } from "../src/core/jobs/fanin.js";
 import type { JobSpec, Outcome } from "../src/core/records.js";
 import { CloseLooks, UnansweredQuestions } from "./model/users-questions.js";
 import { MixedVersions, type Version } from "./model/versions.js";
@@ -34,7 +34,7 @@
   readonly jobs = new Map<string, Row>();
   readonly waiting = new Map<string, Row>();
   readonly fanins = new Map<string, Fanin>();
-  readonly waiters = new Waiters();
+  readonly waiters = new BlockedJobs();
   /** Outcomes that were read: they never change. */
   readonly finals = new Map<string, Outcome>();
   private readonly over = new Set<string>();
