--- a/src/core/autoscaling/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -18,6 +18,7 @@
 export class AutoscalerDecisions {
   private readonly eviction: GracefulEviction;
 
+  /** `queue`: says which jobs wait, and in which order they are served. */
   constructor(
     private readonly scope: SchedulerContext,
     private readonly autoscaler: Autoscaler,
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -39,6 +39,7 @@
   private readonly catalog = new OfferCatalog();
   private readonly forecast: ArrivalForecast;
 
+  /** `options`: the operator's settings, fixed while the process runs. */
   constructor(private readonly options: FleetOptions) {
     this.forecast = new ArrivalForecast(options.warmFor);
   }
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -21,6 +21,7 @@
 export class ScaleIn {
   private readonly silence: SilenceRules;
 
+  /** `leaseExpiry`: says when a member's last update arrived. */
   constructor(
     private readonly scope: SchedulerContext,
     leaseExpiry: LeaseExpiry,
--- a/src/core/autoscaling/silence-rules.ts
+++ b/src/core/autoscaling/silence-rules.ts
@@ -42,6 +42,7 @@
   /** How long a machine is silent before it is given up while it may be behind a cut. */
   private readonly cutSilence: Duration.Duration;
 
+  /** `leaseExpiry`: says when a member's last update arrived. */
   constructor(
     private readonly scope: SchedulerContext,
     private readonly leaseExpiry: LeaseExpiry,
--- a/src/core/placement/gang-placer.ts
+++ b/src/core/placement/gang-placer.ts
@@ -20,6 +20,7 @@
 
 /** Places gangs. */
 export class GangPlacer {
+  /** `starter`: the one that numbers all of the leader's attempts. */
   constructor(
     private readonly scope: SchedulerContext,
     private readonly starter: TaskStarter,
--- a/src/core/placement/placement-round.ts
+++ b/src/core/placement/placement-round.ts
@@ -23,6 +23,7 @@
   /** Jobs for which a search found nothing to preempt in this step. */
   private readonly unpreemptable: Job[] = [];
 
+  /** `notes`: lines for the log are added to it; `mostStarts`: a bound beside that of a step. */
   constructor(
     readonly now: Instant,
     readonly pendingCommands: PendingCommands,
