--- a/src/io/call.ts
+++ b/src/io/call.ts
@@ -4,17 +4,19 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 
+/** An answer, whatever its status. */
 export interface Reply {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** `sent`: the request may have reached the other side, and may be carried out, now or later. */
+/** No answer came. `sent`: the request may have reached the other side, and may be carried out, now or later. */
 export class CallFailed extends Data.TaggedError("CallFailed")<{
   readonly sent: boolean;
   readonly why: string;
 }> {}
 
+/** A request. `type` is that of the body, JSON unless it says otherwise. */
 export interface Call {
   readonly addr: string;
   readonly method: "GET" | "POST" | "DELETE";
@@ -24,6 +26,7 @@
   readonly timeout: Duration.Duration;
 }
 
+/** Connections that are kept between calls: so many to each address, the last used first. */
 export const makeAgent = (sockets: number): http.Agent =>
   new http.Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets, scheduling: "lifo" });
 
@@ -40,7 +43,11 @@
 
 const MAX_REPLY = 64 * 1024 * 1024;
 
-export const call = (agent: http.Agent, c: Call): Effect.Effect<Reply, CallFailed> =>
+/**
+ * Makes a request. Interrupting it ends it. It may be held up in this process for long, so a request that wasn't sent by
+ * its timeout is never sent.
+ */
+export const call = (agent: http.Agent, request: Call): Effect.Effect<Reply, CallFailed> =>
   Effect.async<Reply, CallFailed>((resume) => {
     let sent = false;
     let over = false;
@@ -52,42 +59,42 @@
     };
     const fail = (why: string): void => finish(Effect.fail(new CallFailed({ sent, why })));
     const headers: http.OutgoingHttpHeaders = {};
-    if (c.body !== undefined) {
-      headers["content-type"] = c.type ?? "application/json";
-      headers["content-length"] = Buffer.byteLength(c.body);
+    if (request.body !== undefined) {
+      headers["content-type"] = request.type ?? "application/json";
+      headers["content-length"] = Buffer.byteLength(request.body);
     }
-    const request = http.request({
+    const outgoing = http.request({
       agent,
-      ...endpoint(c.addr),
-      method: c.method,
-      path: c.path,
+      ...endpoint(request.addr),
+      method: request.method,
+      path: request.path,
       headers,
     });
     const timer = setTimeout(() => {
       // after a stall of this process the connection may stand by now: what is this old must not go out on it any more
       if (!sent) {
         fail("timeout");
-        request.destroy();
+        outgoing.destroy();
         return;
       }
       // the answer, too, may be there already, unread: it is read first
       setImmediate(() => {
         fail("timeout");
-        request.destroy();
+        outgoing.destroy();
       });
-    }, Duration.toMillis(c.timeout));
-    request.on("socket", (socket) => {
+    }, Duration.toMillis(request.timeout));
+    outgoing.on("socket", (socket) => {
       // a connection that was given up before it stood does not complete later
       if (!socket.connecting) sent = true;
       else socket.once("connect", () => (sent = true));
     });
-    request.on("error", (error) => fail(error.message));
-    request.on("response", (response) => {
+    outgoing.on("error", (error) => fail(error.message));
+    outgoing.on("response", (response) => {
       const chunks: Buffer[] = [];
       let size = 0;
       response.on("data", (chunk: Buffer) => {
         size += chunk.length;
-        if (size > MAX_REPLY) request.destroy(new Error("reply too large"));
+        if (size > MAX_REPLY) outgoing.destroy(new Error("reply too large"));
         else chunks.push(chunk);
       });
       response.on("error", (error) => fail(error.message));
@@ -96,11 +103,11 @@
         finish(Effect.succeed({ status: response.statusCode ?? 0, body: Buffer.concat(chunks) })),
       );
     });
-    request.end(c.body);
+    outgoing.end(request.body);
     return Effect.sync(() => {
       over = true;
       clearTimeout(timer);
-      request.destroy();
+      outgoing.destroy();
     });
   });
 
--- a/src/io/clock.ts
+++ b/src/io/clock.ts
@@ -2,6 +2,7 @@
 import { performance } from "node:perf_hooks";
 import { type Instant, instant } from "../core/time.js";
 
+/** The present on the steady clock of this process. */
 export const now = (): Instant => instant(performance.now());
 
 /** When something happened that another node's time of day tells: about, as the nodes' times of day differ a little. */
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -19,26 +19,28 @@
   type WireType,
 } from "./codec.js";
 
+/** A request that failed. `sent`: the cloud may have carried it out, or may yet. */
 export class CloudFailed extends Data.TaggedError("CloudFailed")<{
   readonly sent: boolean;
   readonly why: string;
 }> {}
 
+/** Every method waits until this node's share of the cloud's rate admits it. */
 export class CloudClient {
   private readonly agent = makeAgent(6);
-  private readonly budget: RateLimiter;
+  private readonly rateLimiter: RateLimiter;
 
   constructor(
     private readonly addr: string,
     rps: number,
   ) {
-    // the leader makes nearly all calls; a little is left for the others' start
-    this.budget = new RateLimiter(rps * 0.8, Math.max(1, rps));
+    // the leader makes nearly all calls; a little is left for nodes that start
+    this.rateLimiter = new RateLimiter(rps * 0.8, Math.max(1, rps));
   }
 
   private send(method: "GET" | "POST", path: string, body?: string): Effect.Effect<Reply, CloudFailed> {
     const admit: Effect.Effect<void> = Effect.suspend(() => {
-      const wait = this.budget.take(now());
+      const wait = this.rateLimiter.take(now());
       return Duration.toMillis(wait) === 0 ? Effect.void : Effect.zipRight(Effect.sleep(wait), admit);
     });
     return Effect.zipRight(
@@ -51,15 +53,16 @@
         ...(body === undefined ? {} : { body }),
       }),
     ).pipe(
-      Effect.mapError((e) => new CloudFailed({ sent: e.sent, why: e.why })),
+      Effect.mapError((failed) => new CloudFailed({ sent: failed.sent, why: failed.why })),
       Effect.tap((reply) =>
         Effect.sync(() => {
-          if (reply.status === 429) this.budget.refused(now(), Duration.seconds(1));
+          if (reply.status === 429) this.rateLimiter.refused(now(), Duration.seconds(1));
         }),
       ),
     );
   }
 
+  /** The machine types with their present prices. */
   types(): Effect.Effect<WireType[], CloudFailed> {
     return Effect.flatMap(this.send("GET", typesPath), (reply) => {
       const rows = reply.status === 200 ? wireTypes(json(reply)) : null;
@@ -69,7 +72,10 @@
     });
   }
 
-  /** The machines rented; null: none to be had. Fails when it can't be told whether it was carried out. */
+  /**
+   * Scale-out: the names of the machines rented, up to `count`; null: none to be had. Fails when it can't be told whether
+   * it was carried out; repeating it under the same name is safe.
+   */
   rent(
     name: string,
     type: string,
@@ -87,6 +93,7 @@
     });
   }
 
+  /** Scale-in of 100 machines at most. Once it has succeeded they are gone, with all that ran on them. */
   release(machines: readonly string[]): Effect.Effect<void, CloudFailed> {
     return Effect.flatMap(this.send("POST", releasePath, releaseBody(machines)), (reply) =>
       reply.status === 200
@@ -95,14 +102,16 @@
     );
   }
 
+  /** The whole machine list, as old as the cloud's lag. */
   list(): Effect.Effect<ListedMachine[], CloudFailed> {
     const page = (from: string | null, rows: ListedMachine[]): Effect.Effect<ListedMachine[], CloudFailed> =>
       Effect.flatMap(this.send("GET", listPath(from)), (reply) => {
-        const got = reply.status === 200 ? listedMachines(json(reply)) : null;
-        if (got === null) return Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` }));
-        rows.push(...got.rows);
+        const listed = reply.status === 200 ? listedMachines(json(reply)) : null;
+        if (listed === null)
+          return Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` }));
+        rows.push(...listed.rows);
         const last = rows.at(-1);
-        return got.more && last !== undefined ? page(last.id, rows) : Effect.succeed(rows);
+        return listed.more && last !== undefined ? page(last.id, rows) : Effect.succeed(rows);
       });
     return page(null, []);
   }
--- /dev/null
+++ b/src/io/codec/user-api.ts
@@ -0,0 +1,149 @@
+/** The users' API and the job records, which are submissions as they were accepted. */
+import { Ajv } from "ajv";
+import * as Duration from "effect/Duration";
+import type { FaninRecord, JobSpec, Kind, Priority } from "../../core/records.js";
+import { jobRecordSchema, submissionSchema } from "../schemas.js";
+
+/** A submission as it is on the wire, without the fields that this service doesn't know. */
+export interface WireJob {
+  ref: string;
+  roster: string;
+  crew: string;
+  shape: "array" | "ensemble" | "daemon";
+  urgency: "critical" | "urgent" | "normal" | "idle";
+  chores: number;
+  vcpus: number;
+  gpus?: number | null;
+  mem_gb: number;
+  bundle: string;
+  image_gb: number;
+  builds?: string[] | null;
+  district?: string | null;
+  together?: boolean | null;
+  apart?: boolean | null;
+  loaners?: boolean | null;
+  expected_s?: number | null;
+  bookmark_s?: number | null;
+  stash_s?: number | null;
+  due_s?: number | null;
+  awaits?: string[] | null;
+}
+
+const KINDS: Record<WireJob["shape"], Kind> = { array: "array", ensemble: "gang", daemon: "service" };
+const PRIORITIES: Record<WireJob["urgency"], Priority> = {
+  critical: "production",
+  urgent: "high",
+  normal: "normal",
+  idle: "low",
+};
+
+const ajv = new Ajv({ strict: false });
+const checkJob = ajv.compile<WireJob>(submissionSchema);
+const checkRecord = ajv.compile<WireJob>(jobRecordSchema);
+
+/** The submission, with what the core calls its fields; or one line that says what is wrong with it. */
+export const parseSubmission = (body: string): { wire: WireJob; spec: JobSpec } | string => {
+  let value: unknown;
+  try {
+    value = JSON.parse(body);
+  } catch {
+    return "not JSON";
+  }
+  if (typeof value !== "object" || value === null || Array.isArray(value)) return "not an object";
+  if (!checkJob(value)) {
+    const first = checkJob.errors?.[0];
+    return `${first?.instancePath.slice(1) || "the body"} ${first?.message ?? "is not valid"}`;
+  }
+  // only what we know is kept
+  const wire = Object.fromEntries(
+    Object.keys(submissionSchema.properties)
+      .filter((name) => (value as unknown as Record<string, unknown>)[name] != null)
+      .map((name) => [name, (value as unknown as Record<string, unknown>)[name]]),
+  ) as unknown as WireJob;
+  if (wire.awaits != null) {
+    if (wire.awaits.includes(wire.ref)) return "awaits names the job itself";
+    if (wire.awaits.length === 0) delete wire.awaits;
+    else wire.awaits = [...new Set(wire.awaits)];
+  }
+  return { wire, spec: specOf(wire) };
+};
+
+/** What the core knows of a job. Its record in the state service is the submission as it was accepted. */
+export const specOf = (wire: WireJob): JobSpec => ({
+  id: wire.ref,
+  className: wire.roster,
+  team: wire.crew,
+  kind: KINDS[wire.shape],
+  priority: PRIORITIES[wire.urgency],
+  tasks: wire.chores,
+  cpus: wire.vcpus,
+  gpus: wire.gpus ?? 0,
+  memoryGb: wire.mem_gb,
+  image: wire.bundle,
+  imageGb: wire.image_gb,
+  types: wire.builds ?? null,
+  zone: wire.district ?? null,
+  oneZone: wire.together ?? false,
+  spread: wire.apart ?? false,
+  spot: wire.loaners ?? false,
+  estimate: Duration.seconds(wire.expected_s ?? 0),
+  checkpoint: Duration.seconds(wire.bookmark_s ?? 0),
+  save: Duration.seconds(wire.stash_s ?? 0),
+  deadline: wire.due_s == null ? null : Duration.seconds(wire.due_s),
+  dependsOn: wire.awaits ?? [],
+});
+
+/** What the accepting node writes: with the time of day, so that a failover makes no job young again. */
+export const jobRecord = (wire: WireJob, accepted: Date): object => ({
+  ...wire,
+  accepted_ms: accepted.getTime(),
+});
+
+/** A blocked job's record as it is once its last parent is done: its start latency counts from then. */
+export const releasedRecord = (record: object, released: Date): object => ({
+  ...record,
+  released_ms: released.getTime(),
+});
+
+const dateIn = (record: unknown, field: "accepted_ms" | "released_ms"): Date | null => {
+  const ms = (record as Record<string, unknown>)[field];
+  return Number.isSafeInteger(ms) ? new Date(ms as number) : null;
+};
+
+/** The time of day at which the job of this record was accepted; null in the records of early versions. */
+export const acceptedOf = (record: unknown): Date | null => dateIn(record, "accepted_ms");
+/** The time of day at which the last job that it depends on was done; null: it depends on none. */
+export const releasedOf = (record: unknown): Date | null => dateIn(record, "released_ms");
+
+/** A fan-in set as it was read; null: it can't be one. */
+export const readFanin = (value: unknown): FaninRecord | null => {
+  const { joined, released } = (value ?? {}) as Partial<FaninRecord>;
+  return Array.isArray(joined) && joined.every((parent) => typeof parent === "string")
+    ? { joined, released: released === true }
+    : null;
+};
+
+/** A job record as it was read; null: it can't be what was accepted under this id. */
+export const readJob = (id: string, value: unknown): JobSpec | null =>
+  typeof value === "object" && value !== null && checkRecord(value) && value.ref === id
+    ? specOf(value)
+    : null;
+
+/** What a user is told of a job. */
+export type UserState = "queued" | "running" | "done" | "cancelled";
+const USER_STATES: Record<UserState, string> = {
+  queued: "queued",
+  running: "running",
+  done: "done",
+  cancelled: "aborted",
+};
+
+/** Answer to a submission and to a cancel. */
+export const jobAnswer = (id: string, state: UserState): string =>
+  JSON.stringify({ ref: id, status: USER_STATES[state] });
+/** Answer to the question for a job's status; `done` and `running` count tasks. */
+export const pollAnswer = (id: string, state: UserState, done: number, running: number): string =>
+  JSON.stringify({ ref: id, status: USER_STATES[state], done, running });
+
+/** Paths of the API for users and workers. */
+export const paths = { runs: "/v2/runs", cancel: "cancel", up: "/up", beat: "/agent/beat" } as const;
--- /dev/null
+++ b/src/io/codec/workers.ts
@@ -0,0 +1,109 @@
+/** Heartbeats of workers and the commands that they are sent. */
+import type { Command, ExitReason, Heartbeat, TaskState, TaskStatus } from "../../core/records.js";
+import { taskName } from "../../core/records.js";
+import { isEndpoint } from "./endpoint.js";
+
+interface WireTaskStatus {
+  chore: string;
+  try: number;
+  status: string;
+  cause?: string | null;
+}
+
+interface WireHeartbeat {
+  hearth: string;
+  endpoint: string;
+  build: string;
+  district: string;
+  loaners?: boolean | null;
+  shift: number;
+  tally: number;
+  baton: number;
+  recall_s?: number | null;
+  chores?: WireTaskStatus[] | null;
+}
+
+const TASK_STATES: Record<string, TaskState> = {
+  fetching: "fetching",
+  gathering: "waiting",
+  running: "running",
+  flushing: "saving",
+  ended: "exited",
+};
+const EXIT_REASONS: Record<string, ExitReason> = {
+  done: "done",
+  stopped: "stopped",
+  peers: "peers",
+  alone: "alone",
+  error: "error",
+  full: "no_room",
+  in_use: "busy",
+  no_such: "unknown",
+};
+
+const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
+
+const parseTaskStatus = (value: unknown): TaskStatus | null => {
+  const task = value as WireTaskStatus | null;
+  if (typeof task !== "object" || task === null || typeof task.chore !== "string") return null;
+  const slash = task.chore.lastIndexOf("/");
+  const index = Number(task.chore.slice(slash + 1));
+  const state = typeof task.status === "string" ? TASK_STATES[task.status] : undefined;
+  if (slash < 1 || state === undefined || !isCount(index) || !isCount(task.try)) return null;
+  const exitReason = task.cause == null ? null : (EXIT_REASONS[task.cause] ?? "error");
+  return { job: task.chore.slice(0, slash), index, attempt: task.try, state, exitReason };
+};
+
+/** A heartbeat, as workers send it and answer commands with it; null: it isn't one. Whatever comes, nothing is thrown. */
+export const parseHeartbeat = (value: unknown): Heartbeat | null => {
+  const wire = value as WireHeartbeat | null | undefined;
+  if (typeof wire !== "object" || wire === null) return null;
+  if (typeof wire.hearth !== "string" || wire.hearth === "" || wire.hearth.length > 100) return null;
+  if (!isEndpoint(wire.endpoint) || typeof wire.build !== "string" || typeof wire.district !== "string")
+    return null;
+  if (!isCount(wire.shift) || !isCount(wire.tally) || !isCount(wire.baton ?? 0)) return null;
+  if (wire.chores != null && !Array.isArray(wire.chores)) return null;
+  const tasks: TaskStatus[] = [];
+  for (const chore of wire.chores ?? []) {
+    const task = parseTaskStatus(chore);
+    if (task === null) return null;
+    tasks.push(task);
+  }
+  return {
+    machine: wire.hearth,
+    addr: wire.endpoint,
+    type: wire.build,
+    zone: wire.district,
+    spot: wire.loaners === true,
+    workerEpoch: wire.shift,
+    sequence: wire.tally,
+    fencingToken: wire.baton ?? 0,
+    reclaimNoticeSeconds: typeof wire.recall_s === "number" ? wire.recall_s : null,
+    tasks,
+  };
+};
+
+const VERBS = { start: "start", stop: "halt", forget: "reap" } as const;
+const wireCommand = (command: Command) => ({
+  verb: VERBS[command.op],
+  chore: taskName(command.job, command.index),
+  try: command.attempt,
+  ...(command.op === "stop" ? { leeway_s: command.gracePeriodSeconds } : {}),
+});
+
+/** Answer to a heartbeat (200). The worker drops it if it has seen a higher fencing token. */
+export const heartbeatAnswer = (fencingToken: number, commands: readonly Command[]): string =>
+  JSON.stringify({ baton: fencingToken, orders: commands.map(wireCommand) });
+
+/** Answer to a heartbeat (421) that another member takes; null: which one isn't known. */
+export const redirectAnswer = (member: string | null): string =>
+  JSON.stringify(member === null ? {} : { foreman: member });
+
+/** Where a worker takes commands that don't come with the answer to its heartbeat. */
+export const commandsPath = "/orders";
+/** Commands that a worker executes only in this epoch and while it has seen no higher fencing token. */
+export const commandsBody = (
+  fencingToken: number,
+  workerEpoch: number,
+  commands: readonly Command[],
+): string => JSON.stringify({ baton: fencingToken, shift: workerEpoch, orders: commands.map(wireCommand) });
--- a/src/io/server.ts
+++ b/src/io/server.ts
@@ -1,36 +1,36 @@
-/** What the front and the peers' server share. */
+/** What the servers for users, peers and operators share. */
 import type http from "node:http";
 import * as Effect from "effect/Effect";
 
-/** The whole body, or null when it is larger than `most`. A connection that breaks calls nothing. */
+/** The whole body, or null when it is larger than `maxBytes`. A connection that breaks calls nothing. */
 export const readBody = (
   request: http.IncomingMessage,
-  most: number,
+  maxBytes: number,
   then: (body: Buffer | null) => void,
 ): void => {
   const chunks: Buffer[] = [];
   let size = 0;
   request.on("data", (chunk: Buffer) => {
     size += chunk.length;
-    if (size <= most) chunks.push(chunk);
+    if (size <= maxBytes) chunks.push(chunk);
     else chunks.length = 0;
   });
-  request.on("end", () => then(size > most ? null : Buffer.concat(chunks)));
+  request.on("end", () => then(size > maxBytes ? null : Buffer.concat(chunks)));
   request.on("error", () => undefined);
 };
 
-/** Listens at an address; the server, so that whoever started it can close it. */
+/** Listens at an address, with so many connections at most; gives the server, so that whoever started it can close it. */
 export const listen = (
   server: http.Server,
   bind: string,
-  connections: number,
+  maxConnections: number,
 ): Effect.Effect<http.Server, Error> =>
   Effect.async((resume: (result: Effect.Effect<http.Server, Error>) => void) => {
     const colon = bind.lastIndexOf(":");
     server.keepAliveTimeout = 75_000;
     server.headersTimeout = 80_000;
     server.requestTimeout = 20_000;
-    server.maxConnections = connections;
+    server.maxConnections = maxConnections;
     server.on("clientError", (_error, socket) => socket.destroy());
     server.once("error", (error) => resume(Effect.fail(error)));
     server.listen({ host: bind.slice(0, colon), port: Number(bind.slice(colon + 1)), backlog: 511 }, () =>
--- a/src/io/state-client.ts
+++ b/src/io/state-client.ts
@@ -229,7 +229,7 @@
     return this.send({ method: "POST", path: wire.grants, body: wire.grantBody(ttl) }, "first").pipe(
       Effect.flatMap((reply) =>
         reply.status === 200
-          ? Effect.succeed(wire.permitOf(json(reply)))
+          ? Effect.succeed(wire.leaseIdOf(json(reply)))
           : Effect.fail(new Unavailable({ why: `status ${reply.status}` })),
       ),
     );
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -1,85 +1,96 @@
-/** Commands sent straight to a worker. */
+/** Commands sent straight to a worker, over few connections: most go with the answers to heartbeats. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Command, Heartbeat } from "../core/records.js";
 import type { CommandOutcome } from "../core/scheduler/scheduler.js";
-import { call, closeFree, json, makeAgent } from "./call.js";
+import { call, closeFree, json, makeAgent, type Reply } from "./call.js";
 import { commandsBody, commandsPath, parseHeartbeat } from "./codec.js";
 
 const TIMEOUT = Duration.seconds(2);
 /** A question without commands may be asked again, so it needn't wait long. */
 const QUESTION_TIMEOUT = Duration.seconds(1);
 
-/** How many calls may be open for each place. */
-const WAITING = 4;
+/** How many calls may be under way or queued for each that may be under way. */
+const QUEUED_PER_CALL = 4;
 
+/** A batch of commands for one worker, and what has to hold for the worker to execute it. */
+export interface WorkerCommands {
+  readonly addr: string;
+  readonly fencingToken: number;
+  readonly workerEpoch: number;
+  /** None: only the worker's heartbeat is wanted. */
+  readonly commands: readonly Command[];
+  /** Asked when the call is about to be made: whether this node may still act. */
+  readonly maySend: () => boolean;
+}
+
+/** What became of a batch, and the heartbeat that the worker answered with. */
+export interface WorkerAnswer {
+  readonly outcome: CommandOutcome;
+  readonly report: Heartbeat | null;
+}
+
+/** Calls to workers, which may hang: only so many at a time, each with a short timeout. */
 export class WorkerClient {
   private readonly agent = makeAgent(1);
   /** Calls under way: their time runs only once they are, so machines that hang don't hold up the others for long. */
-  private readonly places: Effect.Semaphore;
-  /** Calls under way or waiting for their turn. */
-  private open = 0;
+  private readonly callPermits: Effect.Semaphore;
+  /** Calls under way or queued. */
+  private openCalls = 0;
   /** Workers to which a connection is kept, the longest unused first. */
-  private readonly kept = new Set<string>();
+  private readonly keptConnections = new Set<string>();
 
-  /** `calls` at a time; `keep`: how many connections may be kept right now. */
+  /** `calls` at a time; `maxKept`: how many idle connections may be kept right now. */
   constructor(
     private readonly calls: number,
-    private readonly keep: () => number,
+    private readonly maxKept: () => number,
   ) {
-    this.places = Effect.unsafeMakeSemaphore(calls);
+    this.callPermits = Effect.unsafeMakeSemaphore(calls);
   }
 
-  /** Whether more would have their turn in time: what waits costs memory, and is old when it is sent. */
+  /** Whether more would be sent in time: what is queued costs memory, and is old when it is sent. */
   hasRoom(): boolean {
-    return this.open < this.calls * WAITING;
+    return this.openCalls < this.calls * QUEUED_PER_CALL;
   }
 
-  /** The connections unused for longest make room. */
-  private use(addr: string): void {
-    this.kept.delete(addr);
-    this.kept.add(addr);
-    const most = Math.max(1, this.keep());
-    for (const oldest of this.kept) {
-      if (this.kept.size <= most) return;
-      this.kept.delete(oldest);
+  /** Marks the connection as used last, and closes those unused for longest beyond what may be kept. */
+  private keepConnection(addr: string): void {
+    this.keptConnections.delete(addr);
+    this.keptConnections.add(addr);
+    const most = Math.max(1, this.maxKept());
+    for (const oldest of this.keptConnections) {
+      if (this.keptConnections.size <= most) return;
+      this.keptConnections.delete(oldest);
       closeFree(this.agent, oldest);
     }
   }
 
-  sendCommands(
-    addr: string,
-    token: number,
-    workerEpoch: number,
-    commands: readonly Command[],
-    /** Asked again when its turn comes. */
-    maySend: () => boolean = () => true,
-  ): Effect.Effect<{ outcome: CommandOutcome; report: Heartbeat | null }> {
-    const body = commandsBody(token, workerEpoch, commands);
+  /** Sends a batch. Never fails: the outcome says whether the worker may have executed it. */
+  sendCommands(batch: WorkerCommands): Effect.Effect<WorkerAnswer> {
+    const { addr, commands, maySend } = batch;
+    const body = commandsBody(batch.fencingToken, batch.workerEpoch, commands);
     const timeout = commands.length === 0 ? QUESTION_TIMEOUT : TIMEOUT;
     const ask = Effect.suspend(() => {
       if (!maySend()) return Effect.succeed(null);
-      this.use(addr);
+      this.keepConnection(addr);
       return call(this.agent, { addr, method: "POST", path: commandsPath, body, timeout });
     });
-    this.open++;
-    return this.places
+    this.openCalls++;
+    return this.callPermits
       .withPermits(1)(ask)
       .pipe(
-        Effect.ensuring(Effect.sync(() => this.open--)),
-        Effect.map((reply) => {
-          if (reply === null) return { outcome: "barred" as CommandOutcome, report: null };
-          const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(json(reply)) : null;
-          if (reply.status === 200)
-            return {
-              outcome: (heartbeat === null ? "unknown" : "done") as CommandOutcome,
-              report: heartbeat,
-            };
-          return { outcome: "rejected" as CommandOutcome, report: heartbeat };
-        }),
-        Effect.catchAll((failed) =>
-          Effect.succeed({ outcome: (failed.sent ? "unknown" : "unsent") as CommandOutcome, report: null }),
-        ),
+        Effect.ensuring(Effect.sync(() => this.openCalls--)),
+        Effect.map((reply) => (reply === null ? withoutHeartbeat("barred") : answerOf(reply))),
+        Effect.catchAll((failed) => Effect.succeed(withoutHeartbeat(failed.sent ? "unknown" : "unsent"))),
       );
   }
 }
+
+const withoutHeartbeat = (outcome: CommandOutcome): WorkerAnswer => ({ outcome, report: null });
+
+/** 200: executed; 409: not executed, for the fencing token or the epoch. Both come with the worker's heartbeat. */
+const answerOf = (reply: Reply): WorkerAnswer => {
+  const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(json(reply)) : null;
+  if (reply.status !== 200) return { outcome: "rejected", report: heartbeat };
+  return { outcome: heartbeat === null ? "unknown" : "done", report: heartbeat };
+};
--- a/src/service/members/member.ts
+++ b/src/service/members/member.ts
@@ -143,7 +143,7 @@
     // a queue may have held it up: what isn't allowed any more isn't sent
     const send = Effect.suspend(() =>
       may()
-        ? this.workers.sendCommands(batch.addr, batch.fencingToken, batch.workerEpoch, batch.commands, may)
+        ? this.workers.sendCommands({ ...batch, maySend: may })
         : Effect.succeed({ outcome: "barred" as const, report: null }),
     );
     return Effect.map(send, ({ outcome, report: heartbeat }) => {
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -41,7 +41,10 @@
   private reachesAny(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
     if (workers.length === 0) return Effect.succeed(true);
     const asked = workers.map(({ addr, session: workerEpoch, token }) =>
-      this.workers.sendCommands(addr, token, workerEpoch, [], () => this.membership.mayAct()),
+      this.workers.sendCommands({
+        ...{ addr, fencingToken: token, workerEpoch, commands: [] },
+        maySend: () => this.membership.mayAct(),
+      }),
     );
     return Effect.map(Effect.all(asked, { concurrency: "unbounded" }), (answers) =>
       answers.some(({ outcome }) => outcome === "done" || outcome === "rejected"),
