--- /dev/null
+++ b/src/service/api/dependent-submissions.ts
@@ -0,0 +1,212 @@
+/**
+ * Submissions of jobs that depend on others. A job's record and its fan-in set are written in one transaction that rests
+ * on its parents as they were read. With more parents than a transaction compares, a commit that comes in between is found
+ * by whoever looks after blocked jobs, as after any join that was lost.
+ */
+import * as Effect from "effect/Effect";
+import { type CommitRecord, type FaninRecord, keys, type Outcome } from "../../core/records.js";
+import {
+  type Change,
+  type Condition,
+  jobAnswer,
+  jobRecord,
+  releasedRecord,
+  type WireJob,
+} from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
+import { isOverTheRate, type StateClient, type StateError } from "../../io/state-client.js";
+import type { JobCache } from "../job-cache.js";
+import { type Answer, answer, refusal, retryLater } from "./answers.js";
+import type { JobStatusReader } from "./job-status.js";
+import type { QuestionFailed, StatusQuestions } from "./status-questions.js";
+import {
+  cannotBeStored,
+  isNew,
+  isTooLarge,
+  logAccepted,
+  type SubmissionLimits,
+  TOO_LARGE,
+} from "./accepting-writes.js";
+import { commitForUser } from "./user-writes.js";
+
+/** Parents may be released or end while their child is accepted: it is tried again with what was read anew. */
+const MAX_TRIES = 4;
+/** Parents read at a time. */
+const PARENT_READS = 4;
+
+/**
+ * A job that another one depends on: over, or unfinished and as it was read as long as `condition` holds. If it is blocked
+ * itself, that holds no longer than none of its ancestors has one of the commits `ancestorCommits`.
+ */
+type Parent =
+  | { readonly id: string; readonly state: Outcome }
+  | {
+      readonly id: string;
+      readonly state: "open";
+      readonly condition: Condition;
+      readonly ancestorCommits: readonly string[];
+    };
+
+/** What the accepting write makes of the job. */
+type Acceptance =
+  /** It can never be released, since a parent was cancelled. */
+  | { readonly kind: "cancelled"; readonly commit: CommitRecord }
+  /** All parents are done: the accepting write is the filling add. */
+  | { readonly kind: "released"; readonly record: object }
+  | { readonly kind: "blocked"; readonly record: object; readonly fanin: FaninRecord };
+
+/** Handles submissions that have passed all checks and depend on other jobs. */
+export class DependentSubmissionHandler {
+  constructor(
+    private readonly limits: SubmissionLimits,
+    private readonly state: StateClient,
+    private readonly jobCache: JobCache,
+    private readonly reader: JobStatusReader,
+    private readonly questions: StatusQuestions,
+    private readonly log: Log,
+  ) {}
+
+  /** Accepts the job, unless it is known already or depends on one that was never accepted. */
+  accept(wire: WireJob, dependsOn: readonly string[]): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.catchAll(this.tryToAccept(wire, dependsOn), (error) => {
+      const later = retryLater(error.why);
+      // over the rate, the question for its status would only keep the user from coming again
+      if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(later);
+      // a repeat of an accepted job gets its answer also when a parent's record can't be read
+      return this.questions.refuseUnlessAccepted(wire.ref, later);
+    });
+  }
+
+  private tryToAccept(wire: WireJob, dependsOn: readonly string[]): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.gen(this, function* () {
+      const { ref: id } = wire;
+      const record = jobRecord(wire, new Date());
+      if (this.growsTooLarge(record, dependsOn))
+        return yield* this.questions.refuseUnlessAccepted(id, TOO_LARGE);
+      const stale = new Set<string>();
+      for (let tries = 0; tries < MAX_TRIES; tries++) {
+        const found = yield* Effect.forEach(dependsOn, (parent) => this.parent(parent, stale.has(parent)), {
+          concurrency: PARENT_READS,
+        });
+        const parents = found.filter((parent) => parent !== null);
+        if (parents.length < found.length)
+          return yield* this.questions.refuseUnlessAccepted(
+            id,
+            refusal(422, "awaits names a job that was never accepted"),
+          );
+        const acceptance = acceptanceOf(wire, record, parents);
+        const own = isNew(id);
+        const conditions = [...own, ...parentConditions(parents, this.limits.conditions - own.length)];
+        const result = yield* commitForUser(this.state, conditions, changesOf(id, acceptance));
+        if (result.ok === null)
+          return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
+        if (result.ok === true) return this.accepted(wire, acceptance, result.revision);
+        if (result.failed.some((key) => own.some((condition) => condition.key === key)))
+          return yield* this.questions.answerRepeat(id);
+        // some parent was released or ended: what is cached of them is behind
+        for (const parent of dependsOn) stale.add(parent);
+      }
+      return retryLater("not decided");
+    });
+  }
+
+  /** Whether a record of the job would be too large at any time of its life. */
+  private growsTooLarge(record: object, dependsOn: readonly string[]): boolean {
+    const full: FaninRecord = { joined: dependsOn, released: true };
+    return [releasedRecord(record, new Date()), full].some((value) => isTooLarge(value, this.limits));
+  }
+
+  /** A parent as it is now; null: it was never accepted. `stale`: what is cached of it is behind. */
+  private parent(id: string, stale: boolean): Effect.Effect<Parent | null, StateError> {
+    return Effect.gen(this, function* () {
+      const known = this.knownParent(id, stale);
+      if (known !== null) return known;
+      const status = yield* this.reader.read(id);
+      switch (status.kind) {
+        case "absent":
+          return null;
+        case "final":
+          return { id, state: status.commit.outcome };
+        case "open":
+          return status.blocked
+            ? openParent(id, keys.blockedJob(id), status.revision, this.reader.commitsBefore(id) ?? [])
+            : openParent(id, keys.job(id), status.revision, []);
+      }
+    });
+  }
+
+  /** A parent as it is known here without a request; null: it has to be read. */
+  private knownParent(id: string, stale: boolean): Parent | null {
+    const commit = this.reader.outcome(id);
+    if (commit !== undefined) return { id, state: commit.outcome };
+    if (stale) return null;
+    const job = this.jobCache.jobs.get(id);
+    if (job !== undefined) return openParent(id, keys.job(id), job.revision, []);
+    const blocked = this.jobCache.waiting.get(id);
+    const ancestorCommits = blocked === undefined ? null : this.reader.commitsBefore(id);
+    return blocked === undefined || ancestorCommits === null
+      ? null
+      : openParent(id, keys.blockedJob(id), blocked.revision, ancestorCommits);
+  }
+
+  /** After the accepting write: what was written is known here at once. */
+  private accepted(wire: WireJob, acceptance: Acceptance, revision: number): Answer {
+    const { ref: id } = wire;
+    logAccepted(this.log, wire);
+    switch (acceptance.kind) {
+      case "cancelled":
+        this.reader.remember(id, acceptance.commit);
+        this.jobCache.remove(id);
+        return answer(201, jobAnswer(id, "cancelled"));
+      case "released":
+        this.jobCache.put(keys.job(id), acceptance.record, revision);
+        return answer(201, jobAnswer(id, "queued"));
+      case "blocked":
+        this.jobCache.putFanin(id, acceptance.fanin, revision);
+        this.jobCache.putWaiting(keys.blockedJob(id), acceptance.record, revision);
+        return answer(201, jobAnswer(id, "queued"));
+    }
+  }
+}
+
+const openParent = (
+  id: string,
+  key: string,
+  revision: number,
+  ancestorCommits: readonly string[],
+): Parent => ({ id, state: "open", condition: { key, revision }, ancestorCommits });
+
+const acceptanceOf = (wire: WireJob, record: object, parents: readonly Parent[]): Acceptance => {
+  if (parents.some((parent) => parent.state === "cancelled"))
+    return { kind: "cancelled", commit: { outcome: "cancelled", tasks: wire.chores } };
+  if (parents.every((parent) => parent.state === "done"))
+    return { kind: "released", record: releasedRecord(record, new Date()) };
+  const joined = parents.filter((parent) => parent.state === "done").map((parent) => parent.id);
+  return { kind: "blocked", record, fanin: { joined, released: false } };
+};
+
+/** That the open parents are as they were read, as far as one transaction compares. */
+const parentConditions = (parents: readonly Parent[], limit: number): Condition[] => {
+  const open = parents.filter((parent) => parent.state === "open");
+  // an ancestor's cancel counts although it hasn't been passed on to the parent yet
+  const ancestorCommits = new Set(open.flatMap((parent) => parent.ancestorCommits));
+  const all = [
+    ...open.map((parent) => parent.condition),
+    ...[...ancestorCommits].map((key): Condition => ({ key, revision: 0 })),
+  ];
+  return all.slice(0, Math.max(0, limit));
+};
+
+const changesOf = (id: string, acceptance: Acceptance): Change[] => {
+  switch (acceptance.kind) {
+    case "cancelled":
+      return [{ put: keys.commit(id), value: acceptance.commit }];
+    case "released":
+      return [{ put: keys.job(id), value: acceptance.record }];
+    case "blocked":
+      return [
+        { put: keys.blockedJob(id), value: acceptance.record },
+        { put: keys.fanin(id), value: acceptance.fanin },
+      ];
+  }
+};
--- /dev/null
+++ b/src/service/api/status-questions.ts
@@ -0,0 +1,58 @@
+/** What users are told of the jobs that they ask about, submit again, or submit in vain. */
+import * as Effect from "effect/Effect";
+import { jobAnswer, pollAnswer, type UserState } from "../../io/codec.js";
+import type { StateError } from "../../io/state-client.js";
+import { type Answer, answer, refusal, retryLater } from "./answers.js";
+import type { JobStatusReader } from "./job-status.js";
+import type { JobStatus, TooManyQuestions } from "./status-types.js";
+
+/** How many tasks of an unfinished job are done and running. For display: it may lag. */
+export interface TaskCounts {
+  readonly done: number;
+  readonly running: number;
+}
+
+/** Why a question got no answer; the user asks again. */
+export type QuestionFailed = StateError | TooManyQuestions;
+
+type AcceptedStatus = Exclude<JobStatus, { kind: "absent" }>;
+
+/** Answers that rest on a job's status as the state service has it after the request came. */
+export class StatusQuestions {
+  constructor(
+    private readonly reader: JobStatusReader,
+    private readonly taskCounts: (id: string) => TaskCounts,
+  ) {}
+
+  /** The answer to a user's question for a job; 404: it was never accepted. */
+  ask(id: string): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.map(this.reader.statusOf(id), (status) => {
+      if (status.kind === "absent") return refusal(404, "no such run");
+      const { done, running } = this.countsOf(id, status);
+      return answer(200, pollAnswer(id, this.userStateOf(id, status), done, running));
+    });
+  }
+
+  /** The answer to a submission of a job that seems to be known already. */
+  answerRepeat(id: string): Effect.Effect<Answer, QuestionFailed> {
+    return this.refuseUnlessAccepted(id, retryLater("not decided"));
+  }
+
+  /** Refuses a submission. A repeat of an accepted job is never refused: it gets the job's state, whatever it says now. */
+  refuseUnlessAccepted(id: string, refused: Answer): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.map(this.reader.statusOf(id), (status) =>
+      status.kind === "absent" ? refused : answer(200, jobAnswer(id, this.userStateOf(id, status))),
+    );
+  }
+
+  private userStateOf(id: string, status: AcceptedStatus): UserState {
+    if (status.kind === "final") return status.commit.outcome;
+    const { done, running } = this.taskCounts(id);
+    return done > 0 || running > 0 ? "running" : "queued";
+  }
+
+  private countsOf(id: string, status: AcceptedStatus): TaskCounts {
+    if (status.kind === "open") return this.taskCounts(id);
+    return { done: status.commit.outcome === "done" ? status.commit.tasks : 0, running: 0 };
+  }
+}
--- /dev/null
+++ b/src/service/api/submissions.ts
@@ -0,0 +1,66 @@
+/** Submissions: checks, and the write that accepts a job which depends on no other. */
+import * as Effect from "effect/Effect";
+import { unschedulableReason } from "../../core/placement/admission.js";
+import { keys } from "../../core/records.js";
+import { jobAnswer, jobRecord, parseSubmission, type WireJob } from "../../io/codec.js";
+import type { Log } from "../../io/log.js";
+import type { StateClient } from "../../io/state-client.js";
+import type { JobCache } from "../job-cache.js";
+import {
+  cannotBeStored,
+  isNew,
+  isTooLarge,
+  logAccepted,
+  type SubmissionLimits,
+  TOO_LARGE,
+} from "./accepting-writes.js";
+import { type Answer, answer, refusal, retryLater } from "./answers.js";
+import type { DependentSubmissionHandler } from "./dependent-submissions.js";
+import type { QuestionFailed, StatusQuestions } from "./status-questions.js";
+import { commitForUser } from "./user-writes.js";
+
+/** Handles users' submissions, which are repeated until they get a final answer. */
+export class SubmissionHandler {
+  constructor(
+    private readonly limits: SubmissionLimits,
+    private readonly state: StateClient,
+    private readonly jobCache: JobCache,
+    private readonly questions: StatusQuestions,
+    private readonly dependent: DependentSubmissionHandler,
+    private readonly log: Log,
+  ) {}
+
+  /** Accepts a job, tells the state of one that is known, or refuses one that can never run. */
+  submit(body: string): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.gen(this, function* () {
+      const parsed = parseSubmission(body);
+      if (typeof parsed === "string") return refusal(400, parsed);
+      const { wire, spec } = parsed;
+      if (this.jobCache.isUnfinished(spec.id)) return yield* this.questions.answerRepeat(spec.id);
+      if (this.jobCache.types.length === 0) return retryLater("machine types are not known yet");
+      if (isTooLarge(jobRecord(wire, new Date()), this.limits))
+        return yield* this.questions.refuseUnlessAccepted(spec.id, TOO_LARGE);
+      const reason = unschedulableReason(spec, this.limits.teams, this.jobCache.types);
+      if (reason !== null) return yield* this.questions.refuseUnlessAccepted(spec.id, refusal(422, reason));
+      return yield* spec.dependsOn.length === 0
+        ? this.accept(wire)
+        : this.dependent.accept(wire, spec.dependsOn);
+    });
+  }
+
+  /** The accepting write, which also releases the job. */
+  private accept(wire: WireJob): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.gen(this, function* () {
+      const { ref: id } = wire;
+      const record = jobRecord(wire, new Date());
+      const result = yield* commitForUser(this.state, isNew(id), [{ put: keys.job(id), value: record }]);
+      // the state service refuses before it compares: this may be a repeat of an accepted job all the same
+      if (result.ok === null)
+        return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
+      if (result.ok === false) return yield* this.questions.answerRepeat(id);
+      this.jobCache.put(keys.job(id), record, result.revision);
+      logAccepted(this.log, wire);
+      return answer(201, jobAnswer(id, "queued"));
+    });
+  }
+}
