--- a/src/io/codec/user-api.ts
+++ b/src/io/codec/user-api.ts
@@ -41,8 +41,14 @@
 const checkJob = ajv.compile<WireJob>(submissionSchema);
 const checkRecord = ajv.compile<WireJob>(jobRecordSchema);
 
-/** The submission, with what the core calls its fields; or one line that says what is wrong with it. */
-export const parseSubmission = (body: string): { wire: WireJob; spec: JobSpec } | string => {
+/** A submission as it came, of which the job's record is made, and what the core calls its fields. */
+export interface Submission {
+  readonly wire: WireJob;
+  readonly spec: JobSpec;
+}
+
+/** A user's submission; or one line that says what is wrong with it. */
+export const parseSubmission = (body: string): Submission | string => {
   let value: unknown;
   try {
     value = JSON.parse(body);
--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -1,4 +1,4 @@
-/** What controllers say to one another, in Avro. */
+/** Messages between controllers, in Avro. Other versions know the Avro names; they are mapped to those of the code here. */
 import avro from "avsc";
 import type { Command, TermRecord } from "../core/records.js";
 import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/members/member-update.js";
@@ -63,7 +63,7 @@
   graceS: as("gracePeriodSeconds", "double"),
 });
 
-/** A member's news for the leader: what changed since its last one. */
+/** A member's update for the leader: what changed since its last one. */
 export interface SyncRequest {
   readonly termNumber: number;
   readonly member: string;
@@ -78,13 +78,15 @@
   readonly storedFinishes: readonly { job: string; ranges: readonly Range[] }[];
   readonly commandResults: readonly CommandResult[];
 }
+/** How far an unfinished job is, or that it has just ended. */
 export interface JobProgress {
   readonly job: string;
   readonly done: number;
   readonly running: number;
-  /** Its commit record says done. */
+  /** Whether its commit record says done. */
   readonly over: boolean;
 }
+/** The leader's answer to a member's update. */
 export interface SyncResponse {
   readonly termNumber: number;
   /** false: this node doesn't lead that term, or isn't ready yet. */
@@ -94,7 +96,7 @@
   readonly reachesStateService: boolean;
   readonly progress: readonly JobProgress[];
 }
-/** Commands of the leader for many machines, to be delivered by a member; their outcomes come with its next news. */
+/** Commands of the leader for one machine, to be sent by a member while the worker is in this epoch; their outcomes come with its next update. */
 export interface CommandBatch {
   readonly id: number;
   readonly machine: string;
@@ -103,10 +105,12 @@
   readonly fencingToken: number;
   readonly commands: readonly Command[];
 }
+/** Commands for many machines, which may be sent only under this term. */
 export interface CommandDelivery {
   readonly term: TermRecord;
   readonly batches: readonly CommandBatch[];
 }
+/** Whether a member takes a delivery. */
 export interface DeliveryReceipt {
   /** false: this node may not send under that term; nothing was sent. */
   readonly accepted: boolean;
@@ -147,6 +151,7 @@
   };
 };
 
+/** Members' updates. */
 export const syncRequestCodec = codec<SyncRequest>(
   record("Sync", {
     token: as("termNumber", "long"),
@@ -180,6 +185,8 @@
     ),
   }),
 );
+
+/** The leader's answers to updates. */
 export const syncResponseCodec = codec<SyncResponse>(
   record("SyncAnswer", {
     token: as("termNumber", "long"),
@@ -190,6 +197,8 @@
     progress: array(record("Progress", { job: "string", done: "int", running: "int", over: "boolean" })),
   }),
 );
+
+/** Commands on their way to a member. */
 export const commandDeliveryCodec = codec<CommandDelivery>(
   record("Deliver", {
     term: record("Term", {
@@ -213,20 +222,28 @@
     ),
   }),
 );
+
+/** Members' answers to deliveries. */
 export const deliveryReceiptCodec = codec<DeliveryReceipt>(record("Delivered", { accepted: "boolean" }));
 
 /** A node whose renewals fail asks the others whether its term is current. */
 export interface TermConfirmationRequest {
   readonly termNumber: number;
 }
+
+/** Whether the node asked has heard of no newer term. */
 export interface TermConfirmation {
   readonly knowsNoNewerTerm: boolean;
 }
+
+/** Questions whether a term is current. */
 export const termConfirmationRequestCodec = codec<TermConfirmationRequest>(
   record("Word", { token: as("termNumber", "long") }),
 );
+/** Answers to them. */
 export const termConfirmationCodec = codec<TermConfirmation>(
   record("WordAnswer", { noneNewer: as("knowsNoNewerTerm", "boolean") }),
 );
 
+/** Paths of these messages. */
 export const peerPaths = { sync: "/sync", deliver: "/deliver", confirmTerm: "/word" } as const;
--- a/src/io/schemas.ts
+++ b/src/io/schemas.ts
@@ -168,6 +168,8 @@
 
 /** A job record: earlier versions accepted submissions that lack some fields, and those jobs have to run. */
 const LENIENT = ["gpus", "together", "apart", "loaners", "expected_s", "bookmark_s", "stash_s"] as const;
+
+/** A stored job record, which may come from an earlier version. */
 export const jobRecordSchema = object(
   { ...submission, ...Object.fromEntries(LENIENT.map((name) => [name, nullable(submission[name])])) },
   ["builds", "district", "due_s", "awaits", ...LENIENT],
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The command line. Exit codes: 2 for bad settings or options, 1 where a controller can't run. */
 import { readFileSync } from "node:fs";
 import { Command, CommanderError } from "commander";
 import * as Effect from "effect/Effect";
--- a/src/service/api/accepting-writes.ts
+++ b/src/service/api/accepting-writes.ts
@@ -1,6 +1,7 @@
 /** What all writes that accept a job have in common: conditions, limits, refusals and the log. */
-import { keys, type Team } from "../../core/records.js";
-import type { Condition, WireJob } from "../../io/codec.js";
+import * as Duration from "effect/Duration";
+import { type JobSpec, keys, type Team } from "../../core/records.js";
+import type { Condition } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import { type Answer, refusal } from "./answers.js";
 
@@ -28,17 +29,17 @@
 export const cannotBeStored = (error: string): Answer => refusal(400, `can't be stored: ${error}`);
 
 /** One line for each accepted job, for those who count them. */
-export const logAccepted = (log: Log, wire: WireJob): void =>
+export const logAccepted = (log: Log, job: JobSpec): void =>
   log.info(
     {
-      job: wire.ref,
-      class: wire.roster,
-      team: wire.crew,
-      tasks: wire.chores,
-      estimateS: wire.expected_s,
-      image: wire.bundle,
-      imageGb: wire.image_gb,
-      ...(wire.awaits == null ? {} : { dependsOn: wire.awaits.join(" ") }),
+      job: job.id,
+      class: job.className,
+      team: job.team,
+      tasks: job.tasks,
+      estimateS: Duration.toSeconds(job.estimate),
+      image: job.image,
+      imageGb: job.imageGb,
+      ...(job.dependsOn.length === 0 ? {} : { dependsOn: job.dependsOn.join(" ") }),
     },
     "accepted",
   );
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -4,14 +4,14 @@
  * by whoever looks after blocked jobs, as after any join that was lost.
  */
 import * as Effect from "effect/Effect";
-import { type CommitRecord, type FaninRecord, keys, type Outcome } from "../../core/records.js";
+import { type CommitRecord, type FaninRecord, type JobSpec, keys, type Outcome } from "../../core/records.js";
 import {
   type Change,
   type Condition,
   jobAnswer,
   jobRecord,
   releasedRecord,
-  type WireJob,
+  type Submission,
 } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import { isOverTheRate, type StateClient, type StateError } from "../../io/state-client.js";
@@ -67,19 +67,19 @@
   ) {}
 
   /** Accepts the job, unless it is known already or depends on one that was never accepted. */
-  accept(wire: WireJob, dependsOn: readonly string[]): Effect.Effect<Answer, QuestionFailed> {
-    return Effect.catchAll(this.tryToAccept(wire, dependsOn), (error) => {
+  accept(submission: Submission): Effect.Effect<Answer, QuestionFailed> {
+    return Effect.catchAll(this.tryToAccept(submission), (error) => {
       const later = retryLater(error.why);
       // over the rate, the question for its status would only keep the user from coming again
       if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(later);
       // a repeat of an accepted job gets its answer also when a parent's record can't be read
-      return this.questions.refuseUnlessAccepted(wire.ref, later);
+      return this.questions.refuseUnlessAccepted(submission.spec.id, later);
     });
   }
 
-  private tryToAccept(wire: WireJob, dependsOn: readonly string[]): Effect.Effect<Answer, QuestionFailed> {
+  private tryToAccept({ wire, spec }: Submission): Effect.Effect<Answer, QuestionFailed> {
     return Effect.gen(this, function* () {
-      const { ref: id } = wire;
+      const { id, dependsOn } = spec;
       const record = jobRecord(wire, new Date());
       if (this.growsTooLarge(record, dependsOn))
         return yield* this.questions.refuseUnlessAccepted(id, TOO_LARGE);
@@ -94,13 +94,13 @@
             id,
             refusal(422, "awaits names a job that was never accepted"),
           );
-        const acceptance = acceptanceOf(wire, record, parents);
+        const acceptance = acceptanceOf(spec, record, parents);
         const own = isNew(id);
         const conditions = [...own, ...parentConditions(parents, this.limits.conditions - own.length)];
         const result = yield* commitForUser(this.state, conditions, changesOf(id, acceptance));
         if (result.ok === null)
           return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
-        if (result.ok === true) return this.accepted(wire, acceptance, result.revision);
+        if (result.ok === true) return this.accepted(spec, acceptance, result.revision);
         if (result.failed.some((key) => own.some((condition) => condition.key === key)))
           return yield* this.questions.answerRepeat(id);
         // some parent was released or ended: what is cached of them is behind
@@ -150,9 +150,9 @@
   }
 
   /** After the accepting write: what was written is known here at once. */
-  private accepted(wire: WireJob, acceptance: Acceptance, revision: number): Answer {
-    const { ref: id } = wire;
-    logAccepted(this.log, wire);
+  private accepted(job: JobSpec, acceptance: Acceptance, revision: number): Answer {
+    const { id } = job;
+    logAccepted(this.log, job);
     switch (acceptance.kind) {
       case "cancelled":
         this.reader.remember(id, acceptance.commit);
@@ -176,9 +176,9 @@
   ancestorCommits: readonly string[],
 ): Parent => ({ id, state: "open", condition: { key, revision }, ancestorCommits });
 
-const acceptanceOf = (wire: WireJob, record: object, parents: readonly Parent[]): Acceptance => {
+const acceptanceOf = (job: JobSpec, record: object, parents: readonly Parent[]): Acceptance => {
   if (parents.some((parent) => parent.state === "cancelled"))
-    return { kind: "cancelled", commit: { outcome: "cancelled", tasks: wire.chores } };
+    return { kind: "cancelled", commit: { outcome: "cancelled", tasks: job.tasks } };
   if (parents.every((parent) => parent.state === "done"))
     return { kind: "released", record: releasedRecord(record, new Date()) };
   const joined = parents.filter((parent) => parent.state === "done").map((parent) => parent.id);
--- a/src/service/api/heartbeats.ts
+++ b/src/service/api/heartbeats.ts
@@ -19,12 +19,7 @@
   const heartbeat = parsed(body);
   if (heartbeat === null) return refusal(400, "not a report");
   const result = member.handleHeartbeat(heartbeat);
-  switch (result.kind) {
-    case "taken":
-      return answer(200, heartbeatAnswer(result.fencingToken, result.stopCommands));
-    case "elsewhere":
-      return answer(421, redirectAnswer(result.member));
-    default:
-      return retryLater("not entitled");
-  }
+  if (result.kind === "taken") return answer(200, heartbeatAnswer(result.fencingToken, result.stopCommands));
+  if (result.kind === "elsewhere") return answer(421, redirectAnswer(result.member));
+  return retryLater("not entitled");
 };
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -2,7 +2,7 @@
 import * as Effect from "effect/Effect";
 import { unschedulableReason } from "../../core/placement/admission.js";
 import { keys } from "../../core/records.js";
-import { jobAnswer, jobRecord, parseSubmission, type WireJob } from "../../io/codec.js";
+import { jobAnswer, jobRecord, parseSubmission, type Submission } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import type { StateClient } from "../../io/state-client.js";
 import type { JobCache } from "../job-cache.js";
@@ -42,16 +42,14 @@
         return yield* this.questions.refuseUnlessAccepted(spec.id, TOO_LARGE);
       const reason = unschedulableReason(spec, this.limits.teams, this.jobCache.types);
       if (reason !== null) return yield* this.questions.refuseUnlessAccepted(spec.id, refusal(422, reason));
-      return yield* spec.dependsOn.length === 0
-        ? this.accept(wire)
-        : this.dependent.accept(wire, spec.dependsOn);
+      return yield* spec.dependsOn.length === 0 ? this.accept(parsed) : this.dependent.accept(parsed);
     });
   }
 
   /** The accepting write, which also releases the job. */
-  private accept(wire: WireJob): Effect.Effect<Answer, QuestionFailed> {
+  private accept({ wire, spec }: Submission): Effect.Effect<Answer, QuestionFailed> {
     return Effect.gen(this, function* () {
-      const { ref: id } = wire;
+      const { id } = spec;
       const record = jobRecord(wire, new Date());
       const result = yield* commitForUser(this.state, isNew(id), [{ put: keys.job(id), value: record }]);
       // the state service refuses before it compares: this may be a repeat of an accepted job all the same
@@ -59,7 +57,7 @@
         return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
       if (result.ok === false) return yield* this.questions.answerRepeat(id);
       this.jobCache.put(keys.job(id), record, result.revision);
-      logAccepted(this.log, wire);
+      logAccepted(this.log, spec);
       return answer(201, jobAnswer(id, "queued"));
     });
   }
--- a/src/service/operators-server.ts
+++ b/src/service/operators-server.ts
@@ -4,17 +4,17 @@
 import { listen, readBody } from "../io/server.js";
 import type { OperatorAnswer, OperatorRequest } from "../io/shard-codec.js";
 
-const MAX_BODY = 4 * 1024;
+const MAX_BODY_BYTES = 4 * 1024;
 const MAX_CONNECTIONS = 16;
 
-const wrong = (status: number, reason: string): OperatorAnswer => ({
+const refusal = (status: number, reason: string): OperatorAnswer => ({
   status,
   body: JSON.stringify({ reason }),
 });
 
 const textOf = (value: unknown): string => (typeof value === "string" ? value : "");
 
-/** The request of a path and its body; null: there is no such path. */
+/** The request of a path and its body, or the answer to one that there isn't. Throws where the body is no JSON. */
 const requestOf = (method: string, path: string, body: Buffer): OperatorRequest | OperatorAnswer => {
   const request = (verb: OperatorRequest["verb"], name = "", target = "", epoch = -1): OperatorRequest => ({
     verb,
@@ -23,10 +23,10 @@
     epoch,
   });
   const [, root, verb = "list", name = ""] = path.split("/");
-  if (root !== "shards") return wrong(404, "no such path");
+  if (root !== "shards") return refusal(404, "no such path");
   if (method === "GET" && verb === "list") return request("list");
   if (method === "GET" && verb === "moves") return request("outcome", decodeURIComponent(name));
-  if (method !== "POST") return wrong(405, "POST a command here");
+  if (method !== "POST") return refusal(405, "POST a command here");
   const sent = JSON.parse(body.toString("utf8")) as Record<string, unknown>;
   if (verb === "move") {
     const epoch = Number.isSafeInteger(sent["epoch"]) ? (sent["epoch"] as number) : -1;
@@ -34,27 +34,27 @@
   }
   if (verb === "drain") return request("drain", textOf(sent["member"]));
   if (verb === "cancel") return request("cancel", textOf(sent["name"]));
-  return wrong(404, "no such command");
+  return refusal(404, "no such command");
 };
 
-/** Listens for operators. Each request is answered by `ask`. */
+/** Listens for operators; each request is answered by `ask`. Fails when the address can't be bound. */
 export const serveOperators = (
   bind: string,
   ask: (request: OperatorRequest) => Effect.Effect<OperatorAnswer>,
 ): Effect.Effect<http.Server, Error> => {
   const server = http.createServer((request, response) => {
-    readBody(request, MAX_BODY, (body) => {
+    readBody(request, MAX_BODY_BYTES, (body) => {
       const send = ({ status, body: text }: OperatorAnswer): void => {
         const headers = { "content-type": "application/json", "content-length": Buffer.byteLength(text) };
         response.writeHead(status, headers).end(text);
       };
-      if (body === null) return send(wrong(413, "too long"));
+      if (body === null) return send(refusal(413, "too long"));
       try {
         const asked = requestOf(request.method ?? "", request.url ?? "", body);
         if ("status" in asked) send(asked);
         else Effect.runFork(Effect.map(ask(asked), send));
       } catch {
-        send(wrong(400, "not a command"));
+        send(refusal(400, "not a command"));
       }
     });
   });
--- a/test/state-client.test.ts
+++ b/test/state-client.test.ts
@@ -9,7 +9,7 @@
 let client: StateClient;
 const run = Effect.runPromise;
 const tagOf = <A, E extends { _tag: string }>(effect: Effect.Effect<A, E>): Promise<string> =>
-  run(Effect.match(effect, { onFailure: (e) => e._tag, onSuccess: () => "none" }));
+  run(Effect.match(effect, { onFailure: (error) => error._tag, onSuccess: () => "none" }));
 
 before(async () => {
   await standIn.start();
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -162,7 +162,7 @@
     { kind: "taken", fencingToken: 41, stopCommands: COMMANDS },
     { kind: "elsewhere", member: "hearth-2" },
     { kind: "elsewhere", member: null },
-    { kind: "refused" },
+    { kind: "unsure" },
   );
   assert.equal(await beat(), `200 {"baton":41,${ORDERS}}`);
   assert.equal(await beat(), '421 {"foreman":"hearth-2"}');
