--- a/src/io/call.ts
+++ b/src/io/call.ts
@@ -41,7 +41,33 @@
   return { host: addr.slice(0, colon), port: Number(addr.slice(colon + 1)) };
 };
 
-const MAX_REPLY = 64 * 1024 * 1024;
+const MAX_REPLY_BYTES = 64 * 1024 * 1024;
+
+const headersOf = ({ body, type }: Call): http.OutgoingHttpHeaders =>
+  body === undefined
+    ? {}
+    : { "content-type": type ?? "application/json", "content-length": Buffer.byteLength(body) };
+
+/** Reads an answer to its end, unless it is too large. */
+const readReply = (
+  response: http.IncomingMessage,
+  outgoing: http.ClientRequest,
+  finish: (result: Effect.Effect<Reply>) => void,
+  fail: (reason: string) => void,
+): void => {
+  const chunks: Buffer[] = [];
+  let size = 0;
+  response.on("data", (chunk: Buffer) => {
+    size += chunk.length;
+    if (size > MAX_REPLY_BYTES) outgoing.destroy(new Error("reply too large"));
+    else chunks.push(chunk);
+  });
+  response.on("error", (error) => fail(error.message));
+  response.on("aborted", () => fail("connection lost"));
+  response.on("end", () =>
+    finish(Effect.succeed({ status: response.statusCode ?? 0, body: Buffer.concat(chunks) })),
+  );
+};
 
 /**
  * Makes a request. Interrupting it ends it. It may be held up in this process for long, so a request that wasn't sent by
@@ -57,18 +83,13 @@
       clearTimeout(timer);
       resume(result);
     };
-    const fail = (why: string): void => finish(Effect.fail(new CallFailed({ sent, why })));
-    const headers: http.OutgoingHttpHeaders = {};
-    if (request.body !== undefined) {
-      headers["content-type"] = request.type ?? "application/json";
-      headers["content-length"] = Buffer.byteLength(request.body);
-    }
+    const fail = (reason: string): void => finish(Effect.fail(new CallFailed({ sent, why: reason })));
     const outgoing = http.request({
       agent,
       ...endpoint(request.addr),
       method: request.method,
       path: request.path,
-      headers,
+      headers: headersOf(request),
     });
     const timer = setTimeout(() => {
       // after a stall of this process the connection may stand by now: what is this old must not go out on it any more
@@ -89,20 +110,7 @@
       else socket.once("connect", () => (sent = true));
     });
     outgoing.on("error", (error) => fail(error.message));
-    outgoing.on("response", (response) => {
-      const chunks: Buffer[] = [];
-      let size = 0;
-      response.on("data", (chunk: Buffer) => {
-        size += chunk.length;
-        if (size > MAX_REPLY) outgoing.destroy(new Error("reply too large"));
-        else chunks.push(chunk);
-      });
-      response.on("error", (error) => fail(error.message));
-      response.on("aborted", () => fail("connection lost"));
-      response.on("end", () =>
-        finish(Effect.succeed({ status: response.statusCode ?? 0, body: Buffer.concat(chunks) })),
-      );
-    });
+    outgoing.on("response", (response) => readReply(response, outgoing, finish, fail));
     outgoing.end(request.body);
     return Effect.sync(() => {
       over = true;
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -30,6 +30,7 @@
   private readonly agent = makeAgent(6);
   private readonly rateLimiter: RateLimiter;
 
+  /** `rps`: the rate of all nodes together; the leader makes nearly all calls. */
   constructor(
     private readonly addr: string,
     rps: number,
--- a/src/io/codec/workers.ts
+++ b/src/io/codec/workers.ts
@@ -54,21 +54,36 @@
   return { job: task.chore.slice(0, slash), index, attempt: task.try, state, exitReason };
 };
 
-/** A heartbeat, as workers send it and answer commands with it; null: it isn't one. Whatever comes, nothing is thrown. */
-export const parseHeartbeat = (value: unknown): Heartbeat | null => {
-  const wire = value as WireHeartbeat | null | undefined;
-  if (typeof wire !== "object" || wire === null) return null;
-  if (typeof wire.hearth !== "string" || wire.hearth === "" || wire.hearth.length > 100) return null;
-  if (!isEndpoint(wire.endpoint) || typeof wire.build !== "string" || typeof wire.district !== "string")
-    return null;
-  if (!isCount(wire.shift) || !isCount(wire.tally) || !isCount(wire.baton ?? 0)) return null;
-  if (wire.chores != null && !Array.isArray(wire.chores)) return null;
+const hasValidIdentity = (wire: WireHeartbeat): boolean =>
+  typeof wire.hearth === "string" &&
+  wire.hearth !== "" &&
+  wire.hearth.length <= 100 &&
+  isEndpoint(wire.endpoint) &&
+  typeof wire.build === "string" &&
+  typeof wire.district === "string";
+
+const hasValidCounts = (wire: WireHeartbeat): boolean =>
+  isCount(wire.shift) && isCount(wire.tally) && isCount(wire.baton ?? 0);
+
+/** The tasks that a heartbeat names; null: one of them is malformed. */
+const parseTasks = (chores: WireHeartbeat["chores"]): TaskStatus[] | null => {
+  if (chores != null && !Array.isArray(chores)) return null;
   const tasks: TaskStatus[] = [];
-  for (const chore of wire.chores ?? []) {
+  for (const chore of chores ?? []) {
     const task = parseTaskStatus(chore);
     if (task === null) return null;
     tasks.push(task);
   }
+  return tasks;
+};
+
+/** A heartbeat, as workers send it and answer commands with it; null: it isn't one. Whatever comes, nothing is thrown. */
+export const parseHeartbeat = (value: unknown): Heartbeat | null => {
+  const wire = value as WireHeartbeat | null | undefined;
+  if (typeof wire !== "object" || wire === null) return null;
+  if (!hasValidIdentity(wire) || !hasValidCounts(wire)) return null;
+  const tasks = parseTasks(wire.chores);
+  if (tasks === null) return null;
   return {
     machine: wire.hearth,
     addr: wire.endpoint,
--- a/src/io/settings.ts
+++ b/src/io/settings.ts
@@ -5,6 +5,7 @@
 import type { Team } from "../core/records.js";
 import { operatorSchema, platformSchema } from "./schemas.js";
 
+/** All settings of one controller: of the platform, and under `operator` its operators' own. */
 export interface Settings {
   readonly member: string;
   readonly zone: string;
@@ -31,6 +32,7 @@
   readonly operator: OperatorSettings;
 }
 
+/** The operators' own settings; `indigowick schema` describes each. */
 export interface OperatorSettings {
   readonly memberLease: Duration.Duration;
   readonly reuse: number;
@@ -100,11 +102,11 @@
     throw new BadSettings(`${path}: not JSON: ${(error as Error).message}`);
   }
   if (check(value)) return value;
-  const first = check.errors![0]!;
-  const named = first.params as { additionalProperty?: string };
-  const field = first.instancePath.slice(1).replaceAll("/", ".") || "the file";
+  const first = check.errors?.[0];
+  const named = first?.params as { additionalProperty?: string } | undefined;
+  const field = first?.instancePath.slice(1).replaceAll("/", ".") || "the file";
   throw new BadSettings(
-    `${path}: ${field} ${first.message ?? "is not valid"}${named.additionalProperty === undefined ? "" : `: ${named.additionalProperty}`}`,
+    `${path}: ${field} ${first?.message ?? "is not valid"}${named?.additionalProperty === undefined ? "" : `: ${named.additionalProperty}`}`,
   );
 };
 
@@ -112,12 +114,50 @@
   objectives: NonNullable<PlatformFile["params"]["objectives"]>,
 ): Map<string, Duration.Duration> => {
   const goals = new Map<string, Duration.Duration>();
-  for (const o of objectives)
-    if (o.kind === "wait" && typeof o.class === "string" && typeof o.within_s === "number")
-      goals.set(o.class, Duration.seconds(o.within_s));
+  for (const objective of objectives)
+    if (
+      objective.kind === "wait" &&
+      typeof objective.class === "string" &&
+      typeof objective.within_s === "number"
+    )
+      goals.set(objective.class, Duration.seconds(objective.within_s));
   return goals;
 };
 
+const stateLimitsOf = (limits: PlatformFile["params"]["state"]): Settings["stateLimits"] => ({
+  rps: limits.rps,
+  writeRps: limits.write_rps,
+  next: {
+    rps: limits.next?.rps ?? limits.rps,
+    writeRps: limits.next?.write_rps ?? limits.write_rps,
+  },
+  valueKb: Math.min(limits.value_kb, limits.next?.value_kb ?? Infinity),
+  txnOps: Math.min(limits.txn_ops, limits.next?.txn_ops ?? Infinity),
+});
+
+const teamOf = (team: PlatformFile["params"]["teams"][number]): Team => ({
+  name: team.name,
+  guaranteedCpus: team.cpus,
+  maxCpus: team.cpus_max,
+  guaranteedGpus: team.gpus,
+  maxGpus: team.gpus_max,
+});
+
+const operatorSettingsOf = (own: OperatorFile): OperatorSettings => ({
+  memberLease: Duration.seconds(own.member_lease_s),
+  reuse: own.reuse,
+  idleBoots: own.idle_boots,
+  warmFor: Duration.seconds(own.warm_s),
+  shards: {
+    enabled: own.shards.enabled,
+    movesAtOnce: own.shards.moves_at_once,
+    hysteresis: own.shards.hysteresis,
+    rehearseEvery: own.shards.rehearsal_s > 0 ? Duration.seconds(own.shards.rehearsal_s) : null,
+  },
+  operatorsSocket: own.operators_socket === "" ? null : own.operators_socket,
+});
+
+/** The settings of both files, the operators' with its defaults; throws `BadSettings`. */
 export const loadSettings = (platformPath: string, operatorPath: string | undefined): Settings => {
   const ajv = new Ajv({ useDefaults: true, strict: false });
   const file = read(platformPath, ajv.compile<PlatformFile>(platformSchema));
@@ -133,46 +173,19 @@
     zone: file.domain,
     front: file.front,
     peerBind: file.peer_bind,
-    peers: file.seeds.map((s) => ({ member: s.member, zone: s.domain, addr: s.addr })),
+    peers: file.seeds.map((seed) => ({ member: seed.member, zone: seed.domain, addr: seed.addr })),
     cloud: file.external.cloud,
     state: file.external.state,
-    teams: params.teams.map((t) => ({
-      name: t.name,
-      guaranteedCpus: t.cpus,
-      maxCpus: t.cpus_max,
-      guaranteedGpus: t.gpus,
-      maxGpus: t.gpus_max,
-    })),
+    teams: params.teams.map(teamOf),
     workers: {
       reportS: params.workers.report_s,
       leaseS: params.workers.lease_s,
       cancelS: params.workers.cancel_s,
     },
-    stateLimits: {
-      rps: params.state.rps,
-      writeRps: params.state.write_rps,
-      next: {
-        rps: params.state.next?.rps ?? params.state.rps,
-        writeRps: params.state.next?.write_rps ?? params.state.write_rps,
-      },
-      valueKb: Math.min(params.state.value_kb, params.state.next?.value_kb ?? Infinity),
-      txnOps: Math.min(params.state.txn_ops, params.state.next?.txn_ops ?? Infinity),
-    },
+    stateLimits: stateLimitsOf(params.state),
     cloudLimits: { rps: params.cloud.rps, listLag: Duration.seconds(params.cloud.list_lag_s) },
     maxConnections: params.machine_limits.max_connections,
     startGoals: startGoalsOf(params.objectives ?? []),
-    operator: {
-      memberLease: Duration.seconds(own.member_lease_s),
-      reuse: own.reuse,
-      idleBoots: own.idle_boots,
-      warmFor: Duration.seconds(own.warm_s),
-      shards: {
-        enabled: own.shards.enabled,
-        movesAtOnce: own.shards.moves_at_once,
-        hysteresis: own.shards.hysteresis,
-        rehearseEvery: own.shards.rehearsal_s > 0 ? Duration.seconds(own.shards.rehearsal_s) : null,
-      },
-      operatorsSocket: own.operators_socket === "" ? null : own.operators_socket,
-    },
+    operator: operatorSettingsOf(own),
   };
 };
--- a/src/io/state-pacer.ts
+++ b/src/io/state-pacer.ts
@@ -46,6 +46,7 @@
   /** Requests that wait for the share. */
   private queued = 0;
 
+  /** `limits` are those of all nodes together. */
   constructor(
     limits: RateLimits,
     private readonly nodes: number,
--- a/src/service/api/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -41,6 +41,7 @@
   private openRequests = 0;
   private readonly userRequests: UserRequests;
 
+  /** Doesn't listen before `serve`. */
   constructor(
     private readonly options: ApiServerOptions,
     state: StateClient,
--- a/src/service/api/cancel-propagation.ts
+++ b/src/service/api/cancel-propagation.ts
@@ -17,6 +17,7 @@
   private readonly refusedUntil = new Map<string, Instant>();
   private readonly refusals: RejectionBackoff;
 
+  /** Commits that it writes go to `outcomes` and leave the `jobCache`. */
   constructor(
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
--- a/src/service/api/cancels.ts
+++ b/src/service/api/cancels.ts
@@ -17,6 +17,7 @@
 
 /** Handles users' cancels. */
 export class CancelHandler {
+  /** Commits that it writes go to `reader` and leave the `jobCache`. */
   constructor(
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -57,6 +57,7 @@
 
 /** Handles submissions that have passed all checks and depend on other jobs. */
 export class DependentSubmissionHandler {
+  /** Jobs that it accepts are put in the `jobCache` at once. */
   constructor(
     private readonly limits: SubmissionLimits,
     private readonly state: StateClient,
--- a/src/service/api/job-ancestors.ts
+++ b/src/service/api/job-ancestors.ts
@@ -8,6 +8,7 @@
 
 /** Ancestors as far as they were heard of here. */
 export class JobAncestors {
+  /** Both are only read. */
   constructor(
     private readonly jobCache: JobCache,
     private readonly outcomes: KnownOutcomes,
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -20,6 +20,7 @@
 
 /** Reads that keep what they find in the cache of jobs and among the known outcomes. */
 export class JobRecordReader {
+  /** What is read goes to the `jobCache` and to `outcomes`. */
   constructor(
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
--- a/src/service/api/question-batcher.ts
+++ b/src/service/api/question-batcher.ts
@@ -45,6 +45,7 @@
   private readonly deferred = new Map<string, number>();
   private lastDeferred = 0;
 
+  /** Questions that a batch can't answer go to `reader`. */
   constructor(
     private readonly options: BatcherOptions,
     private readonly jobCache: JobCache,
--- a/src/service/api/status-questions.ts
+++ b/src/service/api/status-questions.ts
@@ -19,6 +19,7 @@
 
 /** Answers that rest on a job's status as the state service has it after the request came. */
 export class StatusQuestions {
+  /** `taskCounts`: what the leader last said of an unfinished job's tasks. */
   constructor(
     private readonly reader: JobStatusReader,
     private readonly taskCounts: (id: string) => TaskCounts,
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -21,6 +21,7 @@
 
 /** Handles users' submissions, which are repeated until they get a final answer. */
 export class SubmissionHandler {
+  /** Jobs that depend on others are passed on to `dependent` once they are checked. */
   constructor(
     private readonly limits: SubmissionLimits,
     private readonly state: StateClient,
--- a/src/service/api/user-requests.ts
+++ b/src/service/api/user-requests.ts
@@ -23,6 +23,7 @@
 
 /** Passes users' requests on to the handlers of submissions, questions and cancels. */
 export class UserRequests {
+  /** One handler for each kind of request. */
   constructor(
     private readonly submissions: SubmissionHandler,
     private readonly questions: StatusQuestions,
