--- a/src/main.ts
+++ b/src/main.ts
@@ -43,7 +43,7 @@
     const settings = load(options);
     const log = makeLog(process.env["LOG_LEVEL"] ?? "info", settings.member);
     const exit = await Effect.runPromiseExit(runController(settings, log));
-    if (Exit.isFailure(exit)) log.error({ why: Cause.pretty(exit.cause) }, "can't run");
+    if (Exit.isFailure(exit)) log.error({ reason: Cause.pretty(exit.cause) }, "can't run");
     process.exit(EXIT_FAILED);
   });
 
