--- a/src/main.ts
+++ b/src/main.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** The command line. Exit codes: 2 for bad settings or options, 1 where a controller can't run. */
 import { readFileSync } from "node:fs";
 import { Command, CommanderError } from "commander";
 import * as Effect from "effect/Effect";
@@ -42,7 +43,7 @@
     const settings = load(options);
     const log = makeLog(process.env["LOG_LEVEL"] ?? "info", settings.member);
     const exit = await Effect.runPromiseExit(runController(settings, log));
-    if (Exit.isFailure(exit)) log.error({ why: Cause.pretty(exit.cause) }, "can't run");
+    if (Exit.isFailure(exit)) log.error({ reason: Cause.pretty(exit.cause) }, "can't run");
     process.exit(EXIT_FAILED);
   });
 
