--- /dev/null
+++ b/src/service/members/lease-keeper.ts
@@ -0,0 +1,134 @@
+/**
+ * This process's lease and member key: takes them, renews the lease, and joins anew when either is lost. The key's
+ * revision is the process's incarnation; a term names members by it, so no process is taken for an earlier one.
+ */
+import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
+import type { LeaseTimings } from "../../core/leases/term.js";
+import { keys, type MemberRecord } from "../../core/records.js";
+import { now } from "../../io/clock.js";
+import type { Log } from "../../io/log.js";
+import { decodeMember, encodeMember } from "../../io/record-codec.js";
+import type { StateClient } from "../../io/state-client.js";
+import type { RejectionBackoff } from "../rejection-backoff.js";
+import { Signal } from "../signal.js";
+import type { MemberRegistry } from "./member-registry.js";
+import type { MembershipExtension } from "./membership-extension.js";
+import type { TermStore } from "./term-store.js";
+
+/** Also when a renewal is requested at once, the next one is sent no sooner, in milliseconds. */
+const MIN_RENEWAL_PAUSE_MS = 50;
+/** A renewal may take half the fencing window, and at least this, in milliseconds. */
+const MIN_RENEWAL_TIMEOUT_MS = 500;
+
+/** What a lease keeper works with. */
+export interface LeaseKeeperOptions {
+  readonly me: string;
+  readonly zone: string;
+  readonly timings: LeaseTimings;
+  readonly state: StateClient;
+  readonly log: Log;
+  readonly terms: TermStore;
+  readonly registry: MemberRegistry;
+  readonly rejections: RejectionBackoff;
+  readonly extension: MembershipExtension;
+  /** Called when this process has joined. */
+  readonly onJoined: () => void;
+  /** Called when its lease or its member key is lost, before it joins anew. */
+  readonly onLost: (reason: string) => void;
+}
+
+/** Keeps this process a member for as long as `run` runs. */
+export class LeaseKeeper {
+  private currentLeaseId: number | null = null;
+  private currentIncarnation = 0;
+  private readonly renewalRequested = new Signal();
+
+  constructor(private readonly options: LeaseKeeperOptions) {}
+
+  /** The lease that the member key is on; null: this process is no member. */
+  get leaseId(): number | null {
+    return this.currentLeaseId;
+  }
+
+  /** The revision of this process's member key, also while its lease is lost; 0: it never joined. */
+  get incarnation(): number {
+    return this.currentIncarnation;
+  }
+
+  /** Renews soon instead of at the next interval: a newer term may be there. */
+  requestRenewal(): void {
+    this.renewalRequested.notify();
+  }
+
+  /** Ends the lease of this member's previous process, which is dead: nobody has to wait for its expiry. */
+  private readonly revokePreviousLease = Effect.gen(this, function* () {
+    const { me, state } = this.options;
+    const row = yield* state.get(keys.member(me));
+    if (row !== null) yield* state.revoke(decodeMember(row.value).leaseId);
+  });
+
+  private readonly join = Effect.gen(this, function* () {
+    const { me, zone, timings, state, log, extension, rejections, onJoined } = this.options;
+    yield* this.revokePreviousLease;
+    const leaseId = yield* state.grant(timings.memberLease);
+    const record: MemberRecord = { zone, leaseId };
+    // a late copy of an earlier process's write finds this key there and changes nothing
+    const result = yield* state.commit(
+      [{ key: keys.member(me), revision: 0 }],
+      [{ put: keys.member(me), value: encodeMember(record), leaseId }, ...extension.announcement(leaseId)],
+      "vital",
+    );
+    if (result.ok === null) yield* Effect.ignore(state.revoke(leaseId));
+    yield* rejections.pauseAfter("member", result);
+    if (result.ok !== true) return;
+    this.currentLeaseId = leaseId;
+    this.currentIncarnation = result.revision;
+    log.info({ incarnation: result.revision, leaseId }, "joined the cluster");
+    onJoined();
+  });
+
+  private lose(reason: string): void {
+    this.currentLeaseId = null;
+    this.options.terms.leaseEnded();
+    this.options.onLost(reason);
+  }
+
+  private readonly renew = Effect.gen(this, function* () {
+    const { me, timings, state, log, terms, registry } = this.options;
+    const leaseId = this.currentLeaseId;
+    if (leaseId === null) return yield* this.join;
+    const sentAt = now();
+    const timeout = Duration.millis(
+      Math.max(MIN_RENEWAL_TIMEOUT_MS, Duration.toMillis(timings.fencingWindow) / 2),
+    );
+    const [isAlive, termRow] = yield* Effect.all([state.extend(leaseId, timeout), state.get(keys.term)], {
+      concurrency: 2,
+    });
+    if (!isAlive) {
+      this.lose("lease expired");
+      return yield* this.join;
+    }
+    terms.renewed(termRow, sentAt);
+    // the lease lives, but the key isn't this process's: nobody counts it as a member
+    if (registry.hasLost(me, this.currentIncarnation)) {
+      log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, joining anew");
+      yield* state.revoke(leaseId);
+      this.lose("member key lost");
+      return yield* this.join;
+    }
+  });
+
+  /** Never ends; what fails is tried again at the next interval. */
+  readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
+    const { timings, log } = this.options;
+    const startedAt = now();
+    yield* this.renew.pipe(
+      Effect.catchAll((error) => Effect.sync(() => log.debug({ reason: error.why }, "lease renewal failed"))),
+    );
+    const remainingMs = Duration.toMillis(timings.renewalInterval) - (now() - startedAt);
+    yield* Effect.sleep(Duration.millis(MIN_RENEWAL_PAUSE_MS));
+    if (remainingMs > MIN_RENEWAL_PAUSE_MS)
+      yield* this.renewalRequested.wait(Duration.millis(remainingMs - MIN_RENEWAL_PAUSE_MS));
+  }).pipe(Effect.forever);
+}
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -1,32 +1,50 @@
-/** What the state service refuses as it is (400): said now and then, and tried again ever more rarely. */
+/**
+ * Records that the state service rejects as they are (400: too large, for instance). The same record gets the same
+ * answer, so it is tried again ever more rarely, and logged now and then.
+ */
 import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
 import { Backoff } from "../core/rates/backoff.js";
 import { type Instant, hasElapsed } from "../core/time.js";
 import { now } from "../io/clock.js";
 import type { Log } from "../io/log.js";
+import type { CommitResult } from "../io/state-client.js";
 
-const LOG_EVERY = Duration.seconds(10);
+/** Rejections of one kind of record are logged this often at most. */
+const LOG_INTERVAL = Duration.seconds(10);
 
+/** Growing pauses by kind of record, and by id where one kind has many records. */
 export class RejectionBackoff {
   private readonly backoffs = new Map<string, Backoff>();
-  private readonly logged = new Map<string, Instant>();
+  private readonly loggedAt = new Map<string, Instant>();
 
   constructor(private readonly log: Log) {}
 
-  /** Logs it, and says how long to wait. `id`: one of many of that kind, with pauses of its own. */
-  refused(what: string, error: string, id = ""): Duration.Duration {
-    const last = this.logged.get(what);
-    if (last === undefined || hasElapsed(now(), last, LOG_EVERY)) {
-      this.logged.set(what, now());
-      this.log.warn({ what, id, error }, "refused by the state service");
+  /**
+   * A record was rejected. Logs it, and says how long to wait before the next attempt. `id`: one of many records of
+   * that kind, with pauses of its own.
+   */
+  refused(kind: string, error: string, id = ""): Duration.Duration {
+    const last = this.loggedAt.get(kind);
+    if (last === undefined || hasElapsed(now(), last, LOG_INTERVAL)) {
+      this.loggedAt.set(kind, now());
+      this.log.warn({ kind, id, reason: error }, "record rejected by the state service");
     }
-    const key = `${what} ${id}`;
+    const key = `${kind} ${id}`;
     let backoff = this.backoffs.get(key);
     if (backoff === undefined) this.backoffs.set(key, (backoff = new Backoff()));
     return backoff.refused();
   }
 
-  accepted(what: string, id = ""): void {
-    this.backoffs.delete(`${what} ${id}`);
+  /** A record was accepted: its next rejection counts as the first. */
+  accepted(kind: string, id = ""): void {
+    this.backoffs.delete(`${kind} ${id}`);
+  }
+
+  /** Waits after a rejection, and not at all after any other answer. For loops that would send the record again. */
+  pauseAfter(kind: string, result: CommitResult): Effect.Effect<void> {
+    if (result.ok === null) return Effect.sleep(this.refused(kind, result.error));
+    this.accepted(kind);
+    return Effect.void;
   }
 }
