--- a/src/core/members/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -30,7 +30,7 @@
 }
 
 /** The writes of one job that are to be made, or were. */
-export interface Writing {
+export interface FinishWrite {
   readonly job: string;
   readonly puts: { key: string; chunk: number; text: string; ranges: Range[] }[];
 }
@@ -97,8 +97,8 @@
    * Finishes to be stored now, at most `most` puts; each job's writes are under way until answered. Those of jobs that
    * aren't open (over, or not heard of yet) wait, and are given up in the end.
    */
-  toStore(writer: string, most: number, now: Instant, isOpen: (job: string) => boolean): Writing[] {
-    const out: Writing[] = [];
+  toStore(writer: string, most: number, now: Instant, isOpen: (job: string) => boolean): FinishWrite[] {
+    const out: FinishWrite[] = [];
     let room = most;
     // what was refused by itself comes last and alone: in one write with others it would hold them up again
     const refused = [...this.unstored].filter((job) => this.finishes.get(job)!.refused);
@@ -113,7 +113,7 @@
         if (hasElapsed(now, finishes.since, GIVE_UP_AFTER)) this.jobOver(job);
         continue;
       }
-      const puts: Writing["puts"] = [];
+      const puts: FinishWrite["puts"] = [];
       // a write without an answer may be carried out after newer ones: no later one goes to its key
       const by = finishes.unanswered === 0 ? writer : `${writer}.${finishes.unanswered}`;
       for (const [chunk, ranges] of windows(finishes.known.ranges(), this.valueBytes)) {
@@ -130,7 +130,7 @@
   }
 
   /** The answer to one job's writes. */
-  storeAnswered(write: Writing, result: StoreResult, now: Instant): void {
+  storeAnswered(write: FinishWrite, result: StoreResult, now: Instant): void {
     const finishes = this.finishes.get(write.job);
     if (finishes === undefined) return;
     finishes.writing = false;
--- /dev/null
+++ b/src/service/members/command-deliverer.ts
@@ -0,0 +1,88 @@
+/**
+ * Delivers the leader's commands to workers. They go out only under the term in force and only while this node may act
+ * (S1), and that is asked again right before each is sent (S2).
+ */
+import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
+import type { WorkerPartition } from "../../core/members/worker-partition.js";
+import type { Heartbeat, TermRecord } from "../../core/records.js";
+import type { CommandOutcome } from "../../core/scheduler/decisions.js";
+import { hasElapsed } from "../../core/time.js";
+import { now } from "../../io/clock.js";
+import type { CommandBatch, CommandDelivery, DeliveryReceipt } from "../../io/peer-codec.js";
+import type { WorkerClient } from "../../io/worker-client.js";
+import type { Membership } from "./membership.js";
+
+/** A command that waited this long for its turn isn't sent: the leader is about to take it for unanswered. */
+const MAX_QUEUE_TIME = Duration.seconds(3);
+/** A delivery that came before its term or before this node may act waits for that, up to half a second each. */
+const READINESS_CHECKS = 20;
+const READINESS_CHECK_INTERVAL = Duration.millis(25);
+
+interface CommandReply {
+  readonly outcome: CommandOutcome;
+  readonly report: Heartbeat | null;
+}
+const BARRED: CommandReply = { outcome: "barred", report: null };
+
+const waitUntil = (isReady: () => boolean): Effect.Effect<void> =>
+  Effect.gen(function* () {
+    for (let check = 0; check < READINESS_CHECKS && !isReady(); check++)
+      yield* Effect.sleep(READINESS_CHECK_INTERVAL);
+  });
+
+/** Sends batches of commands to workers and records their outcomes for the leader. */
+export class CommandDeliverer {
+  constructor(
+    private readonly membership: Membership,
+    private readonly workers: WorkerClient,
+    private readonly partition: WorkerPartition,
+    /** Called when an outcome was recorded. */
+    private readonly onOutcome: () => void,
+  ) {}
+
+  /**
+   * Answers at once whether the batches are being sent; their outcomes go to the leader with the member's updates. None
+   * is sent if this node may not send under that term, or has no room for more.
+   */
+  deliver(delivery: CommandDelivery): Effect.Effect<DeliveryReceipt> {
+    return Effect.gen(this, function* () {
+      const { term, batches } = delivery;
+      const knowsTerm = (): boolean => (this.membership.term?.number ?? 0) >= term.number;
+      if (!knowsTerm()) {
+        this.membership.observeTerm(term.number);
+        yield* waitUntil(knowsTerm);
+      }
+      yield* waitUntil(() => this.membership.mayAct());
+      const accepted = this.maySend(term) && this.workers.hasRoom();
+      if (accepted) for (const batch of batches) Effect.runFork(this.send(term, batch));
+      return { accepted };
+    });
+  }
+
+  private maySend(term: TermRecord): boolean {
+    return this.membership.term?.number === term.number && this.membership.mayAct();
+  }
+
+  /** Sends one machine's commands. */
+  private send(term: TermRecord, batch: CommandBatch): Effect.Effect<void> {
+    const receivedAt = now();
+    const maySend = (): boolean => this.maySend(term) && !hasElapsed(now(), receivedAt, MAX_QUEUE_TIME);
+    // a queue may have held it up: what isn't allowed any more isn't sent
+    const reply = Effect.suspend((): Effect.Effect<CommandReply> =>
+      maySend()
+        ? this.workers.sendCommands(
+            batch.addr,
+            batch.fencingToken,
+            batch.workerEpoch,
+            batch.commands,
+            maySend,
+          )
+        : Effect.succeed(BARRED),
+    );
+    return Effect.map(reply, ({ outcome, report: heartbeat }) => {
+      this.partition.commandsAnswered(batch.id, outcome, heartbeat, now());
+      this.onOutcome();
+    });
+  }
+}
--- a/src/service/members/update-relay.ts
+++ b/src/service/members/update-relay.ts
@@ -1,101 +1,156 @@
 /**
- * The way round when controllers can't reach one another: a member puts its news for the leader into the state
- * service, on its lease, and the leader watches for them. It costs changes, so it is used only after ordinary
- * messages failed, and news go the ordinary way again as soon as that works.
+ * The way round when controllers can't reach one another: a store-and-forward channel through the state service. A
+ * member puts an update for the leader there, on its lease, and the leader watches for it. It costs changes, so it is
+ * used only after ordinary messages failed, and updates go the ordinary way again as soon as that works.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { jsonBytes, valueBytes } from "../../core/packing.js";
 import { keys } from "../../core/records.js";
+import type { WatchEvent } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import { type SyncRequest, syncRequestCodec } from "../../io/peer-codec.js";
 import type { StateClient } from "../../io/state-client.js";
 
-const MAX_PIECE = 9000;
-const MAX_PIECES = 4;
+/** Bytes of an update in one fragment at most. */
+const MAX_FRAGMENT_BYTES = 9000;
+const MAX_FRAGMENTS = 4;
+const WATCH_TIMEOUT = Duration.seconds(20);
+const WATCH_PAUSE = Duration.millis(100);
+const RETRY_PAUSE = Duration.millis(500);
 
-/** Bytes of news in one value, before they are written as text; and values in one transaction. */
+/** How much of an update fits into the state service's values and transactions. */
 export interface FragmentLimits {
-  readonly bytes: number;
-  readonly most: number;
+  /** Bytes of an update in one value, before they are written as text. */
+  readonly maxBytes: number;
+  /** Values in one transaction. */
+  readonly maxFragments: number;
 }
 
+/** The limits that follow from the state service's: kB a value, and changes a transaction. */
 export const fragmentLimits = (valueKb: number, txnOps: number): FragmentLimits => {
-  const text = valueBytes(valueKb) - jsonBytes({ of: MAX_PIECES, data: "" });
-  return { bytes: Math.min(MAX_PIECE, Math.floor(text / 4) * 3), most: Math.min(MAX_PIECES, txnOps) };
+  const textBytes = valueBytes(valueKb) - jsonBytes({ of: MAX_FRAGMENTS, data: "" });
+  // base64 writes three bytes as four characters
+  return {
+    maxBytes: Math.min(MAX_FRAGMENT_BYTES, Math.floor(textBytes / 4) * 3),
+    maxFragments: Math.min(MAX_FRAGMENTS, txnOps),
+  };
 };
 
-interface Fragment {
+/** A part of an update as it is stored; other versions read and write it, so its names stay. */
+export interface Fragment {
+  /** How many there are of the update. */
   readonly of: number;
+  /** Base64 of its bytes. */
   readonly data: string;
 }
 
-/** The transaction's values for this piece of news; null: too much for one. */
-export const toFragments = (sync: SyncRequest, limits: FragmentLimits): Fragment[] | null => {
-  const bytes = syncRequestCodec.encode(sync);
-  const of = Math.ceil(bytes.length / limits.bytes);
-  if (of > limits.most) return null;
-  return Array.from({ length: of }, (_, i) => ({
-    of,
-    data: bytes.subarray(i * limits.bytes, (i + 1) * limits.bytes).toString("base64"),
+const isFragment = (value: unknown): value is Fragment =>
+  typeof value === "object" &&
+  value !== null &&
+  "of" in value &&
+  typeof value.of === "number" &&
+  "data" in value &&
+  typeof value.data === "string";
+
+/** The transaction's values for this update; null: too much for one transaction. */
+export const toFragments = (update: SyncRequest, limits: FragmentLimits): Fragment[] | null => {
+  const { maxBytes, maxFragments } = limits;
+  const bytes = syncRequestCodec.encode(update);
+  const count = Math.ceil(bytes.length / maxBytes);
+  if (count > maxFragments) return null;
+  return Array.from({ length: count }, (_, index) => ({
+    of: count,
+    data: bytes.subarray(index * maxBytes, (index + 1) * maxBytes).toString("base64"),
   }));
 };
 
-/** Puts together what one transaction wrote; what is no news is ignored. */
-export const fromFragments = (pieces: readonly Fragment[]): SyncRequest | null => {
+/** Puts together the values that one transaction wrote; null: they are no update. */
+export const fromFragments = (values: readonly unknown[]): SyncRequest | null => {
+  const fragments = values.filter(isFragment);
+  if (values.length === 0 || fragments.length < values.length) return null;
+  if (fragments.some((fragment) => fragment.of !== fragments.length)) return null;
   try {
-    if (pieces.length === 0 || pieces.some((p) => p.of !== pieces.length)) return null;
-    return syncRequestCodec.decode(Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64"))));
+    return syncRequestCodec.decode(
+      Buffer.concat(fragments.map((fragment) => Buffer.from(fragment.data, "base64"))),
+    );
   } catch {
     return null;
   }
 };
 
-/** `too large` for us, or `refused` by the service: less might be taken. */
-export type RelayResult = "posted" | "failed" | "too large" | { readonly refused: string };
+/** What became of an update. After `too large` and `rejected` less might be taken. */
+export type RelayResult =
+  | { readonly kind: "relayed" }
+  /** It wasn't written, or may be written yet. */
+  | { readonly kind: "failed" }
+  /** It doesn't fit into one transaction, by our own count. */
+  | { readonly kind: "too large" }
+  /** The state service takes it as it is at no time. */
+  | { readonly kind: "rejected"; readonly reason: string };
 
-export const relayUpdate = (
-  state: StateClient,
-  me: string,
-  leaseId: number,
-  sync: SyncRequest,
-  limits: FragmentLimits,
-): Effect.Effect<RelayResult> => {
-  const pieces = toFragments(sync, limits);
-  if (pieces === null) return Effect.succeed("too large");
-  const puts = pieces.map((value, i) => ({ put: keys.memberUpdate(me, i), value, leaseId }));
+/** An update, and what it takes to leave it in the state service. */
+export interface Relay {
+  readonly state: StateClient;
+  readonly member: string;
+  readonly leaseId: number;
+  readonly update: SyncRequest;
+  readonly limits: FragmentLimits;
+}
+
+/** Leaves an update in the state service, on the member's lease. */
+export const relayUpdate = ({
+  state,
+  member,
+  leaseId,
+  update,
+  limits,
+}: Relay): Effect.Effect<RelayResult> => {
+  const fragments = toFragments(update, limits);
+  if (fragments === null) return Effect.succeed({ kind: "too large" });
+  const puts = fragments.map((value, index) => ({ put: keys.memberUpdate(member, index), value, leaseId }));
   return state.commit([], puts).pipe(
-    Effect.map((r): RelayResult => (r.ok === null ? { refused: r.error } : r.ok ? "posted" : "failed")),
-    Effect.orElseSucceed((): RelayResult => "failed"),
+    Effect.map((result): RelayResult => {
+      if (result.ok === null) return { kind: "rejected", reason: result.error };
+      return result.ok ? { kind: "relayed" } : { kind: "failed" };
+    }),
+    Effect.orElseSucceed((): RelayResult => ({ kind: "failed" })),
   );
 };
 
-/** Reads what members post, for as long as it runs. */
+/** The values of each update: those that one member wrote in one transaction, in the order of the events. */
+const valuesByTransaction = (events: readonly WatchEvent[]): Iterable<unknown[]> => {
+  const byTransaction = new Map<string, unknown[]>();
+  for (const { key, revision, value } of events) {
+    if (value === undefined) continue;
+    const transaction = `${key.split("/")[1]} ${revision}`;
+    const values = byTransaction.get(transaction);
+    if (values === undefined) byTransaction.set(transaction, [value]);
+    else values.push(value);
+  }
+  return byTransaction.values();
+};
+
+/** Reads the updates that members relay, for as long as it runs; what can't be read is logged and passed over. */
 export const receiveUpdates = (
   state: StateClient,
   log: Log,
-  received: (sync: SyncRequest) => void,
+  onUpdate: (update: SyncRequest) => void,
 ): Effect.Effect<never> =>
   Effect.gen(function* () {
-    // what was posted before is old news: the members tell a new leader everything
+    // what was relayed before is outdated: the members tell a new leader everything
     let { revision } = yield* state.list(keys.memberUpdates);
     for (;;) {
-      const got = yield* state.watch(keys.memberUpdates, revision, Duration.seconds(20));
-      revision = got.revision;
-      const byChange = new Map<string, Fragment[]>();
-      for (const event of got.events) {
-        if (event.value === undefined) continue;
-        const change = `${event.key.split("/")[1]} ${event.revision}`;
-        (byChange.get(change) ?? byChange.set(change, []).get(change)!).push(event.value as Fragment);
-      }
-      for (const pieces of byChange.values()) {
-        const sync = fromFragments(pieces);
-        if (sync === null) log.info("news that can't be read were ignored");
-        else received(sync);
+      const answer = yield* state.watch(keys.memberUpdates, revision, WATCH_TIMEOUT);
+      revision = answer.revision;
+      for (const values of valuesByTransaction(answer.events)) {
+        const update = fromFragments(values);
+        if (update === null) log.info({ revision }, "ignored a relayed update that can't be read");
+        else onUpdate(update);
       }
-      yield* Effect.sleep(Duration.millis(100));
+      yield* Effect.sleep(WATCH_PAUSE);
     }
   }).pipe(
-    Effect.catchAll(() => Effect.sleep(Duration.millis(500))),
+    Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
     Effect.forever,
   );
