--- /dev/null
+++ b/src/service/members/peer-client.ts
@@ -0,0 +1,144 @@
+/** Asks other controllers over Node's http, with Avro bodies. */
+import * as Duration from "effect/Duration";
+import * as Effect from "effect/Effect";
+import type { ReleaseRequest } from "#shards";
+import { call, type CallFailed, makeAgent } from "../../io/call.js";
+import {
+  type Codec,
+  type CommandDelivery,
+  commandDeliveryCodec,
+  type DeliveryReceipt,
+  deliveryReceiptCodec,
+  peerPaths,
+  type SyncRequest,
+  type SyncResponse,
+  syncResponseCodec,
+  syncRequestCodec,
+  type TermConfirmation,
+  termConfirmationCodec,
+  type TermConfirmationRequest,
+  termConfirmationRequestCodec,
+} from "../../io/peer-codec.js";
+import {
+  offerCodec,
+  type OperatorAnswer,
+  operatorAnswerCodec,
+  type OperatorRequest,
+  operatorRequestCodec,
+  refusalCodec,
+  type RefusalText,
+  releaseCodec,
+  shardPaths,
+  type ShardOffer,
+} from "../../io/shard-codec.js";
+import { PEER_CONTENT_TYPE } from "./peer-server.js";
+
+/** Connections to each other controller at most. */
+const MAX_CONNECTIONS = 8;
+
+/** One kind of request: its path, how it and its answer are encoded, and how long the answer may take. */
+interface Endpoint<Request, Answer> {
+  readonly path: string;
+  readonly request: Codec<Request>;
+  readonly answer: Codec<Answer>;
+  readonly timeout: Duration.Duration;
+}
+
+const SYNC: Endpoint<SyncRequest, SyncResponse> = {
+  path: peerPaths.sync,
+  request: syncRequestCodec,
+  answer: syncResponseCodec,
+  timeout: Duration.seconds(1.5),
+};
+const CONFIRM_TERM: Endpoint<TermConfirmationRequest, TermConfirmation> = {
+  path: peerPaths.confirmTerm,
+  request: termConfirmationRequestCodec,
+  answer: termConfirmationCodec,
+  timeout: Duration.seconds(1),
+};
+const DELIVER: Endpoint<CommandDelivery, DeliveryReceipt> = {
+  path: peerPaths.deliver,
+  request: commandDeliveryCodec,
+  answer: deliveryReceiptCodec,
+  timeout: Duration.seconds(2),
+};
+const OFFER_SHARD: Endpoint<ShardOffer, RefusalText> = {
+  path: shardPaths.offer,
+  request: offerCodec,
+  answer: refusalCodec,
+  timeout: Duration.seconds(2.5),
+};
+const RELEASE_SHARD: Endpoint<ReleaseRequest, RefusalText> = {
+  path: shardPaths.release,
+  request: releaseCodec,
+  answer: refusalCodec,
+  timeout: Duration.seconds(1),
+};
+const OPERATE: Endpoint<OperatorRequest, OperatorAnswer> = {
+  path: shardPaths.operate,
+  request: operatorRequestCodec,
+  answer: operatorAnswerCodec,
+  timeout: Duration.seconds(2),
+};
+
+/**
+ * The other controllers. An answer is null when the member isn't known or answers anything but 200; a request without
+ * an answer in time fails.
+ */
+export class Peers {
+  private readonly agent = makeAgent(MAX_CONNECTIONS);
+  private readonly addresses: ReadonlyMap<string, string>;
+
+  constructor(peers: readonly { member: string; addr: string }[]) {
+    this.addresses = new Map(peers.map(({ member, addr }) => [member, addr]));
+  }
+
+  private ask<Request, Answer>(
+    member: string,
+    { path, request, answer, timeout }: Endpoint<Request, Answer>,
+    value: Request,
+  ): Effect.Effect<Answer | null, CallFailed> {
+    const addr = this.addresses.get(member);
+    if (addr === undefined) return Effect.succeed(null);
+    return Effect.suspend(() =>
+      call(this.agent, {
+        ...{ addr, method: "POST", path, timeout },
+        body: request.encode(value),
+        type: PEER_CONTENT_TYPE,
+      }),
+    ).pipe(Effect.map((reply) => (reply.status === 200 ? answer.decode(reply.body) : null)));
+  }
+
+  /** Tells the leader what this member learned. */
+  sync(member: string, request: SyncRequest): Effect.Effect<SyncResponse | null, CallFailed> {
+    return this.ask(member, SYNC, request);
+  }
+
+  /** Whether that member knows of no newer term (S11); false also when there is no answer. */
+  confirmTerm(member: string, termNumber: number): Effect.Effect<boolean> {
+    return this.ask(member, CONFIRM_TERM, { termNumber }).pipe(
+      Effect.map((answer) => answer?.knowsNoNewerTerm ?? false),
+      Effect.orElseSucceed(() => false),
+    );
+  }
+
+  /** Sends the leader's commands by the member that answers their workers. */
+  deliver(member: string, delivery: CommandDelivery): Effect.Effect<DeliveryReceipt | null, CallFailed> {
+    return this.ask(member, DELIVER, delivery);
+  }
+
+  /** Offers a shard to a member (S15). */
+  offerShard(member: string, offer: ShardOffer): Effect.Effect<RefusalText | null, CallFailed> {
+    return this.ask(member, OFFER_SHARD, offer);
+  }
+
+  /** Asks a member to give up a shard (S15). */
+  releaseShard(member: string, request: ReleaseRequest): Effect.Effect<RefusalText | null, CallFailed> {
+    return this.ask(member, RELEASE_SHARD, request);
+  }
+
+  /** Passes an operator's request on to the leader. */
+  operate(member: string, request: OperatorRequest): Effect.Effect<OperatorAnswer | null, CallFailed> {
+    return this.ask(member, OPERATE, request);
+  }
+}
--- /dev/null
+++ b/src/service/members/peer-server.ts
@@ -0,0 +1,127 @@
+/** Answers other controllers over Node's http, with Avro bodies. */
+import http from "node:http";
+import * as Effect from "effect/Effect";
+import type { ReleaseRequest } from "#shards";
+import {
+  type CommandDelivery,
+  commandDeliveryCodec,
+  type DeliveryReceipt,
+  deliveryReceiptCodec,
+  peerPaths,
+  type SyncRequest,
+  type SyncResponse,
+  syncResponseCodec,
+  syncRequestCodec,
+  type TermConfirmation,
+  termConfirmationCodec,
+  type TermConfirmationRequest,
+  termConfirmationRequestCodec,
+} from "../../io/peer-codec.js";
+import { listen, readBody } from "../../io/server.js";
+import {
+  offerCodec,
+  type OperatorAnswer,
+  operatorAnswerCodec,
+  type OperatorRequest,
+  operatorRequestCodec,
+  refusalCodec,
+  type RefusalText,
+  releaseCodec,
+  shardPaths,
+  type ShardOffer,
+} from "../../io/shard-codec.js";
+
+/** The content type of messages between controllers. */
+export const PEER_CONTENT_TYPE = "avro/binary";
+const MAX_BODY_BYTES = 4 * 1024 * 1024;
+const MAX_CONNECTIONS = 256;
+
+/** What a controller answers others. */
+export interface PeerHandlers {
+  /** A member's update for the leader. */
+  sync(request: SyncRequest): SyncResponse;
+  /** Commands of the leader's for workers that this member answers. */
+  deliver(delivery: CommandDelivery): Effect.Effect<DeliveryReceipt>;
+  /** Whether this node knows of no newer term than the one asked about (S11). */
+  confirmTerm(request: TermConfirmationRequest): TermConfirmation;
+  /** null: shards aren't known here. */
+  readonly shards: ShardHandlers | null;
+}
+
+/** What a controller that knows shards answers (S15). */
+export interface ShardHandlers {
+  /** The leader offers this member a shard. */
+  offer(offer: ShardOffer): Effect.Effect<RefusalText>;
+  /** The leader asks this member to give up a shard. */
+  release(request: ReleaseRequest): Effect.Effect<RefusalText>;
+  /** An operator's request that another controller passes on. */
+  operate(request: OperatorRequest): Effect.Effect<OperatorAnswer>;
+}
+
+/** An encoded answer, now or later. */
+type Answer = Buffer | Effect.Effect<Buffer>;
+
+/** Throws when the body can't be decoded; null: there is no such path. */
+const answerAboutShards = (
+  path: string | undefined,
+  body: Buffer,
+  handlers: ShardHandlers,
+): Answer | null => {
+  switch (path) {
+    case shardPaths.offer:
+      return Effect.map(handlers.offer(offerCodec.decode(body)), refusalCodec.encode);
+    case shardPaths.release:
+      return Effect.map(handlers.release(releaseCodec.decode(body)), refusalCodec.encode);
+    case shardPaths.operate:
+      return Effect.map(handlers.operate(operatorRequestCodec.decode(body)), operatorAnswerCodec.encode);
+    default:
+      return null;
+  }
+};
+
+/** Throws when the body can't be decoded; null: there is no such path. */
+const answerTo = (path: string | undefined, body: Buffer, handlers: PeerHandlers): Answer | null => {
+  switch (path) {
+    case peerPaths.sync:
+      return syncResponseCodec.encode(handlers.sync(syncRequestCodec.decode(body)));
+    case peerPaths.confirmTerm:
+      return termConfirmationCodec.encode(handlers.confirmTerm(termConfirmationRequestCodec.decode(body)));
+    case peerPaths.deliver:
+      return Effect.map(handlers.deliver(commandDeliveryCodec.decode(body)), deliveryReceiptCodec.encode);
+    default:
+      return handlers.shards === null ? null : answerAboutShards(path, body, handlers.shards);
+  }
+};
+
+const respond = (
+  path: string | undefined,
+  body: Buffer,
+  handlers: PeerHandlers,
+  response: http.ServerResponse,
+): void => {
+  const send = (encoded: Buffer): void => {
+    response
+      .writeHead(200, { "content-type": PEER_CONTENT_TYPE, "content-length": encoded.length })
+      .end(encoded);
+  };
+  try {
+    const answer = answerTo(path, body, handlers);
+    if (answer === null) response.writeHead(404).end();
+    else if (Buffer.isBuffer(answer)) send(answer);
+    else Effect.runFork(Effect.map(answer, send));
+  } catch {
+    // not our protocol, or a message cut short
+    response.writeHead(400).end();
+  }
+};
+
+/** Listens at `bind` for other controllers; fails when the socket can't be bound. */
+export const servePeers = (bind: string, handlers: PeerHandlers): Effect.Effect<http.Server, Error> => {
+  const server = http.createServer((request, response) => {
+    readBody(request, MAX_BODY_BYTES, (body) => {
+      if (body === null) response.writeHead(400).end();
+      else respond(request.url, body, handlers, response);
+    });
+  });
+  return listen(server, bind, MAX_CONNECTIONS);
+};
