--- a/src/core/members/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -1,6 +1,6 @@
 /**
- * A member's finished tasks, by job, until the job is over: which are still to be stored, and of which stored ones the
- * leader has not heard yet. A finish is forgotten nowhere else before it is stored (S7).
+ * A member's finished tasks, by job, until the job is over: which are still to be stored, and which stored ones the
+ * leader hasn't been told of yet. A finish is forgotten nowhere else before it is stored (S7).
  */
 import * as Duration from "effect/Duration";
 import type { StoredFinishes } from "./member-update.js";
@@ -8,169 +8,214 @@
 import { keys } from "../records.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
+/** Finishes of a job that isn't known here as open are given up after so long. */
 const GIVE_UP_AFTER = Duration.seconds(30);
 /** A write that the state service refuses as it is gives way to other jobs' for so long. */
 const REFUSED_PAUSE = Duration.seconds(30);
+/** Several times as many as may be unfinished at once. */
 const MAX_JOBS = 20_000;
 
 interface Finishes {
   readonly known: RangeSet;
   readonly stored: RangeSet;
-  /** Stored, and the leader has not heard of it. */
-  untold: RangeSet;
+  /** Stored, and the leader hasn't been told. */
+  unreported: RangeSet;
   /** What the last successful write of each chunk held. */
   readonly written: Map<number, string>;
   /** Since when a finish waits to be stored. */
-  since: Instant | null;
-  writing: boolean;
+  waitingSince: Instant | null;
+  isWriting: boolean;
   /** Whether the state service refused its last write, which held nothing else. */
-  refused: boolean;
+  isRefused: boolean;
   /** Writes that failed, or that may be carried out yet. */
-  unanswered: number;
+  unansweredWrites: number;
+}
+
+const noFinishes = (): Finishes => ({
+  known: new RangeSet(),
+  stored: new RangeSet(),
+  unreported: new RangeSet(),
+  written: new Map(),
+  waitingSince: null,
+  isWriting: false,
+  isRefused: false,
+  unansweredWrites: 0,
+});
+
+/** One range record that is to be written. */
+export interface FinishPut {
+  readonly key: string;
+  /** Which window of task numbers it holds. */
+  readonly chunk: number;
+  /** Its ranges as text, to compare with what was written before. */
+  readonly text: string;
+  readonly ranges: Range[];
 }
 
 /** The writes of one job that are to be made, or were. */
 export interface FinishWrite {
   readonly job: string;
-  readonly puts: { key: string; chunk: number; text: string; ranges: Range[] }[];
+  readonly puts: FinishPut[];
 }
 
-/** What became of one job's writes: `over`: its commit exists; `refused`: not to be sent like this again. */
+/**
+ * What became of one job's writes: `stored`; `over`: its commit exists, so they aren't needed; `failed`: not carried out,
+ * or may be yet; `refused`: not to be sent like this again.
+ */
 export type StoreResult = "stored" | "over" | "failed" | "refused";
 
+/** The finishes of all jobs that this member heard of. */
 export class FinishStore {
-  private readonly finishes = new Map<string, Finishes>();
-  private readonly unstored = new Set<string>();
-  private readonly untold = new Set<string>();
+  private readonly finishesByJob = new Map<string, Finishes>();
+  private readonly unstoredJobs = new Set<string>();
+  private readonly unreportedJobs = new Set<string>();
 
   constructor(
+    /** Bytes that one range record may have. */
     private readonly valueBytes: number,
     /** How long a finish may wait for others of its job before it is stored. */
-    private readonly gather: Duration.Duration,
+    private readonly gatherTime: Duration.Duration,
   ) {}
 
-  /** Whether there are stored finishes that the leader hasn't heard of. */
-  get hasUntold(): boolean {
-    return this.untold.size > 0;
+  /** Whether there are stored finishes that the leader hasn't been told of. */
+  get hasUnreported(): boolean {
+    return this.unreportedJobs.size > 0;
   }
 
-  /** Another leader knows of none of them. */
-  tellAllAnew(): void {
-    for (const [job, finishes] of this.finishes)
+  /** Another leader knows of none of them: all that is stored is reported anew. */
+  reportAllAnew(): void {
+    for (const [job, finishes] of this.finishesByJob)
       if (finishes.stored.size > 0) {
-        finishes.untold = RangeSet.of(finishes.stored.ranges());
-        this.untold.add(job);
+        finishes.unreported = RangeSet.of(finishes.stored.ranges());
+        this.unreportedJobs.add(job);
       }
   }
 
   /** A worker reported a task as done. */
   finished(job: string, index: number, now: Instant): void {
-    let finishes = this.finishes.get(job);
+    let finishes = this.finishesByJob.get(job);
     if (finishes === undefined) {
-      if (this.finishes.size >= MAX_JOBS) return;
-      finishes = {
-        known: new RangeSet(),
-        stored: new RangeSet(),
-        untold: new RangeSet(),
-        written: new Map(),
-        since: null,
-        writing: false,
-        refused: false,
-        unanswered: 0,
-      };
-      this.finishes.set(job, finishes);
+      if (this.finishesByJob.size >= MAX_JOBS) return;
+      finishes = noFinishes();
+      this.finishesByJob.set(job, finishes);
     }
     if (finishes.known.has(index)) return;
     finishes.known.add(index);
-    finishes.since ??= now;
-    this.unstored.add(job);
+    finishes.waitingSince ??= now;
+    this.unstoredJobs.add(job);
   }
 
   /** The job has its commit, or its record is gone: its finishes are of no more use. */
   jobOver(job: string): void {
-    this.finishes.delete(job);
-    this.unstored.delete(job);
-    this.untold.delete(job);
+    this.finishesByJob.delete(job);
+    this.unstoredJobs.delete(job);
+    this.unreportedJobs.delete(job);
   }
 
   /**
-   * Finishes to be stored now, at most `most` puts; each job's writes are under way until answered. Those of jobs that
-   * aren't open (over, or not heard of yet) wait, and are given up in the end.
+   * Finishes to be stored now, at most `maxPuts` puts; each job's writes are under way until answered. Those of jobs
+   * that aren't open (over, or not heard of yet) wait, and are given up in the end.
    */
-  toStore(writer: string, most: number, now: Instant, isOpen: (job: string) => boolean): FinishWrite[] {
-    const out: FinishWrite[] = [];
-    let room = most;
-    // what was refused by itself comes last and alone: in one write with others it would hold them up again
-    const refused = [...this.unstored].filter((job) => this.finishes.get(job)!.refused);
-    const others = [...this.unstored].filter((job) => !this.finishes.get(job)!.refused);
-    for (const job of [...others, ...refused]) {
-      const finishes = this.finishes.get(job)!;
-      if (room <= 0 || (finishes.refused && out.length > 0)) break;
-      if (finishes.writing || finishes.since === null || !hasElapsed(now, finishes.since, this.gather))
+  toStore(writer: string, maxPuts: number, now: Instant, isOpen: (job: string) => boolean): FinishWrite[] {
+    const writes: FinishWrite[] = [];
+    let room = maxPuts;
+    for (const [job, finishes] of this.unstoredInOrder()) {
+      if (room <= 0 || (finishes.isRefused && writes.length > 0)) break;
+      const { waitingSince } = finishes;
+      if (finishes.isWriting || waitingSince === null || !hasElapsed(now, waitingSince, this.gatherTime))
         continue;
-      if (finishes.refused) room = 1;
+      if (finishes.isRefused) room = 1;
       if (!isOpen(job)) {
-        if (hasElapsed(now, finishes.since, GIVE_UP_AFTER)) this.jobOver(job);
+        if (hasElapsed(now, waitingSince, GIVE_UP_AFTER)) this.jobOver(job);
         continue;
       }
-      const puts: FinishWrite["puts"] = [];
-      // a write without an answer may be carried out after newer ones: no later one goes to its key
-      const by = finishes.unanswered === 0 ? writer : `${writer}.${finishes.unanswered}`;
-      for (const [chunk, ranges] of windows(finishes.known.ranges(), this.valueBytes)) {
-        const text = JSON.stringify(ranges);
-        if (finishes.written.get(chunk) !== text && puts.length < room)
-          puts.push({ key: keys.rangesOf(job, by, chunk), chunk, text, ranges });
-      }
+      const puts = this.putsOf(job, finishes, writer, room);
       if (puts.length === 0) continue;
-      finishes.writing = true;
+      finishes.isWriting = true;
       room -= puts.length;
-      out.push({ job, puts });
+      writes.push({ job, puts });
+    }
+    return writes;
+  }
+
+  /** What was refused by itself comes last and alone: in one write with others it would hold them up again. */
+  private unstoredInOrder(): [job: string, finishes: Finishes][] {
+    const others: [string, Finishes][] = [];
+    const refused: [string, Finishes][] = [];
+    for (const job of this.unstoredJobs) {
+      const finishes = this.finishesByJob.get(job);
+      if (finishes !== undefined) (finishes.isRefused ? refused : others).push([job, finishes]);
+    }
+    return [...others, ...refused];
+  }
+
+  private putsOf(job: string, finishes: Finishes, writer: string, maxPuts: number): FinishPut[] {
+    const { unansweredWrites } = finishes;
+    // a write without an answer may be carried out after newer ones: no later one goes to its key
+    const keyWriter = unansweredWrites === 0 ? writer : `${writer}.${unansweredWrites}`;
+    const puts: FinishPut[] = [];
+    for (const [chunk, ranges] of windows(finishes.known.ranges(), this.valueBytes)) {
+      const text = JSON.stringify(ranges);
+      if (finishes.written.get(chunk) !== text && puts.length < maxPuts)
+        puts.push({ key: keys.rangesOf(job, keyWriter, chunk), chunk, text, ranges });
     }
-    return out;
+    return puts;
   }
 
   /** The answer to one job's writes. */
   storeAnswered(write: FinishWrite, result: StoreResult, now: Instant): void {
-    const finishes = this.finishes.get(write.job);
+    const finishes = this.finishesByJob.get(write.job);
     if (finishes === undefined) return;
-    finishes.writing = false;
-    if (result === "over") this.jobOver(write.job);
-    if (result === "failed") finishes.unanswered++;
-    if (result === "refused") {
-      finishes.refused = true;
-      finishes.since = plus(now, REFUSED_PAUSE);
+    finishes.isWriting = false;
+    switch (result) {
+      case "over":
+        return this.jobOver(write.job);
+      case "failed":
+        finishes.unansweredWrites++;
+        return;
+      case "refused":
+        finishes.isRefused = true;
+        finishes.waitingSince = plus(now, REFUSED_PAUSE);
+        return;
+      case "stored":
+        return this.stored(write, finishes, now);
     }
-    if (result !== "stored") return;
-    finishes.refused = false;
+  }
+
+  private stored(write: FinishWrite, finishes: Finishes, now: Instant): void {
+    finishes.isRefused = false;
     for (const put of write.puts) {
       finishes.written.set(put.chunk, put.text);
       for (const [from, to] of put.ranges)
-        for (let n = from; n < to; n++)
-          if (!finishes.stored.has(n)) {
-            finishes.stored.add(n);
-            finishes.untold.add(n);
+        for (let index = from; index < to; index++)
+          if (!finishes.stored.has(index)) {
+            finishes.stored.add(index);
+            finishes.unreported.add(index);
           }
     }
-    this.untold.add(write.job);
-    finishes.since = finishes.known.size > finishes.stored.size ? now : null;
-    if (finishes.since === null) this.unstored.delete(write.job);
+    this.unreportedJobs.add(write.job);
+    finishes.waitingSince = finishes.known.size > finishes.stored.size ? now : null;
+    if (finishes.waitingSince === null) this.unstoredJobs.delete(write.job);
   }
 
-  /** Stored finishes that the leader hasn't heard of, in up to `most` ranges. What isn't delivered is put back. */
-  takeUntold(most: number): StoredFinishes[] {
-    let room = most;
-    const taken: { job: string; ranges: Range[] }[] = [];
-    for (const job of this.untold) {
+  /**
+   * Stored finishes that the leader hasn't been told of, in up to `maxRanges` ranges. What isn't delivered is put back
+   * with `putBack`.
+   */
+  takeUnreported(maxRanges: number): StoredFinishes[] {
+    let room = maxRanges;
+    const taken: StoredFinishes[] = [];
+    for (const job of this.unreportedJobs) {
       if (room <= 0) break;
-      this.untold.delete(job);
-      const finishes = this.finishes.get(job);
+      this.unreportedJobs.delete(job);
+      const finishes = this.finishesByJob.get(job);
       if (finishes === undefined) continue;
-      const all = finishes.untold.ranges();
-      const told = all.slice(0, room);
-      room -= told.length;
-      taken.push({ job, ranges: told });
-      finishes.untold = RangeSet.of(all.slice(told.length));
-      if (finishes.untold.size > 0) this.untold.add(job);
+      const all = finishes.unreported.ranges();
+      const ranges = all.slice(0, room);
+      room -= ranges.length;
+      taken.push({ job, ranges });
+      finishes.unreported = RangeSet.of(all.slice(ranges.length));
+      if (finishes.unreported.size > 0) this.unreportedJobs.add(job);
     }
     return taken;
   }
@@ -178,10 +223,10 @@
   /** These didn't reach the leader. */
   putBack(stored: readonly StoredFinishes[]): void {
     for (const { job, ranges } of stored) {
-      const finishes = this.finishes.get(job);
+      const finishes = this.finishesByJob.get(job);
       if (finishes === undefined) continue;
-      for (const [from, to] of ranges) finishes.untold.add(from, to);
-      this.untold.add(job);
+      for (const [from, to] of ranges) finishes.unreported.add(from, to);
+      this.unreportedJobs.add(job);
     }
   }
 }
--- a/src/core/members/worker-partition.ts
+++ b/src/core/members/worker-partition.ts
@@ -1,18 +1,22 @@
 /**
- * A member's part: which workers it takes in, when it last heard and answered them, and what the leader has not heard
- * yet. Pure: events in, decisions out.
+ * The workers that one member answers: which it takes in, when it last heard and answered them, and what the leader
+ * hasn't been told of them yet. Pure: events in, decisions out.
  */
 import * as Duration from "effect/Duration";
 import type { CommandOutcome } from "../scheduler/decisions.js";
 import { FinishStore } from "./finish-store.js";
 import type { AgedHeartbeat, MemberUpdate, CommandResult, WorkerContact } from "./member-update.js";
-import type { Command, TermRecord, Heartbeat } from "../records.js";
-import { type Instant, hasElapsed } from "../time.js";
+import type { Command, Heartbeat, TaskStatus, TermRecord } from "../records.js";
+import { type Instant, hasElapsed, instant } from "../time.js";
 import { fencingTokenForAnswer, ownerOf } from "../leases/term.js";
 
+/** What a worker's heartbeat is answered with. */
 export type HeartbeatAnswer =
+  /** The worker's lease is renewed under this token; the commands stop tasks of jobs that are over. */
   | { kind: "taken"; fencingToken: number; stopCommands: Command[] }
+  /** Another member answers this worker. */
   | { kind: "elsewhere"; member: string | null }
+  /** This node may not answer workers now, or isn't in the term: the worker tries another or comes again. */
   | { kind: "unsure" };
 
 interface Worker {
@@ -21,80 +25,82 @@
   lastAnswerAt: Instant | null;
 }
 
+/** A worker that comes back within this time after it was redirected is taken in. */
 const COMES_BACK_WITHIN = Duration.seconds(30);
-/** News of other kinds that go with each heartbeat when little fits into a message. */
-const A_REPORT = 4;
+/** Items of each other kind that go with each heartbeat when little fits into a message. */
+const ITEMS_PER_HEARTBEAT = 4;
 /** Tasks in the heartbeats of one message: a new leader is told everything, which doesn't fit into one (4 MiB). */
-const TASKS_IN_NEWS = 8000;
+const MAX_TASKS_IN_UPDATE = 8000;
 /** What a heartbeat without tasks takes, counted in tasks. */
-const REPORT_ALONE = 4;
-/** Machines that were told of another member: several times as many as there may be. */
-const MAX_SENT_AWAY = 20_000;
+const HEARTBEAT_WEIGHT = 4;
+/** Machines that were redirected to another member: several times as many as there may be. */
+const MAX_REDIRECTED = 20_000;
+
+const isSameStatus = (status: TaskStatus, other: TaskStatus | undefined): boolean =>
+  status.state === other?.state &&
+  status.index === other.index &&
+  status.attempt === other.attempt &&
+  status.exitReason === other.exitReason &&
+  status.job === other.job;
 
 /** Whether a newer heartbeat says nothing that the leader needs to hear. */
-const isUnchanged = (heartbeat: Heartbeat, b: Heartbeat): boolean =>
-  heartbeat.workerEpoch === b.workerEpoch &&
-  heartbeat.fencingToken === b.fencingToken &&
-  heartbeat.addr === b.addr &&
-  (heartbeat.reclaimNoticeSeconds === null) === (b.reclaimNoticeSeconds === null) &&
-  heartbeat.tasks.length === b.tasks.length &&
-  heartbeat.tasks.every((task, i) => {
-    const status = b.tasks[i]!;
-    return (
-      task.state === status.state &&
-      task.index === status.index &&
-      task.attempt === status.attempt &&
-      task.exitReason === status.exitReason &&
-      task.job === status.job
-    );
-  });
-
-/** The name of the member that answers a machine's reports; null: there is none. */
+const isUnchanged = (last: Heartbeat, heartbeat: Heartbeat): boolean =>
+  last.workerEpoch === heartbeat.workerEpoch &&
+  last.fencingToken === heartbeat.fencingToken &&
+  last.addr === heartbeat.addr &&
+  (last.reclaimNoticeSeconds === null) === (heartbeat.reclaimNoticeSeconds === null) &&
+  last.tasks.length === heartbeat.tasks.length &&
+  last.tasks.every((status, position) => isSameStatus(status, heartbeat.tasks[position]));
+
+/** The name of the member that answers a machine's heartbeats; null: there is none. */
 export type OwnerLookup = (term: TermRecord, machine: string, zone: string) => string | null;
 
 const rendezvousLookup: OwnerLookup = (term, machine, zone) => ownerOf(term, machine, zone)?.name ?? null;
 
+/** One member's view of its workers. */
 export class WorkerPartition {
+  /** The newest term that `setTerm` was told of; null: none yet. */
   term: TermRecord | null = null;
   /** Where explicit ownership is used, it takes the place of the rendezvous hash. */
   ownerName: OwnerLookup = rendezvousLookup;
   private readonly workers = new Map<string, Worker>();
-  /** Machines that were told of another member, of which, and when. */
+  /** Machines that were redirected to another member, to which, and when. */
   private readonly redirected = new Map<string, { readonly to: string; readonly at: Instant }>();
   /** Machines that can't reach the member that they belong to, and which that is. */
   private readonly adopted = new Map<string, string>();
-  /** Workers whose report the leader has not heard; the same for when they were heard and answered. */
+  /** Workers whose heartbeat the leader hasn't been told; the same for when they were heard and answered. */
   private readonly unsentHeartbeats = new Set<string>();
   private readonly unsentContacts = new Set<string>();
   /** Finished tasks, until their jobs are over. */
   readonly finishes: FinishStore;
-  private outcomes: CommandResult[] = [];
+  /** Outcomes of command batches that the leader hasn't been told. */
+  private commandResults: CommandResult[] = [];
 
   constructor(
     readonly member: string,
     valueBytes: number,
     /** How long a finish may wait for others of its job before it is stored. */
-    gather: Duration.Duration,
+    gatherTime: Duration.Duration,
   ) {
-    this.finishes = new FinishStore(valueBytes, gather);
+    this.finishes = new FinishStore(valueBytes, gatherTime);
   }
 
   /** A new term. Another leader, or one that takes this process for another, is told everything anew. */
   setTerm(term: TermRecord): void {
-    const incarnation = (t: TermRecord | null): number | undefined =>
-      t?.members.find((member) => member.name === this.member)?.incarnation;
-    const same =
-      this.term?.leaderRevision === term.leaderRevision && incarnation(this.term) === incarnation(term);
+    const incarnationIn = (record: TermRecord | null): number | undefined =>
+      record?.members.find((member) => member.name === this.member)?.incarnation;
+    const isSameLeader =
+      this.term?.leaderRevision === term.leaderRevision && incarnationIn(this.term) === incarnationIn(term);
     this.term = term;
     this.adopted.clear();
     this.redirected.clear();
-    if (same) return;
-    this.outcomes = [];
+    if (isSameLeader) return;
+    this.commandResults = [];
     for (const [machine, worker] of this.workers) {
       this.unsentContacts.add(machine);
       if (worker.heartbeat !== null) this.unsentHeartbeats.add(machine);
     }
-    this.finishes.tellAllAnew();
+    this.finishes.reportAllAnew();
   }
 
   private worker(machine: string): Worker {
@@ -106,30 +112,43 @@
     return worker;
   }
 
-  /** A worker's own heartbeat. `entitled`: this node's fence window is open; `isOver`: this job has its commit. */
+  /**
+   * The member that a worker has to be redirected to; null: it is taken in here. One that came back although it was
+   * redirected can't reach its member, and is taken in until the next term.
+   */
+  private redirectTarget(term: TermRecord, { machine, zone }: Heartbeat, now: Instant): string | null {
+    const owner = this.ownerName(term, machine, zone);
+    if (owner === null || owner === this.member || this.adopted.get(machine) === owner) return null;
+    const redirected = this.redirected.get(machine);
+    if (redirected?.to === owner && !hasElapsed(now, redirected.at, COMES_BACK_WITHIN)) {
+      this.adopted.set(machine, owner);
+      return null;
+    }
+    this.redirected.set(machine, { to: owner, at: now });
+    if (this.redirected.size > MAX_REDIRECTED) {
+      const [oldest] = this.redirected.keys();
+      if (oldest !== undefined) this.redirected.delete(oldest);
+    }
+    return owner;
+  }
+
+  /**
+   * A worker's own heartbeat. `mayAnswer`: this node may answer workers now (S1, S11); `incarnation`: this process's, as
+   * a term must name it; `isOver`: this job has its commit.
+   */
   handleHeartbeat(
     heartbeat: Heartbeat,
-    entitled: boolean,
+    mayAnswer: boolean,
     incarnation: number,
     now: Instant,
     isOver: (job: string) => boolean = () => false,
   ): HeartbeatAnswer {
-    const term = this.term;
-    if (!entitled || term === null) return { kind: "unsure" };
+    const { term } = this;
+    if (!mayAnswer || term === null) return { kind: "unsure" };
     if (!term.members.some((member) => member.name === this.member && member.incarnation === incarnation))
       return { kind: "unsure" };
-    const owner = this.ownerName(term, heartbeat.machine, heartbeat.zone);
-    if (owner !== null && owner !== this.member && this.adopted.get(heartbeat.machine) !== owner) {
-      const away = this.redirected.get(heartbeat.machine);
-      if (away?.to !== owner || hasElapsed(now, away.at, COMES_BACK_WITHIN)) {
-        this.redirected.set(heartbeat.machine, { to: owner, at: now });
-        if (this.redirected.size > MAX_SENT_AWAY)
-          this.redirected.delete(this.redirected.keys().next().value!);
-        return { kind: "elsewhere", member: owner };
-      }
-      // it came back: it can't reach the part's member, so it is taken in
-      this.adopted.set(heartbeat.machine, owner);
-    }
+    const target = this.redirectTarget(term, heartbeat, now);
+    if (target !== null) return { kind: "elsewhere", member: target };
     this.recordHeartbeat(heartbeat, now);
     // a late copy is answered as well, and the proof by time must reckon with that; it is no sign of life
     this.worker(heartbeat.machine).lastAnswerAt = now;
@@ -151,7 +170,7 @@
     };
   }
 
-  /** A heartbeat from a beat or from the answer to commands. */
+  /** A heartbeat, be it a worker's own or the answer to commands. One that isn't newer than the last changes nothing. */
   recordHeartbeat(heartbeat: Heartbeat, now: Instant): void {
     const worker = this.worker(heartbeat.machine);
     const last = worker.heartbeat;
@@ -164,7 +183,7 @@
     worker.lastHeartbeatAt = now;
     this.unsentContacts.add(heartbeat.machine);
     if (last !== null && isUnchanged(last, heartbeat)) {
-      // most reports say nothing new: what they are made of needn't outlive them
+      // most heartbeats say nothing new: what they are made of needn't outlive them
       worker.heartbeat = { ...heartbeat, tasks: last.tasks };
       return;
     }
@@ -178,7 +197,7 @@
   /** Forgets workers that have not come for long. */
   prune(now: Instant, after: Duration.Duration): void {
     for (const [machine, worker] of this.workers) {
-      const last = Math.max(worker.lastAnswerAt ?? 0, worker.lastHeartbeatAt ?? 0) as Instant;
+      const last = instant(Math.max(worker.lastAnswerAt ?? 0, worker.lastHeartbeatAt ?? 0));
       if (!hasElapsed(now, last, after)) continue;
       this.workers.delete(machine);
       this.unsentHeartbeats.delete(machine);
@@ -186,9 +205,10 @@
     }
   }
 
+  /** A batch of the leader's commands has its outcome; `heartbeat`: what the worker answered with, if it did. */
   commandsAnswered(id: number, outcome: CommandOutcome, heartbeat: Heartbeat | null, now: Instant): void {
     if (heartbeat !== null) this.recordHeartbeat(heartbeat, now);
-    this.outcomes.push({
+    this.commandResults.push({
       id,
       outcome,
       workerEpoch: heartbeat?.workerEpoch ?? 0,
@@ -196,29 +216,29 @@
     });
   }
 
-  /** Reports for one message; the others go with the next ones. */
-  private takeHeartbeats(now: Instant, most: number): AgedHeartbeat[] {
+  /** Heartbeats for one message; the others go with the next ones. */
+  private takeHeartbeats(now: Instant, maxHeartbeats: number): AgedHeartbeat[] {
     const heartbeats: AgedHeartbeat[] = [];
-    let room = TASKS_IN_NEWS;
+    let room = MAX_TASKS_IN_UPDATE;
     for (const machine of this.unsentHeartbeats) {
-      if (heartbeats.length >= most || room <= 0) break;
+      if (heartbeats.length >= maxHeartbeats || room <= 0) break;
       this.unsentHeartbeats.delete(machine);
       const { heartbeat, lastHeartbeatAt } = this.worker(machine);
       if (heartbeat === null) continue;
       heartbeats.push({ heartbeat, ageMs: Math.max(0, now - (lastHeartbeatAt ?? now)) });
-      room -= REPORT_ALONE + heartbeat.tasks.length;
+      room -= HEARTBEAT_WEIGHT + heartbeat.tasks.length;
     }
     return heartbeats;
   }
 
-  /** What the leader has not heard yet, at most so much. What isn't delivered is put back with `putBack`. */
-  takeUpdate(now: Instant, mostReports = Infinity): MemberUpdate {
-    const most = mostReports * A_REPORT;
-    const heartbeats = this.takeHeartbeats(now, mostReports);
+  /** What the leader hasn't been told yet, at most so much. What isn't delivered is put back with `putBack`. */
+  takeUpdate(now: Instant, maxHeartbeats = Infinity): MemberUpdate {
+    const maxItems = maxHeartbeats * ITEMS_PER_HEARTBEAT;
+    const heartbeats = this.takeHeartbeats(now, maxHeartbeats);
     const age = (at: Instant | null): number => (at === null ? -1 : Math.max(0, now - at));
     const contacts: WorkerContact[] = [];
     for (const machine of this.unsentContacts) {
-      if (contacts.length >= most) break;
+      if (contacts.length >= maxItems) break;
       this.unsentContacts.delete(machine);
       const worker = this.workers.get(machine);
       if (worker !== undefined)
@@ -228,27 +248,29 @@
           heartbeatAgeMs: age(worker.lastHeartbeatAt),
         });
     }
-    const storedFinishes = this.finishes.takeUntold(most);
-    const commandResults = this.outcomes.slice(0, most);
-    this.outcomes = this.outcomes.slice(commandResults.length);
+    const storedFinishes = this.finishes.takeUnreported(maxItems);
+    const commandResults = this.commandResults.slice(0, maxItems);
+    this.commandResults = this.commandResults.slice(commandResults.length);
     return { heartbeats, contacts, storedFinishes, commandResults };
   }
 
-  /** Whether the last news named every worker answered before; only then may the member vouch for the others. */
+  /** Whether the last update named every worker answered before; only then does it prove anything of the others (S3). */
   isUpdateComplete(): boolean {
     return this.unsentContacts.size === 0;
   }
 
-  putBack(news: MemberUpdate): void {
-    for (const { heartbeat } of news.heartbeats)
+  /** This update didn't reach the leader. */
+  putBack(update: MemberUpdate): void {
+    for (const { heartbeat } of update.heartbeats)
       if (this.workers.has(heartbeat.machine)) this.unsentHeartbeats.add(heartbeat.machine);
-    for (const { machine } of news.contacts) if (this.workers.has(machine)) this.unsentContacts.add(machine);
-    this.finishes.putBack(news.storedFinishes);
-    this.outcomes = [...news.commandResults, ...this.outcomes];
+    for (const { machine } of update.contacts)
+      if (this.workers.has(machine)) this.unsentContacts.add(machine);
+    this.finishes.putBack(update.storedFinishes);
+    this.commandResults = [...update.commandResults, ...this.commandResults];
   }
 
   /** Whether there is something that the leader waits for; signs of life alone can wait. */
   hasUpdate(): boolean {
-    return this.unsentHeartbeats.size > 0 || this.finishes.hasUntold || this.outcomes.length > 0;
+    return this.unsentHeartbeats.size > 0 || this.finishes.hasUnreported || this.commandResults.length > 0;
   }
 }
--- a/src/core/rates/rate-limit-selector.ts
+++ b/src/core/rates/rate-limit-selector.ts
@@ -6,19 +6,24 @@
 import * as Duration from "effect/Duration";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
+/** What the state service allows all nodes together. */
 export interface Rate {
+  /** Requests a second. */
   readonly rps: number;
+  /** Changes a second. */
   readonly writeRps: number;
 }
 
-const FIRST = Duration.minutes(1);
-const LONGEST = Duration.minutes(10);
+/** How long the lower rates are kept after a refusal: at first, and at most. */
+const FIRST_SPAN = Duration.minutes(1);
+const LONGEST_SPAN = Duration.minutes(10);
 /** A refusal within this time after going back up says that the lower rates hold. */
 const SOON = Duration.minutes(1);
 
+/** Says which rates this node keeps to at a moment. */
 export class RateLimitSelector {
   private readonly lower: Rate;
-  private span = FIRST;
+  private span = FIRST_SPAN;
   private loweredUntil: Instant | null = null;
 
   constructor(
@@ -31,6 +36,7 @@
     this.lower = rps < today.rps || writeRps < today.writeRps ? { rps, writeRps } : today;
   }
 
+  /** The rates in force; the same object as long as they are the same. */
   at(now: Instant): Rate {
     return this.loweredUntil !== null && now < this.loweredUntil ? this.lower : this.today;
   }
@@ -38,8 +44,8 @@
   /** The service said 429; whether to requests or to changes isn't known, so both go down. */
   refused(now: Instant): void {
     if (this.lower === this.today || this.at(now) === this.lower) return;
-    const soon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, SOON);
-    this.span = soon ? Duration.min(LONGEST, Duration.times(this.span, 2)) : FIRST;
+    const isSoon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, SOON);
+    this.span = isSoon ? Duration.min(LONGEST_SPAN, Duration.times(this.span, 2)) : FIRST_SPAN;
     this.loweredUntil = plus(now, this.span);
   }
 }
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -1,16 +1,30 @@
-/** The unfinished jobs and the machine types, as the state service has them, a moment behind. */
+/**
+ * The unfinished jobs and the machine types, as the state service has them, a moment behind. How far behind bounds what
+ * this node may do (S9): see `read`.
+ */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { type Instant, hasElapsed } from "../core/time.js";
 import { Waiters } from "../core/jobs/fanin.js";
 import { type FaninRecord, type JobSpec, keys, type MachineType } from "../core/records.js";
 import { instantOf, now } from "../io/clock.js";
-import { acceptedOf, readFanin, readJob, releasedOf, type Row, typesOf, type WireType } from "../io/codec.js";
+import {
+  acceptedOf,
+  readFanin,
+  readJob,
+  releasedOf,
+  type Row,
+  typesOf,
+  type WatchEvent,
+  type WireType,
+} from "../io/codec.js";
 import type { Log } from "../io/log.js";
 import type { StateClient } from "../io/state-client.js";
 
+/** A released job, as its record says. */
 export interface CachedJob {
   readonly spec: JobSpec;
+  /** The revision of its record. */
   readonly revision: number;
   /** About when it was accepted, and when the last job that it needs was done, on this node's steady clock. */
   readonly accepted: Instant;
@@ -20,71 +34,102 @@
 /** A job that waits for others; its record becomes that of the released job. */
 export interface BlockedJob {
   readonly spec: JobSpec;
+  /** The revision of its record. */
   readonly revision: number;
+  /** About when it was accepted, on this node's steady clock. */
   readonly accepted: Instant;
   readonly record: object;
 }
 
+/** A fan-in set and the revision of its record. */
 export interface Fanin extends FaninRecord {
   readonly revision: number;
 }
 
-const MAX_OVER = 20_000;
+/** Why a job's record isn't in the cache: the job's end was seen before, or the record can't be read. */
+export type UnusableRecord = "over" | "malformed";
+
+/** How many ended jobs are remembered. */
+const MAX_ENDED = 20_000;
 /** A little patience: one answer then holds several changes. Only the leader starts what comes; others can wait. */
-const GATHER = Duration.millis(500);
-const LEADERS_GATHER = Duration.millis(150);
+const GATHER_TIME = Duration.millis(500);
+const LEADERS_GATHER_TIME = Duration.millis(150);
+const RELIST_PAUSE = Duration.millis(300);
+const RETRY_PAUSE = Duration.millis(500);
+/** How often the machine types are read: while none are known, and from then on. */
+const FIRST_TYPES_INTERVAL = Duration.seconds(0.3);
+const TYPES_INTERVAL = Duration.seconds(30);
+
+/** A record that doesn't say when it was accepted counts as accepted now. */
+const acceptedAt = (record: unknown): Instant => {
+  const date = acceptedOf(record);
+  return date === null ? now() : instantOf(date);
+};
 
+/** Watches the jobs for as long as `run` runs, and takes in what this process reads and writes in between. */
 export class JobCache {
+  /** Released jobs, by id. */
   readonly jobs = new Map<string, CachedJob>();
-  /** Jobs that wait for others, and the fan-in sets of these and of those released since. */
+  /** Jobs that wait for others, by id. */
   readonly waiting = new Map<string, BlockedJob>();
+  /** The fan-in sets of waiting jobs and of those released since, by id. */
   readonly fanins = new Map<string, Fanin>();
+  /** Which waiting jobs wait for which. */
   readonly waiters = new Waiters();
   /** Jobs whose end was seen: a late answer that still has their record must not bring them back. */
-  private readonly over = new Set<string>();
+  private readonly ended = new Set<string>();
+  /** The machine types; empty: not known yet. */
   types: readonly MachineType[] = [];
+  /** Whether all unfinished jobs were read once. */
   ready = false;
-  /** When the last request was sent whose answer showed every job that had ended by then. */
+  /** When the last request was sent whose answer showed every job that had ended by then; null: none yet (S9). */
   read: Instant | null = null;
+  /** Whether this process leads: then changes are read sooner. Set once, before `run`, as are the listeners. */
   leading: () => boolean = () => false;
+  /** A job was released, or was first seen so. */
   onJob: (job: CachedJob) => void = () => undefined;
+  /** An unfinished job ended. */
   onOver: (id: string) => void = () => undefined;
+  /** A job that waits for others was first seen. */
   onWaiting: (job: BlockedJob) => void = () => undefined;
   /** It waits no longer: it was released, and then is among `jobs`, or cancelled. */
   onWaitingOver: (id: string) => void = () => undefined;
+  /** The machine types were read. */
   onTypes: (types: readonly MachineType[]) => void = () => undefined;
 
   constructor(
     private readonly state: StateClient,
     private readonly log: Log,
     /** How long a watch may wait for changes: until it is answered, nobody knows that there were none. */
-    private readonly watchFor = Duration.seconds(2),
+    private readonly watchTimeout = Duration.seconds(2),
   ) {}
 
+  /** The machine types, as they were read from the state service or the cloud. */
   setTypes(rows: readonly WireType[]): void {
     this.types = typesOf(rows);
     this.onTypes(this.types);
   }
 
+  /** Whether the job's end was seen. */
   isOver(id: string): boolean {
-    return this.over.has(id);
+    return this.ended.has(id);
   }
 
   /** A job record that was read. */
-  put(key: string, value: unknown, revision: number): CachedJob | "over" | "malformed" {
+  put(key: string, value: unknown, revision: number): CachedJob | UnusableRecord {
     const id = key.slice(keys.jobs.length);
     const known = this.jobs.get(id);
     if (known !== undefined) return known;
-    if (this.over.has(id)) return "over";
+    if (this.ended.has(id)) return "over";
     const spec = readJob(id, value);
     if (spec === null) {
-      this.log.error({ job: id }, "a job record can't be read");
+      this.log.error({ job: id }, "job record can't be read");
       return "malformed";
     }
-    const date = acceptedOf(value);
-    const accepted = date === null ? now() : instantOf(date);
-    const since = releasedOf(value);
-    const job = { spec, revision, accepted, released: since === null ? accepted : instantOf(since) };
+    const accepted = acceptedAt(value);
+    const releaseDate = releasedOf(value);
+    const released = releaseDate === null ? accepted : instantOf(releaseDate);
+    const job = { spec, revision, accepted, released };
     this.jobs.set(id, job);
     this.onJob(job);
     this.dropWaiting(id);
@@ -92,25 +137,24 @@
   }
 
   /** A waiting job's record that was read. */
-  putWaiting(key: string, value: unknown, revision: number): BlockedJob | CachedJob | "over" | "malformed" {
+  putWaiting(key: string, value: unknown, revision: number): BlockedJob | CachedJob | UnusableRecord {
     const id = key.slice(keys.blockedJobs.length);
     const known = this.waiting.get(id) ?? this.jobs.get(id);
     if (known !== undefined) return known;
-    if (this.over.has(id)) return "over";
+    if (this.ended.has(id)) return "over";
     const spec = readJob(id, value);
     if (spec === null) {
-      this.log.error({ job: id }, "a waiting job's record can't be read");
+      this.log.error({ job: id }, "waiting job's record can't be read");
       return "malformed";
     }
-    const date = acceptedOf(value);
-    const accepted = date === null ? now() : instantOf(date);
-    const job = { spec, revision, accepted, record: value as object };
+    const job = { spec, revision, accepted: acceptedAt(value), record: value as object };
     this.waiting.set(id, job);
     this.waiters.add(id, spec.dependsOn);
     this.onWaiting(job);
     return job;
   }
 
+  /** A fan-in set that was read or written; an older one than the known changes nothing. */
   putFanin(id: string, value: unknown, revision: number): void {
     const record = readFanin(value);
     const known = this.fanins.get(id);
@@ -129,12 +173,16 @@
     this.onWaitingOver(id);
   }
 
+  /** The job ended: its commit was seen, or its record is gone. */
   remove(id: string): void {
-    this.over.add(id);
-    if (this.over.size > MAX_OVER) this.over.delete(this.over.values().next().value!);
-    const waited = this.waiting.has(id);
+    this.ended.add(id);
+    if (this.ended.size > MAX_ENDED) {
+      const [oldest] = this.ended;
+      if (oldest !== undefined) this.ended.delete(oldest);
+    }
+    const wasWaiting = this.waiting.has(id);
     this.dropWaiting(id);
-    if (this.jobs.delete(id) || waited) this.onOver(id);
+    if (this.jobs.delete(id) || wasWaiting) this.onOver(id);
   }
 
   /** A row of whatever concerns unfinished jobs. */
@@ -154,47 +202,60 @@
     }
   }
 
+  /** Takes in a list of all that concerns unfinished jobs. What it doesn't hold, and isn't newer, is gone. */
+  private replaceAll(rows: readonly Row[], listRevision: number): void {
+    const present = new Set(rows.map((row) => row.key));
+    for (const row of rows) this.putRow(row);
+    const isGone = (key: string, revision: number): boolean => !present.has(key) && revision <= listRevision;
+    for (const [id, job] of [...this.jobs]) if (isGone(keys.job(id), job.revision)) this.remove(id);
+    for (const [id, job] of [...this.waiting]) if (isGone(keys.blockedJob(id), job.revision)) this.remove(id);
+    for (const [id, fanin] of [...this.fanins])
+      if (isGone(keys.fanin(id), fanin.revision)) this.fanins.delete(id);
+  }
+
+  private applyEvents(events: readonly WatchEvent[]): void {
+    // what was written first: a release deletes the waiting job's record in the change that writes the job's
+    for (const { key, value, revision } of events)
+      if (value !== undefined) this.putRow({ key, value, revision });
+    for (const { key, value } of events) if (value === undefined) this.removeRow(key);
+  }
+
   private readonly jobLoop = Effect.gen(this, function* () {
-    const listed = now();
+    const listedAt = now();
     const list = yield* this.state.list(keys.unfinished);
-    const present = new Set(list.rows.map((row) => row.key));
-    for (const row of list.rows) this.putRow(row);
-    for (const [id, job] of [...this.jobs])
-      if (!present.has(keys.job(id)) && job.revision <= list.revision) this.remove(id);
-    for (const [id, job] of [...this.waiting])
-      if (!present.has(keys.blockedJob(id)) && job.revision <= list.revision) this.remove(id);
-    for (const [id, set] of [...this.fanins])
-      if (!present.has(keys.fanin(id)) && set.revision <= list.revision) this.fanins.delete(id);
+    this.replaceAll(list.rows, list.revision);
     this.ready = true;
-    this.read = listed;
-    let revision = list.revision;
+    this.read = listedAt;
+    let { revision } = list;
     for (;;) {
-      const asked = now();
+      const askedAt = now();
       // an answer that was long on its way says little about now: the next one is asked for at once
-      const late = hasElapsed(asked, this.read, Duration.times(this.watchFor, 2));
-      const got = yield* this.state.watch(keys.unfinished, revision, late ? Duration.zero : this.watchFor);
-      // what was written first: a release deletes the waiting job's record in the change that writes the job's
-      for (const { key, value, revision } of got.events)
-        if (value !== undefined) this.putRow({ key, value, revision });
-      for (const { key, value } of got.events) if (value === undefined) this.removeRow(key);
-      revision = got.revision;
-      this.read = asked;
-      yield* Effect.sleep(this.leading() ? LEADERS_GATHER : GATHER);
+      const isLate = hasElapsed(askedAt, this.read, Duration.times(this.watchTimeout, 2));
+      const answer = yield* this.state.watch(
+        keys.unfinished,
+        revision,
+        isLate ? Duration.zero : this.watchTimeout,
+      );
+      this.applyEvents(answer.events);
+      revision = answer.revision;
+      this.read = askedAt;
+      yield* Effect.sleep(this.leading() ? LEADERS_GATHER_TIME : GATHER_TIME);
     }
   }).pipe(
-    Effect.catchAll((e) => Effect.sync(() => this.log.debug({ why: e._tag }, "job watch ended"))),
-    Effect.zipRight(Effect.sleep(Duration.millis(300))),
+    Effect.catchAll((error) => Effect.sync(() => this.log.debug({ reason: error._tag }, "job watch ended"))),
+    Effect.zipRight(Effect.sleep(RELIST_PAUSE)),
     Effect.forever,
   );
 
   private readonly typeLoop = Effect.gen(this, function* () {
     const row = yield* this.state.get(keys.types, "later");
     if (row !== null) this.setTypes(row.value as WireType[]);
-    yield* Effect.sleep(Duration.seconds(this.types.length === 0 ? 0.3 : 30));
+    yield* Effect.sleep(this.types.length === 0 ? FIRST_TYPES_INTERVAL : TYPES_INTERVAL);
   }).pipe(
-    Effect.catchAll(() => Effect.sleep(Duration.millis(500))),
+    Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
     Effect.forever,
   );
 
+  /** Never ends; what fails is tried again. */
   readonly run = Effect.all([this.jobLoop, this.typeLoop], { concurrency: 2, discard: true });
 }
