--- a/src/core/cluster/capacity-index.ts
+++ b/src/core/cluster/capacity-index.ts
@@ -1,31 +1,54 @@
-/** Machines with room, by how many whole processors are free: a search meets only those where a task may fit. */
-import type { Machine } from "./cluster.js";
+/**
+ * Items by how many whole processors are free on them, so that a search meets only those where a task may fit. It knows
+ * nothing of what it indexes; the cluster indexes its machines here.
+ */
+import { CAPACITY_EPSILON } from "../placement/quota.js";
 
-export class CapacityIndex {
-  readonly buckets: Set<Machine>[] = [];
-  private readonly at = new Map<Machine, number>();
+/** The bucket of a number of free processors. */
+const bucketOf = (cpus: number): number => Math.floor(cpus + CAPACITY_EPSILON);
 
-  /** `cpus`: what is free; nothing, if it has no room. */
-  set(machine: Machine, cpus: number): void {
-    const bucket = cpus <= 1e-6 ? -1 : Math.floor(cpus + 1e-6);
-    const before = this.at.get(machine) ?? -1;
+/** Items with free processors, in buckets of one processor. Within a bucket they come in the order of their arrival. */
+export class CapacityIndex<Item> {
+  /** The items by whole free processors. */
+  readonly buckets: Set<Item>[] = [];
+  private readonly bucketByItem = new Map<Item, number>();
+
+  /** Notes that `cpus` processors are free on an item; nothing: it leaves the index. */
+  set(item: Item, cpus: number): void {
+    const bucket = cpus <= CAPACITY_EPSILON ? -1 : bucketOf(cpus);
+    const before = this.bucketByItem.get(item) ?? -1;
     if (bucket === before) return;
-    this.buckets[before]?.delete(machine);
+    this.buckets[before]?.delete(item);
     if (bucket < 0) {
-      this.at.delete(machine);
+      this.bucketByItem.delete(item);
       return;
     }
-    while (this.buckets.length <= bucket) this.buckets.push(new Set());
-    this.buckets[bucket]!.add(machine);
-    this.at.set(machine, bucket);
+    const items = this.buckets[bucket] ?? this.growTo(bucket);
+    items.add(item);
+    this.bucketByItem.set(item, bucket);
   }
 
-  has(machine: Machine): boolean {
-    return this.at.has(machine);
+  /** Whether any processor is free on the item. */
+  has(item: Item): boolean {
+    return this.bucketByItem.has(item);
   }
 
   /** Those with at least so many processors free, give or take one. */
-  *atLeast(cpus: number): Iterable<Machine> {
-    for (let i = Math.floor(cpus + 1e-6); i < this.buckets.length; i++) yield* this.buckets[i]!;
+  *atLeast(cpus: number): Iterable<Item> {
+    // buckets that are added during the walk are met as well
+    for (let bucket = bucketOf(cpus); bucket < this.buckets.length; bucket++) {
+      const items = this.buckets[bucket];
+      if (items !== undefined) yield* items;
+    }
+  }
+
+  /** Adds empty buckets up to `bucket`, and returns that one. */
+  private growTo(bucket: number): Set<Item> {
+    let last = new Set<Item>();
+    while (this.buckets.length <= bucket) {
+      last = new Set();
+      this.buckets.push(last);
+    }
+    return last;
   }
 }
--- a/src/core/cluster/cluster-attempts.ts
+++ b/src/core/cluster/cluster-attempts.ts
@@ -1,6 +1,7 @@
 /**
- * Adds, changes and removes holds, and keeps consistent what follows from them: the room taken on machines and by teams,
- * the counts by class and rank, and which tasks are pending. A task is pending only while nothing holds it (S4).
+ * Adds, changes and removes attempts, and keeps consistent what follows from them: the capacity in use on machines and by
+ * teams, the counts by class and rank, and which tasks are pending. A task is pending only while it has no attempt that
+ * runs or can still start (S4).
  */
 import { indexMachine, machineOf, removePending, scheduleReconciliation } from "./cluster-indices.js";
 import {
@@ -30,8 +31,8 @@
   cluster.usage.set(spec.team, usage);
 };
 
-/** Counts the room that an attempt takes, or no longer takes. */
-const account = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, sign: Sign): void => {
+/** Counts the capacity that an attempt begins or ceases to use. */
+const countCapacity = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, sign: Sign): void => {
   const { spec } = attempt;
   if (spec === null) {
     count(cluster.orphanedAttemptCounts, machine, sign);
@@ -73,7 +74,7 @@
   if (orphans?.size === 0) cluster.orphanedAttempts.delete(attempt.job);
 };
 
-/** A task is pending again once nothing holds it and it isn't done. */
+/** A task is pending again once it has no attempt that may run, and isn't done (S4, S7). */
 const restorePending = (cluster: Cluster, job: Job, index: number): void => {
   if (job.done.has(index)) return;
   const attempts = job.attempts.get(index);
@@ -107,13 +108,13 @@
   cluster.reconcileQueue.add(machine);
   if (attempt.spec === null) addOrphan(cluster, attempt);
   if (attempt.unacknowledgedToken !== null) cluster.unacknowledgedStarts.add(attempt);
-  if (occupiesCapacity(attempt)) account(cluster, machine, attempt, 1);
+  if (occupiesCapacity(attempt)) countCapacity(cluster, machine, attempt, 1);
   if (isActive(attempt)) countRunning(cluster, attempt, 1);
   const job = cluster.jobs.get(attempt.job);
   if (job !== undefined) addToJob(cluster, job, attempt);
 };
 
-/** Changes an attempt, keeping the room accounts and the job's pending tasks consistent. */
+/** Changes an attempt, keeping the capacity in use and the job's pending tasks consistent. */
 export const updateAttempt = (cluster: Cluster, attempt: TaskAttempt, change: Partial<TaskAttempt>): void => {
   const machine = machineOf(cluster, attempt);
   const occupied = occupiesCapacity(attempt);
@@ -123,7 +124,7 @@
   indexUnacknowledgedStart(cluster, attempt);
   if (wasActive !== isActive(attempt)) countRunning(cluster, attempt, wasActive ? -1 : 1);
   if (occupied === occupiesCapacity(attempt)) return;
-  account(cluster, machine, attempt, occupied ? -1 : 1);
+  countCapacity(cluster, machine, attempt, occupied ? -1 : 1);
   const job = cluster.jobs.get(attempt.job);
   if (job === undefined) return;
   if (occupied) restorePending(cluster, job, attempt.index);
@@ -137,7 +138,7 @@
   cluster.reconcileQueue.add(machine);
   cluster.unacknowledgedStarts.delete(attempt);
   if (attempt.spec === null) removeOrphan(cluster, attempt);
-  if (occupiesCapacity(attempt)) account(cluster, machine, attempt, -1);
+  if (occupiesCapacity(attempt)) countCapacity(cluster, machine, attempt, -1);
   if (isActive(attempt)) countRunning(cluster, attempt, -1);
   const job = cluster.jobs.get(attempt.job);
   if (job !== undefined) removeFromJob(cluster, job, attempt);
--- a/src/core/cluster/cluster-jobs.ts
+++ b/src/core/cluster/cluster-jobs.ts
@@ -10,10 +10,10 @@
   cluster: Cluster,
   spec: JobSpec,
   revision: number,
-  accepted: Instant,
-  seen: Instant = accepted,
+  acceptedAt: Instant,
+  releasedAt: Instant = acceptedAt,
 ): Job => {
-  const job = newJob(spec, revision, accepted, seen);
+  const job = newJob(spec, revision, acceptedAt, releasedAt);
   const orphans = [...(cluster.orphanedAttempts.get(spec.id) ?? [])];
   for (const attempt of orphans) removeAttempt(cluster, attempt);
   cluster.jobs.set(spec.id, job);
@@ -24,7 +24,7 @@
   return job;
 };
 
-/** Drops a job that is over. Its holds stay until the reconciler has stopped them. */
+/** Drops a job that is over. Its attempts stay until the reconciler has stopped them. */
 export const removeJob = (cluster: Cluster, job: Job): void => {
   cluster.jobs.delete(job.spec.id);
   cluster.pendingJobs.delete(job);
--- a/src/core/cluster/cluster-machines.ts
+++ b/src/core/cluster/cluster-machines.ts
@@ -4,6 +4,7 @@
 import type { Cluster, Machine } from "./cluster-state.js";
 import type { Instant } from "../time.js";
 
+/** The index of heartbeats is kept here, so this module alone writes the field on which it rests. */
 type Writable<T> = { -readonly [K in keyof T]: T[K] };
 
 /** The fields of a machine on which indices rest: they are changed by `setMachine` alone. */
@@ -25,11 +26,12 @@
   cluster.capacityVersion++;
 };
 
-/** A newer message of its worker came at `at`; moves it to the end of `hearing`. */
+/** A newer message of its worker came at `at`; moves it to the end of `byLastHeartbeat`. */
 export const recordHeartbeat = (cluster: Cluster, machine: Machine, at: Instant): void => {
   if (machine.lastHeartbeatAt !== null && at <= machine.lastHeartbeatAt) return;
   const first = machine.lastHeartbeatAt === null;
-  (machine as Writable<Machine>).lastHeartbeatAt = at;
+  const writable: Writable<Machine> = machine;
+  writable.lastHeartbeatAt = at;
   cluster.byLastHeartbeat.delete(machine);
   cluster.byLastHeartbeat.add(machine);
   if (!first) return;
@@ -57,7 +59,7 @@
   cluster.unreachable.delete(machine);
 };
 
-/** Drops a machine that is gone for certain (S3), with all that it held. */
+/** Drops a machine that is gone for certain (S3), with all its attempts. */
 export const removeMachine = (cluster: Cluster, machine: Machine): void => {
   for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
   cluster.machines.delete(machine.id);
--- a/src/core/cluster/cluster-state.ts
+++ b/src/core/cluster/cluster-state.ts
@@ -9,7 +9,7 @@
 import { type JobSpec, type MachineRecord, RANK, type TaskState, type ExitReason } from "../records.js";
 import { type Instant, plus } from "../time.js";
 
-/** Identifies one message of a worker: messages of one session are numbered, and a newer epoch is newer than all. */
+/** Identifies one message of a worker: messages of one epoch are numbered, and a newer epoch is newer than all earlier ones. */
 export interface HeartbeatId {
   readonly workerEpoch: number;
   readonly sequence: number;
@@ -32,7 +32,7 @@
   exitReason: ExitReason | null;
   /** When it entered its present state. */
   stateSince: Instant;
-  /** When it began to run; null if reports came too seldom to tell. */
+  /** When it began to run; null if heartbeats came too seldom to tell. */
   runningSince: Instant | null;
   /** Token under which a start command got no answer: it may still be executed until the worker saw a higher token. */
   unacknowledgedToken: number | null;
@@ -49,7 +49,7 @@
   readonly spec: JobSpec;
   /** When it was accepted: its deadline counts from there. */
   readonly acceptedAt: Instant;
-  /** When it could first start, all that it awaits being done: its age in the queue counts from there. */
+  /** When it could first start, all its dependencies being done: its age in the queue counts from there. */
   readonly releasedAt: Instant;
   /** Revision of the job record. A job younger than the leader's own key was never in an earlier leader's hands (S5). */
   readonly revision: number;
@@ -90,7 +90,7 @@
   gpus: number;
   memoryGb: number;
   cacheGb: number;
-  /** Session and number of the worker's latest heartbeat; 0: none yet. */
+  /** Epoch and number of the worker's latest heartbeat; 0: none yet. */
   workerEpoch: number;
   sequence: number;
   /** The highest token that its worker was seen to know. */
@@ -105,12 +105,13 @@
   readonly recorded: boolean;
   /** A write of its record was decided on and has not failed. */
   recording: boolean;
-  /** Reported under this term's token, or known to hold nothing: its holds are complete (S2). */
+  /** Reported under this term's token, or known to have no attempts: `attempts` is complete (S2). */
   readonly confirmed: boolean;
   /** When a newer message of its worker came last; null: none since this leader began. */
   readonly lastHeartbeatAt: Instant | null;
   /** When a member last answered a heartbeat, which alone renews the worker's lease; null: not since this leader began. */
   leaseRenewedAt: Instant | null;
+  /** When this leader first knew of it. */
   createdAt: Instant;
   /** The cloud lists it as failed. */
   failed: boolean;
@@ -122,7 +123,7 @@
   readonly failuresByJob: Map<string, number>;
   /** Since when it gets no new work because of failures or slowness; null: it does. */
   cordonedAt: Instant | null;
-  /** Set aside for its speed, not for failures: tasks that complete on it are no reason to use it again. */
+  /** Cordoned for its speed, not for failures: tasks that complete on it are no reason to use it again. */
   cordonedAsSlow: boolean;
   /** Its replicas are being moved to other machines, so that it can be returned. */
   draining: boolean;
@@ -134,10 +135,10 @@
   unansweredBatches: number;
   /** Since when command batches have gone unanswered; null: the last one was answered. */
   unreachableSince: Instant | null;
-  /** Room taken by its attempts. */
+  /** Capacity in use by its attempts. */
   readonly used: { cpus: number; gpus: number; memoryGb: number };
   readonly attempts: Map<string, TaskAttempt>;
-  /** How many tasks of each class it holds. */
+  /** How many tasks of each class are, or may be, on it. */
   readonly attemptsByClass: Map<string, number>;
   /** Images in its cache and their sizes, the least recently used first. */
   readonly images: Map<string, number>;
@@ -147,21 +148,21 @@
 export interface Cluster {
   readonly jobs: Map<string, Job>;
   readonly machines: Map<string, Machine>;
-  /** Room taken by each team's attempts (S6). */
+  /** Capacity in use by each team's attempts (S6). */
   readonly usage: Map<string, Usage>;
   /** Jobs with tasks to be started. */
   readonly pendingJobs: Set<Job>;
   /** Jobs that are finished and have no commit yet. */
   readonly awaitingCommit: Set<Job>;
-  /** Machines with room. */
-  readonly capacityIndex: CapacityIndex;
+  /** Machines with free memory, by their free processors. */
+  readonly capacityIndex: CapacityIndex<Machine>;
   /** Machines that the reconciler has to look at: tasks to stop or to forget, notices, drains. */
   readonly reconcileQueue: Set<Machine>;
-  /** Recorded machines that may hold tasks this leader doesn't know of (S5). */
+  /** Recorded machines that may run tasks this leader doesn't know of (S5). */
   readonly unconfirmed: Set<Machine>;
-  /** Machines heard of that have no record yet. */
+  /** Machines that sent a heartbeat and have no record yet. */
   readonly unrecorded: Set<Machine>;
-  /** Machines that this leader heard, the longest silent first. */
+  /** Machines that sent this leader a heartbeat, the longest silent first. */
   readonly byLastHeartbeat: Set<Machine>;
   /** Machines whose last command batch went unanswered. */
   readonly unreachable: Set<Machine>;
@@ -171,7 +172,7 @@
   readonly unacknowledgedStarts: Set<TaskAttempt>;
   /** Attempts whose job record is not known, by job. */
   readonly orphanedAttempts: Map<string, Set<TaskAttempt>>;
-  /** How many such holds each machine has; their size is not known (S6). */
+  /** How many such attempts each machine has; their size is not known (S6). */
   readonly orphanedAttemptCounts: Map<Machine, number>;
   /** How many tasks of each class are, or may be, on machines. */
   readonly attemptsByClass: Map<string, number>;
@@ -272,15 +273,16 @@
   deadlineAt: spec.deadline === null ? null : plus(acceptedAt, spec.deadline),
 });
 
-/** The key of an attempt in `Machine.holds`. */
+/** The key of an attempt in `Machine.attempts`. */
 export const attemptKey = (job: string, index: number, attempt: number): string =>
   `${job}/${index}#${attempt}`;
 
-/** Whether message `a` of a worker is `b` or newer. */
-export const isSameOrNewer = (a: HeartbeatId, b: HeartbeatId): boolean =>
-  a.workerEpoch > b.workerEpoch || (a.workerEpoch === b.workerEpoch && a.sequence >= b.sequence);
+/** Whether one message of a worker is `other` or newer. */
+export const isSameOrNewer = (one: HeartbeatId, other: HeartbeatId): boolean =>
+  one.workerEpoch > other.workerEpoch ||
+  (one.workerEpoch === other.workerEpoch && one.sequence >= other.sequence);
 
-/** Whether an attempt takes room on its machine, and of its team's limit (S6). */
+/** Whether an attempt uses capacity of its machine, and of its team's limit (S6). */
 export const occupiesCapacity = (attempt: TaskAttempt): boolean =>
   attempt.state !== "exited" || attempt.unacknowledgedToken !== null;
 
--- a/src/core/commands/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -47,14 +47,14 @@
   /** How long after its last message a machine is asked for a heartbeat. */
   private readonly askAfter: Duration.Duration;
 
-  constructor(private readonly scope: SchedulerContext) {
-    const interval = Duration.times(scope.options.timings.heartbeatInterval, 1.25);
+  constructor(private readonly context: SchedulerContext) {
+    const interval = Duration.times(context.options.timings.heartbeatInterval, 1.25);
     this.askAfter = Duration.sum(interval, Duration.millis(500));
   }
 
   /** Machines whose commands could not be sent for a while may be given some again. */
   unblock(now: Instant): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     for (const [machine, until] of this.blockedUntil) {
       if (now < until) continue;
       this.blockedUntil.delete(machine);
@@ -67,7 +67,7 @@
 
   /** A higher token settles whether an unanswered start was executed: a late one is refused from then on (S2). */
   settleUnacknowledgedStarts(): void {
-    const { cluster, term } = this.scope;
+    const { cluster, term } = this.context;
     for (const attempt of cluster.unacknowledgedStarts) {
       const machine = machineOf(cluster, attempt);
       if (
@@ -81,10 +81,10 @@
   /** Sends this step's commands, then questions to machines that should have been heard. */
   send(now: Instant, pendingCommands: PendingCommands, decisions: Decision[]): void {
     for (const id of pendingCommands.commands.keys()) {
-      const machine = this.scope.cluster.machines.get(id);
+      const machine = this.context.cluster.machines.get(id);
       const commands = pendingCommands.take(id);
       if (machine === undefined || commands === null) continue;
-      const isFree = !machine.commandsInFlight && !this.scope.isPaused(machine);
+      const isFree = !machine.commandsInFlight && !this.context.isPaused(machine);
       const sent = isFree && this.sendBatch(machine, commands, decisions);
       // one batch at a time: what can't be sent now is decided on again
       if (!sent) this.answered(id, notSent(commands), now);
@@ -104,7 +104,7 @@
       via: machine.unansweredBatches % 2 === 1 ? this.otherWay(machine) : this.usualWay(machine),
       addr: machine.addr,
       workerEpoch: Math.max(1, machine.workerEpoch),
-      fencingToken: fencingTokenOf(this.scope.term.number, machine.fencingTokenStep),
+      fencingToken: fencingTokenOf(this.context.term.number, machine.fencingTokenStep),
       commands,
     });
     return true;
@@ -112,7 +112,7 @@
 
   /** The member that passes on its heartbeats; right after its shard was handed over, the new owner. */
   private usualWay(machine: Machine): string | null {
-    return this.scope.options.ownership?.wayTo(machine.id, machine.zone) ?? machine.relayedBy;
+    return this.context.options.ownership?.wayTo(machine.id, machine.zone) ?? machine.relayedBy;
   }
 
   /**
@@ -120,7 +120,7 @@
    * a leader that lost only its connections to workers would otherwise take them for dead.
    */
   private otherWay(machine: Machine): string | null {
-    const { leader, members } = this.scope.term;
+    const { leader, members } = this.context.term;
     if (machine.relayedBy !== null && machine.relayedBy !== leader) return null;
     const others = members.filter((member) => member.name !== leader);
     const near = others.find((member) => member.zone === machine.zone);
@@ -128,7 +128,7 @@
   }
 
   private askForReports(now: Instant, decisions: Decision[]): void {
-    const most = Math.max(LEAST_QUESTIONS, this.scope.cluster.machines.size * SHARE_ASKED);
+    const most = Math.max(LEAST_QUESTIONS, this.context.cluster.machines.size * SHARE_ASKED);
     for (const machine of this.nextToAsk(now, Math.ceil(most))) {
       machine.probedAt = now;
       this.sendBatch(machine, [], decisions);
@@ -148,7 +148,7 @@
 
   /** Machines whose report is wanted; some come up more than once. */
   private *toAsk(now: Instant): Iterable<Machine> {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     for (const attempt of cluster.unacknowledgedStarts) yield machineOf(cluster, attempt);
     // an earlier leader may have started something on these
     for (const machine of cluster.unconfirmed) yield machine;
@@ -174,14 +174,14 @@
 
   /** What became of a batch; also of one that was not sent. */
   answered(id: string, result: CommandBatchResult, now: Instant): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const machine = cluster.machines.get(id);
     if (machine === undefined) return;
     const { outcome, fencingToken } = result;
     // a node whose queue is full, or that may not send now, won't send a moment later
     if (outcome === "barred" && fencingToken !== NOT_SENT)
       this.blockedUntil.set(machine, plus(now, BLOCKED_FOR));
-    else if (termNumberOf(fencingToken) === this.scope.term.number) machine.commandsInFlight = false;
+    else if (termNumberOf(fencingToken) === this.context.term.number) machine.commandsInFlight = false;
     cluster.reconcileQueue.add(machine);
     cluster.capacityVersion++;
     const isAnswer = outcome === "done" || outcome === "rejected";
@@ -201,7 +201,7 @@
     attempt: TaskAttempt,
     { outcome, fencingToken, answeredBy }: CommandBatchResult,
   ): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     // A heartbeat under a higher token came before this and didn't show the task: a late start is refused from then on. No
     // later heartbeat would settle the doubt, since workers report changes alone.
     const isRefusedLater = machine.fencingToken > fencingToken;
--- a/src/core/heartbeats/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -29,14 +29,14 @@
 /** Applies each newer heartbeat to the cluster; older ones and late copies change nothing. */
 export class HeartbeatHandler {
   constructor(
-    private readonly scope: SchedulerContext,
+    private readonly context: SchedulerContext,
     private readonly machines: MachineIntake,
-    private readonly pace: SlowMachineDetector,
+    private readonly slowMachines: SlowMachineDetector,
   ) {}
 
   /** `at`: when a member took the heartbeat; `via`: which one. */
   apply(heartbeat: Heartbeat, via: string, now: Instant, at: Instant): void {
-    const current = termNumberOf(heartbeat.fencingToken) >= this.scope.term.number;
+    const current = termNumberOf(heartbeat.fencingToken) >= this.context.term.number;
     const machine = this.machineOf(heartbeat, current, now);
     if (machine === null || isSameOrNewer(machine, heartbeat)) return;
     const isNewEpoch = heartbeat.workerEpoch > machine.workerEpoch && machine.workerEpoch > 0;
@@ -55,7 +55,7 @@
 
   /** A late copy may speak of a machine long gone: an unknown one is believed once it knows the present token (S5). */
   private machineOf(heartbeat: Heartbeat, current: boolean, now: Instant): Machine | null {
-    const known = this.scope.cluster.machines.get(heartbeat.machine);
+    const known = this.context.cluster.machines.get(heartbeat.machine);
     if (known !== undefined) return known;
     if (!current) return null;
     const { type, zone, spot, addr } = heartbeat;
@@ -64,7 +64,7 @@
 
   /** After a gap (an outage, a take-over) it isn't known when its tasks began and ended. */
   private isInTime(machine: Machine, at: Instant): boolean {
-    const { heartbeatInterval } = this.scope.options.timings;
+    const { heartbeatInterval } = this.context.options.timings;
     return (
       machine.lastHeartbeatAt !== null &&
       !hasElapsed(at, machine.lastHeartbeatAt, Duration.times(heartbeatInterval, IN_TIME))
@@ -77,11 +77,11 @@
     machine.fencingToken = Math.max(machine.fencingToken, heartbeat.fencingToken);
     machine.addr = heartbeat.addr;
     machine.relayedBy = via;
-    recordHeartbeat(this.scope.cluster, machine, at);
+    recordHeartbeat(this.context.cluster, machine, at);
   }
 
   private updateNotice(machine: Machine, reclaimNoticeSeconds: number | null, now: Instant): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     if (reclaimNoticeSeconds === null) {
       if (machine.reclaimAt !== null) cluster.capacityVersion++;
       machine.reclaimAt = null;
@@ -99,7 +99,7 @@
     isTimely: boolean,
     now: Instant,
   ): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
     if (task.state === "exited" && task.exitReason === "done" && job !== undefined)
       finishTask(cluster, job, task.index);
@@ -109,7 +109,7 @@
 
   /** An attempt that this leader didn't start, or whose hold it gave up. */
   private addReported(machine: Machine, task: TaskStatus, now: Instant): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
     addAttempt(cluster, {
       job: task.job,
@@ -137,12 +137,13 @@
     isTimely: boolean,
     now: Instant,
   ): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const { state, exitReason } = task;
     const before = attempt.state;
     const isSettled = attempt.unacknowledgedToken !== null && token > attempt.unacknowledgedToken;
     if (before === state && !isSettled) return;
-    if (before === "running" && exitReason === "done" && isTimely) this.pace.done(machine, attempt, now);
+    if (before === "running" && exitReason === "done" && isTimely)
+      this.slowMachines.done(machine, attempt, now);
     const unacknowledgedToken = isSettled ? null : attempt.unacknowledgedToken;
     if (before === state) {
       updateAttempt(cluster, attempt, { exitReason, unacknowledgedToken });
@@ -168,13 +169,13 @@
   ): void {
     for (const [key, attempt] of machine.attempts) {
       if (present.has(key)) continue;
-      if (isNewEpoch || !mayStillStart(attempt, heartbeat)) removeAttempt(this.scope.cluster, attempt);
+      if (isNewEpoch || !mayStillStart(attempt, heartbeat)) removeAttempt(this.context.cluster, attempt);
     }
   }
 
   /** A heartbeat under this term's token: the machine's holds are complete from now on (S2). */
   private confirm(machine: Machine): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     setMachine(cluster, machine, { confirmed: true });
     for (const attempt of machine.attempts.values()) {
       const job = cluster.jobs.get(attempt.job);
--- a/src/core/heartbeats/slow-machine-detector.ts
+++ b/src/core/heartbeats/slow-machine-detector.ts
@@ -21,7 +21,7 @@
   private readonly renewed = new Map<string, Set<number>>();
   private looked: Instant | null = null;
 
-  constructor(private readonly scope: SchedulerContext) {}
+  constructor(private readonly context: SchedulerContext) {}
 
   jobOver(id: string): void {
     this.ran.delete(id);
@@ -32,7 +32,7 @@
   done(machine: Machine, attempt: TaskAttempt, now: Instant): void {
     if (attempt.spec?.kind !== "array" || attempt.runningSince === null) return;
     const ms = now - attempt.runningSince;
-    const job = this.scope.cluster.jobs.get(attempt.job);
+    const job = this.context.cluster.jobs.get(attempt.job);
     if (job !== undefined && this.isOverdue(job, ms)) this.setAside(machine, now);
     const row = this.ran.get(attempt.job);
     if (row === undefined) this.ran.set(attempt.job, { tasks: 1, ms });
@@ -50,7 +50,7 @@
 
   private setAside(machine: Machine, now: Instant): boolean {
     if (machine.cordonedAsSlow) return true;
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     let slow = 0;
     for (const machine of cluster.byLastHeartbeat) if (machine.cordonedAsSlow) slow++;
     if (slow + 1 > Math.max(2, cluster.byLastHeartbeat.size * MOST)) return false;
@@ -63,7 +63,7 @@
   step(now: Instant, pendingCommands: PendingCommands): void {
     if (this.looked !== null && !hasElapsed(now, this.looked, LOOK_EVERY)) return;
     this.looked = now;
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     for (const [id, row] of this.ran) {
       const job = cluster.jobs.get(id);
       if (job === undefined || row.tasks < Math.max(ENOUGH, job.running)) continue;
@@ -76,7 +76,7 @@
           if (
             machine.commandsInFlight ||
             machine.lastHeartbeatAt === null ||
-            hasElapsed(now, machine.lastHeartbeatAt, this.scope.fresh)
+            hasElapsed(now, machine.lastHeartbeatAt, this.context.fresh)
           )
             continue;
           if (!this.setAside(machine, now) || this.wasRenewed(id, attempt.index)) continue;
--- a/src/core/leases/lease-expiry.ts
+++ b/src/core/leases/lease-expiry.ts
@@ -1,96 +1,143 @@
 /**
- * Proof by time that a lease has ended: without a heartbeat and without a release, a machine's old epoch is over once nobody can have
- * answered its worker for a whole lease (S3 in docs/design.md).
+ * Proof by time that a lease has ended: without a heartbeat and without a release, a machine's old epoch is over once
+ * nobody can have answered its worker for a whole lease (S3 in docs/design.md).
  */
 import * as Duration from "effect/Duration";
 import { type Machine, occupiesCapacity, removeAttempt, setMachine } from "../cluster/cluster.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed, plus, withClockDrift } from "../time.js";
 
-/** What a member vouches for: when it last answered each worker, as of an instant of the leader's clock. */
-interface LeaseAcknowledgements {
+/** What the proof allows for beyond the lease and the drift of clocks. */
+const EXPIRY_MARGIN = Duration.seconds(1);
+
+/** That a member answered a worker's heartbeat, which renews the worker's lease, and when at the latest. */
+export interface LeaseRenewal {
+  readonly machine: string;
+  readonly at: Instant;
+}
+
+/** A member's evidence for the expiry of leases: which workers it answered since its last message (S3). */
+export interface LeaseAcknowledgement {
+  readonly member: string;
+  /** Which process of that member speaks: another one knows nothing of what this one answered. */
   readonly incarnation: number;
-  asOf: Instant | null;
+  /** The term under which it spoke; evidence of another term is not taken. */
+  readonly termNumber: number;
+  /** It has told every answer up to this instant of the leader's clock; null: it can't tell yet. */
+  readonly completeUpTo: Instant | null;
+  readonly answered: readonly LeaseRenewal[];
+}
+
+/** All that one process of a member has told of the leases that it renewed. */
+interface MemberEvidence {
+  readonly incarnation: number;
+  completeUpTo: Instant | null;
   lastUpdateAt: Instant | null;
-  readonly answered: Map<string, Instant>;
+  /** When it last answered each worker. */
+  readonly answeredAt: Map<string, Instant>;
 }
 
+/** Collects the members' evidence, and removes the attempts of machines whose leases have certainly ended. */
 export class LeaseExpiry {
-  private acknowledgements = new Map<string, LeaseAcknowledgements>();
+  private evidenceByMember = new Map<string, MemberEvidence>();
 
-  constructor(private readonly scope: SchedulerContext) {
+  constructor(private readonly context: SchedulerContext) {
     this.newTerm();
   }
 
-  /** A process that stays a member goes on vouching: it told this same leader all that it answered. */
+  /** A process that stays a member keeps its evidence: it told this same leader all that it answered. */
   newTerm(): void {
-    const before = this.acknowledgements;
-    this.acknowledgements = new Map(
-      this.scope.term.members.map(({ name, incarnation }) => {
+    const before = this.evidenceByMember;
+    this.evidenceByMember = new Map(
+      this.context.term.members.map(({ name, incarnation }) => {
         const old = before.get(name);
-        const same = old !== undefined && old.incarnation === incarnation;
-        return [name, same ? old : { incarnation, asOf: null, lastUpdateAt: null, answered: new Map() }];
+        const isSameProcess = old !== undefined && old.incarnation === incarnation;
+        return [name, isSameProcess ? old : noEvidence(incarnation)];
       }),
     );
   }
 
-  /** A member's word on its part: which workers it answered since its last word, and when at the latest. */
-  acknowledged(
-    member: string,
-    incarnation: number,
-    token: number,
-    asOf: Instant | null,
-    answered: readonly { machine: string; at: Instant }[],
-    now: Instant,
-  ): void {
-    const vouch = this.acknowledgements.get(member);
-    if (token !== this.scope.term.number || vouch?.incarnation !== incarnation) return;
-    vouch.lastUpdateAt = now;
-    if (asOf !== null && (vouch.asOf === null || asOf > vouch.asOf)) vouch.asOf = asOf;
+  /** Takes in a member's evidence, unless it is of another term or of another process than the term names. */
+  acknowledged(acknowledgement: LeaseAcknowledgement, now: Instant): void {
+    const { member, incarnation, termNumber, completeUpTo, answered } = acknowledgement;
+    const evidence = this.evidenceByMember.get(member);
+    if (termNumber !== this.context.term.number || evidence?.incarnation !== incarnation) return;
+    evidence.lastUpdateAt = now;
+    const known = evidence.completeUpTo;
+    if (completeUpTo !== null && (known === null || completeUpTo > known))
+      evidence.completeUpTo = completeUpTo;
     for (const { machine, at } of answered) {
-      const before = vouch.answered.get(machine);
-      if (before === undefined || at > before) vouch.answered.set(machine, at);
+      const before = evidence.answeredAt.get(machine);
+      if (before === undefined || at > before) evidence.answeredAt.set(machine, at);
     }
   }
 
-  /** When a member's news came last, by whatever way; null: not in this term. */
+  /** When a member's updates came last, by whatever way; null: not in this term. */
   lastUpdateAt(member: string): Instant | null {
-    return this.acknowledgements.get(member)?.lastUpdateAt ?? null;
+    return this.evidenceByMember.get(member)?.lastUpdateAt ?? null;
   }
 
+  /** The machine is gone: what is known of its lease is no longer needed. */
   forget(machine: string): void {
-    for (const vouch of this.acknowledgements.values()) vouch.answered.delete(machine);
+    for (const evidence of this.evidenceByMember.values()) evidence.answeredAt.delete(machine);
   }
 
-  /** Gives up what machines held whose silence proves that it is over. */
+  /** Removes the attempts of machines whose silence proves that their leases have ended. */
   step(now: Instant): void {
-    const { cluster, options } = this.scope;
+    for (const machine of this.silentMachines(now))
+      if (isUnsettled(machine) && this.hasExpired(machine)) this.expire(machine);
+  }
+
+  /** Unconfirmed machines that sent no heartbeat, and those that sent none for a whole lease. */
+  private silentMachines(now: Instant): Set<Machine> {
+    const { cluster, options } = this.context;
     const silent = new Set<Machine>();
     for (const machine of cluster.unconfirmed) if (machine.lastHeartbeatAt === null) silent.add(machine);
     for (const machine of cluster.byLastHeartbeat) {
-      if (!hasElapsed(now, machine.lastHeartbeatAt!, options.timings.workerLease)) break;
+      const { lastHeartbeatAt } = machine;
+      const isSilent =
+        lastHeartbeatAt !== null && hasElapsed(now, lastHeartbeatAt, options.timings.workerLease);
+      if (!isSilent) break;
       silent.add(machine);
     }
-    for (const machine of silent) {
-      const open = !machine.confirmed || [...machine.attempts.values()].some(occupiesCapacity);
-      if (open && this.isOver(machine)) {
-        setMachine(cluster, machine, { confirmed: true });
-        machine.commandsInFlight = false;
-        for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
-      }
-    }
+    return silent;
   }
 
-  private isOver(machine: Machine): boolean {
-    const { timings } = this.scope.options;
-    let last = plus(this.scope.termBegan, timings.fencingWindow);
-    for (const vouch of this.acknowledgements.values()) {
-      const at = vouch.answered.get(machine.id);
-      if (at !== undefined && at > last) last = at;
-    }
-    const over = plus(last, Duration.sum(withClockDrift(timings.workerLease), Duration.seconds(1)));
-    for (const vouch of this.acknowledgements.values())
-      if (vouch.asOf === null || vouch.asOf < over) return false;
+  /** Whether every member has proved that the worker's lease ended: none answered it for a lease, drift and a margin. */
+  private hasExpired(machine: Machine): boolean {
+    const { timings } = this.context.options;
+    const lastRenewedAt = this.latestRenewalOf(machine);
+    const expiredAt = plus(lastRenewedAt, Duration.sum(withClockDrift(timings.workerLease), EXPIRY_MARGIN));
+    for (const { completeUpTo } of this.evidenceByMember.values())
+      if (completeUpTo === null || completeUpTo < expiredAt) return false;
     return true;
   }
+
+  /** The last moment at which anybody can have answered its worker, also under an earlier term. */
+  private latestRenewalOf(machine: Machine): Instant {
+    let latest = plus(this.context.termBegan, this.context.options.timings.fencingWindow);
+    for (const { answeredAt } of this.evidenceByMember.values()) {
+      const at = answeredAt.get(machine.id);
+      if (at !== undefined && at > latest) latest = at;
+    }
+    return latest;
+  }
+
+  private expire(machine: Machine): void {
+    const { cluster } = this.context;
+    setMachine(cluster, machine, { confirmed: true });
+    machine.commandsInFlight = false;
+    for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
+  }
 }
+
+const noEvidence = (incarnation: number): MemberEvidence => ({
+  incarnation,
+  completeUpTo: null,
+  lastUpdateAt: null,
+  answeredAt: new Map(),
+});
+
+/** Whether something may still run on the machine. */
+const isUnsettled = (machine: Machine): boolean =>
+  !machine.confirmed || [...machine.attempts.values()].some(occupiesCapacity);
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -19,16 +19,16 @@
   hasElapsed(now, attempt.stateSince, Duration.seconds(35));
 
 export class Reconciler {
-  constructor(private readonly scope: SchedulerContext) {}
+  constructor(private readonly context: SchedulerContext) {}
 
   /** Looks at the machines about which something changed; keeps an eye on those where something is under way. */
   step(now: Instant, pendingCommands: PendingCommands): void {
-    const { reconcileQueue } = this.scope.cluster;
+    const { reconcileQueue } = this.context.cluster;
     for (const machine of [...reconcileQueue]) {
       machine.idleSince =
         machine.attempts.size === 0 && machine.lastHeartbeatAt !== null ? (machine.idleSince ?? now) : null;
       // whatever ends these states puts the machine back
-      const isBusy = machine.commandsInFlight || this.scope.isPaused(machine);
+      const isBusy = machine.commandsInFlight || this.context.isPaused(machine);
       if (
         isBusy ||
         !machine.confirmed ||
@@ -46,7 +46,7 @@
     let moving = machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
     for (const attempt of machine.attempts.values()) {
       if (attempt.state === "dispatched") continue;
-      const job = this.scope.cluster.jobs.get(attempt.job);
+      const job = this.context.cluster.jobs.get(attempt.job);
       if (attempt.state === "exited") {
         // a finish is reaped only once stored; nothing is reaped while its start may yet be executed again
         if (
@@ -77,7 +77,7 @@
    * of an old heartbeat must not get the real task stopped.
    */
   private hasTwin(attempt: TaskAttempt): boolean {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const attempts = cluster.jobs.get(attempt.job)?.attempts.get(attempt.index) ?? [];
     return attempts.some(
       (taskAttempt) =>
@@ -90,7 +90,7 @@
 
   /** A machine that the cloud takes back soon: what can save does so, replicas move if there is room. */
   private evacuate(machine: Machine, now: Instant, pendingCommands: PendingCommands): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     let room: Machine[] | null = null;
     for (const attempt of machine.attempts.values()) {
       const { spec } = attempt;
@@ -104,7 +104,7 @@
       }
       if (!saves && spec.kind !== "service") continue;
       room ??= [...cluster.capacityIndex.atLeast(spec.cpus)].filter((machine) =>
-        this.scope.usable(machine, now),
+        this.context.usable(machine, now),
       );
       if (saves || chooseMachine(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
     }
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -1,7 +1,7 @@
 /**
  * The leader's core: events in, decisions out. It reads no clock, draws no random number and touches no socket.
- * Safety rests on one invariant: a task is started only while nothing holds it, where an attempt is removed only once it is
- * certain that the attempt neither runs nor can still start (S4 in docs/design.md). The class only brings the parts of
+ * Safety rests on one invariant: a task is started only while it has no attempt, and an attempt is removed only once it is
+ * certain that it neither runs nor can still start (S4 in docs/design.md). The class only brings the parts of
  * the core together; each has a module of its own, and all share the `SchedulerContext`.
  */
 import { type Cluster, recordHeartbeat, type Machine } from "../cluster/cluster.js";
@@ -15,7 +15,7 @@
 import { PendingCommands } from "../commands/pending-commands.js";
 import { SlowMachineDetector } from "../heartbeats/slow-machine-detector.js";
 import { Placer } from "../placement/placer.js";
-import { LeaseExpiry } from "../leases/lease-expiry.js";
+import { type LeaseAcknowledgement, LeaseExpiry } from "../leases/lease-expiry.js";
 import type { Range } from "../ranges.js";
 import type { JobSpec, MachineRecord, MachineType, Command, RentalRecord } from "../records.js";
 import type { TermRecord, Heartbeat } from "../records.js";
@@ -36,7 +36,7 @@
   readonly fleet: Autoscaler;
   /** What handing machines over to another controller needs. */
   readonly drain: ShardDrain;
-  private readonly scope: SchedulerContext;
+  private readonly context: SchedulerContext;
   private readonly jobs: JobIntake;
   private readonly machines: MachineIntake;
   private readonly heartbeats: HeartbeatHandler;
@@ -44,43 +44,43 @@
   private readonly leaseExpiry: LeaseExpiry;
   private readonly queue: JobQueue;
   private readonly placer: Placer;
-  private readonly pace: SlowMachineDetector;
-  private readonly tidy: Reconciler;
+  private readonly slowMachines: SlowMachineDetector;
+  private readonly reconciler: Reconciler;
   private readonly fleetDecisions: AutoscalerDecisions;
   private listedOnce = false;
 
-  /** `leaderStamp`: the revision of the leader's key, which tells older jobs from younger ones (S5). */
+  /** `leaderRevision`: the revision of the leader's key, which tells older jobs from younger ones (S5). */
   constructor(
     options: SchedulerOptions,
     term: TermRecord,
-    leaderStamp: number,
+    leaderRevision: number,
     now: Instant,
     zones?: ZoneWatch,
   ) {
-    this.scope = new SchedulerContext(options, term, now, leaderStamp, zones);
+    this.context = new SchedulerContext(options, term, now, leaderRevision, zones);
     this.fleet = new Autoscaler(options.fleet);
-    this.drain = new ShardDrain(this.scope);
-    this.jobs = new JobIntake(this.scope.cluster);
-    this.machines = new MachineIntake(this.scope);
-    this.pace = new SlowMachineDetector(this.scope);
-    this.heartbeats = new HeartbeatHandler(this.scope, this.machines, this.pace);
-    this.commands = new CommandSender(this.scope);
-    this.leaseExpiry = new LeaseExpiry(this.scope);
-    this.queue = new JobQueue(this.scope);
-    this.placer = new Placer(this.scope, this.queue);
-    this.tidy = new Reconciler(this.scope);
-    const returns = new ScaleIn(this.scope, this.leaseExpiry);
-    this.fleetDecisions = new AutoscalerDecisions(this.scope, this.fleet, returns, this.queue);
+    this.drain = new ShardDrain(this.context);
+    this.jobs = new JobIntake(this.context.cluster);
+    this.machines = new MachineIntake(this.context);
+    this.slowMachines = new SlowMachineDetector(this.context);
+    this.heartbeats = new HeartbeatHandler(this.context, this.machines, this.slowMachines);
+    this.commands = new CommandSender(this.context);
+    this.leaseExpiry = new LeaseExpiry(this.context);
+    this.queue = new JobQueue(this.context);
+    this.placer = new Placer(this.context, this.queue);
+    this.reconciler = new Reconciler(this.context);
+    const returns = new ScaleIn(this.context, this.leaseExpiry);
+    this.fleetDecisions = new AutoscalerDecisions(this.context, this.fleet, returns, this.queue);
   }
 
   /** Jobs, machines and attempts. */
   get cluster(): Cluster {
-    return this.scope.cluster;
+    return this.context.cluster;
   }
 
   /** The present term. */
   get term(): TermRecord {
-    return this.scope.term;
+    return this.context.term;
   }
 
   /** Whether the leader has to begin a new term: this one has hardly any attempt numbers left (S4). */
@@ -95,8 +95,8 @@
 
   /** The same leader goes on under a higher token: what it knows stays true. */
   renewTerm(term: TermRecord, now: Instant): void {
-    this.scope.term = term;
-    this.scope.termBegan = now;
+    this.context.term = term;
+    this.context.termBegan = now;
     this.leaseExpiry.newTerm();
     for (const machine of this.cluster.machines.values()) {
       machine.commandsInFlight = false;
@@ -109,7 +109,7 @@
 
   /** The machine types that the platform offers. */
   setTypes(types: readonly MachineType[]): void {
-    this.scope.setTypes(types);
+    this.context.setTypes(types);
   }
 
   /** A released job. Its deadline and its age count from `accepted` and `released`, under whatever leader. */
@@ -132,7 +132,7 @@
   jobOver(id: string): void {
     this.jobs.over(id);
     this.placer.jobOver(id);
-    this.pace.jobOver(id);
+    this.slowMachines.jobOver(id);
   }
 
   /** Finishes that are in the state service (S7). */
@@ -181,24 +181,17 @@
     if (machine !== undefined && machine.workerEpoch > 0) recordHeartbeat(this.cluster, machine, at);
   }
 
-  /** A member's evidence for the expiry of leases: which workers it answered, complete up to `asOf` (S3). */
-  leasesAcknowledged(
-    member: string,
-    incarnation: number,
-    token: number,
-    asOf: Instant | null,
-    answered: readonly { machine: string; at: Instant }[],
-    now: Instant,
-  ): void {
-    this.leaseExpiry.acknowledged(member, incarnation, token, asOf, answered, now);
-    for (const { machine: id, at } of answered) {
+  /** A member's evidence for the expiry of leases: which workers it answered (S3). */
+  leasesAcknowledged(acknowledgement: LeaseAcknowledgement, now: Instant): void {
+    this.leaseExpiry.acknowledged(acknowledgement, now);
+    for (const { machine: id, at } of acknowledgement.answered) {
       const machine = this.cluster.machines.get(id);
       if (machine === undefined) continue;
       if (machine.leaseRenewedAt === null || at > machine.leaseRenewedAt) machine.leaseRenewedAt = at;
     }
   }
 
-  /** What became of commands that were sent under this token, and which report they were answered with (S4). */
+  /** What became of commands that were sent under this token, and which heartbeat they were answered with (S4). */
   commandsAnswered(
     machine: string,
     commands: readonly Command[],
@@ -217,8 +210,8 @@
     const notes: string[] = [];
     this.commands.unblock(now);
     this.leaseExpiry.step(now);
-    this.tidy.step(now, pendingCommands);
-    this.pace.step(now, pendingCommands);
+    this.reconciler.step(now, pendingCommands);
+    this.slowMachines.step(now, pendingCommands);
     this.placer.step(now, pendingCommands, notes);
     for (const text of notes) decisions.push({ kind: "note", text });
     this.commit(decisions);
@@ -249,7 +242,7 @@
 
   /** One line of figures for operators. */
   summary(now: Instant): Record<string, number> {
-    return summaryOf(this.scope, now);
+    return summaryOf(this.context, now);
   }
 
   /** Decides on the fleet's size. Called about once a second, and only while the cloud can be asked. */
--- a/src/core/shards/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -10,21 +10,21 @@
 
 /** The shard's side of the core. Owns `cluster.fencing`. */
 export class ShardDrain {
-  /** `scope`: what the parts of the core share. */
-  constructor(private readonly scope: SchedulerContext) {}
+  /** `context`: what the parts of the core share. */
+  constructor(private readonly context: SchedulerContext) {}
 
   /** Raises the machines' tokens and has them asked for heartbeats. */
   raiseTokens(machines: readonly Machine[]): void {
     for (const machine of machines) {
       machine.fencingTokenStep++;
       machine.probedAt = null;
-      this.scope.cluster.awaitingFence.add(machine);
+      this.context.cluster.awaitingFence.add(machine);
     }
   }
 
   /** The machines may be given commands again. */
   resume(machines: readonly Machine[]): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     for (const machine of machines) {
       cluster.awaitingFence.delete(machine);
       cluster.reconcileQueue.add(machine);
@@ -50,9 +50,9 @@
   }
 
   private isFenced(machine: Machine): boolean {
-    const token = fencingTokenOf(this.scope.term.number, machine.fencingTokenStep);
+    const token = fencingTokenOf(this.context.term.number, machine.fencingTokenStep);
     const isSeen = machine.confirmed && machine.fencingToken >= token;
-    if (isSeen) this.scope.cluster.awaitingFence.delete(machine);
+    if (isSeen) this.context.cluster.awaitingFence.delete(machine);
     return isSeen && !machine.commandsInFlight;
   }
 
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -224,14 +224,9 @@
           scheduler.contactReported(machine, minus(at, Duration.millis(heartbeatAgeMs)));
         if (answerAgeMs >= 0) answered.push({ machine, at: minus(at, Duration.millis(answerAgeMs)) });
       }
-      scheduler.leasesAcknowledged(
-        request.member,
-        request.incarnation,
-        request.termNumber,
-        request.leaderClockMark < 0 ? null : instant(request.leaderClockMark),
-        answered,
-        at,
-      );
+      const { member, incarnation, termNumber } = request;
+      const completeUpTo = request.leaderClockMark < 0 ? null : instant(request.leaderClockMark);
+      scheduler.leasesAcknowledged({ member, incarnation, termNumber, completeUpTo, answered }, at);
       for (const result of request.commandResults)
         this.answered(scheduler, result.id, result.outcome, {
           workerEpoch: result.workerEpoch,
--- a/test/model.ts
+++ b/test/model.ts
@@ -1147,12 +1147,9 @@
                 at: minus(at, Duration.millis(contact.answerAgeMs)),
               });
           }
+          const completeUpTo = mark < 0 ? null : instant(mark);
           scheduler.leasesAcknowledged(
-            node.name,
-            incarnation,
-            term.number,
-            mark < 0 ? null : instant(mark),
-            answered,
+            { member: node.name, incarnation, termNumber: term.number, completeUpTo, answered },
             at,
           );
           for (const result of news.commandResults)
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -248,7 +248,9 @@
       machine: id,
       at: instant(scene.now),
     }));
-    scene.s.leasesAcknowledged("a", 1, scene.s.term.number, instant(scene.now), answered, instant(scene.now));
+    const now = instant(scene.now);
+    const termNumber = scene.s.term.number;
+    scene.s.leasesAcknowledged({ member: "a", incarnation: 1, termNumber, completeUpTo: now, answered }, now);
   };
   let why = "";
   let startsLate = 0;
@@ -528,8 +530,11 @@
   const ways = new Set<string | null>();
   for (let t = 200; t < 20_000; t += 100) {
     for (let i = 1; i < 8; i++) if (t % 1000 === 0) heartbeat(`n-${i}`, "b", t);
-    scheduler.leasesAcknowledged("a", 1, 1, null, [], instant(t));
-    scheduler.leasesAcknowledged("b", 1, 1, null, [], instant(t));
+    for (const member of ["a", "b"])
+      scheduler.leasesAcknowledged(
+        { member, incarnation: 1, termNumber: 1, completeUpTo: null, answered: [] },
+        instant(t),
+      );
     for (const decision of scheduler.step(instant(t))) {
       if (decision.kind !== "commands" || decision.machine !== "n-0") continue;
       ways.add(decision.via);
