--- a/src/core/heartbeats/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in workers' heartbeats: a heartbeat that is newer than the last one tells everything that is on the machine (S2), so it
- * adds, changes and removes the machine's attempts (S4).
+ * Takes in workers' heartbeats: one that is newer than the last tells everything that is on the machine (S2), so it adds,
+ * changes and removes the machine's attempts (S4).
  */
 import * as Duration from "effect/Duration";
 import { noteImage, noteResult } from "./attempt-results.js";
@@ -24,7 +24,16 @@
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** Heartbeats that come later than so many intervals after the last one say nothing about when tasks began and ended. */
-const IN_TIME = 1.5;
+const TIMELY_INTERVALS = 1.5;
+
+/** A heartbeat that is being taken in. */
+interface Intake {
+  readonly machine: Machine;
+  readonly heartbeat: Heartbeat;
+  /** Whether it tells when tasks began and ended. */
+  readonly isTimely: boolean;
+  readonly now: Instant;
+}
 
 /** Applies each newer heartbeat to the cluster; older ones and late copies change nothing. */
 export class HeartbeatHandler {
@@ -36,38 +45,38 @@
 
   /** `at`: when a member took the heartbeat; `via`: which one. */
   apply(heartbeat: Heartbeat, via: string, now: Instant, at: Instant): void {
-    const current = termNumberOf(heartbeat.fencingToken) >= this.context.term.number;
-    const machine = this.machineOf(heartbeat, current, now);
+    const isCurrent = termNumberOf(heartbeat.fencingToken) >= this.context.term.number;
+    const machine = this.machineOf(heartbeat, isCurrent, now);
     if (machine === null || isSameOrNewer(machine, heartbeat)) return;
     const isNewEpoch = heartbeat.workerEpoch > machine.workerEpoch && machine.workerEpoch > 0;
-    const isTimely = this.isInTime(machine, at);
+    const intake: Intake = { machine, heartbeat, isTimely: this.isTimely(machine, at), now };
     this.update(machine, heartbeat, via, at);
     this.updateNotice(machine, heartbeat.reclaimNoticeSeconds, now);
     const present = new Set<string>();
     for (const task of heartbeat.tasks) {
       const key = attemptKey(task.job, task.index, task.attempt);
       present.add(key);
-      this.takeTask(machine, task, machine.attempts.get(key), heartbeat.fencingToken, isTimely, now);
+      this.applyTask(intake, task, machine.attempts.get(key));
     }
     this.removeMissing(machine, present, heartbeat, isNewEpoch);
-    if (current && !machine.confirmed) this.confirm(machine);
+    if (isCurrent && !machine.confirmed) this.confirm(machine);
   }
 
   /** A late copy may speak of a machine long gone: an unknown one is believed once it knows the present token (S5). */
-  private machineOf(heartbeat: Heartbeat, current: boolean, now: Instant): Machine | null {
+  private machineOf(heartbeat: Heartbeat, isCurrent: boolean, now: Instant): Machine | null {
     const known = this.context.cluster.machines.get(heartbeat.machine);
     if (known !== undefined) return known;
-    if (!current) return null;
+    if (!isCurrent) return null;
     const { type, zone, spot, addr } = heartbeat;
     return this.machines.discovered(heartbeat.machine, { type, zone, spot, addr }, now);
   }
 
   /** After a gap (an outage, a take-over) it isn't known when its tasks began and ended. */
-  private isInTime(machine: Machine, at: Instant): boolean {
+  private isTimely(machine: Machine, at: Instant): boolean {
     const { heartbeatInterval } = this.context.options.timings;
     return (
       machine.lastHeartbeatAt !== null &&
-      !hasElapsed(at, machine.lastHeartbeatAt, Duration.times(heartbeatInterval, IN_TIME))
+      !hasElapsed(at, machine.lastHeartbeatAt, Duration.times(heartbeatInterval, TIMELY_INTERVALS))
     );
   }
 
@@ -91,24 +100,17 @@
     }
   }
 
-  private takeTask(
-    machine: Machine,
-    task: TaskStatus,
-    attempt: TaskAttempt | undefined,
-    token: number,
-    isTimely: boolean,
-    now: Instant,
-  ): void {
+  private applyTask(intake: Intake, task: TaskStatus, attempt: TaskAttempt | undefined): void {
     const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
     if (task.state === "exited" && task.exitReason === "done" && job !== undefined)
       finishTask(cluster, job, task.index);
-    if (attempt === undefined) this.addReported(machine, task, now);
-    else this.changeReported(machine, task, attempt, token, isTimely, now);
+    if (attempt === undefined) this.addReported(intake, task);
+    else this.updateReported(intake, task, attempt);
   }
 
-  /** An attempt that this leader didn't start, or whose hold it gave up. */
-  private addReported(machine: Machine, task: TaskStatus, now: Instant): void {
+  /** An attempt that this leader didn't start, or that it removed. */
+  private addReported({ machine, now }: Intake, task: TaskStatus): void {
     const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
     addAttempt(cluster, {
@@ -129,21 +131,17 @@
     if (task.state === "running") noteImage(machine, job?.spec ?? null);
   }
 
-  private changeReported(
-    machine: Machine,
-    task: TaskStatus,
-    attempt: TaskAttempt,
-    token: number,
-    isTimely: boolean,
-    now: Instant,
-  ): void {
+  /** What the heartbeat says of an attempt that is known: its state, and whether its start is settled (S2). */
+  private updateReported(intake: Intake, task: TaskStatus, attempt: TaskAttempt): void {
+    const { machine, heartbeat, isTimely, now } = intake;
     const { cluster } = this.context;
     const { state, exitReason } = task;
     const before = attempt.state;
-    const isSettled = attempt.unacknowledgedToken !== null && token > attempt.unacknowledgedToken;
+    const isSettled =
+      attempt.unacknowledgedToken !== null && heartbeat.fencingToken > attempt.unacknowledgedToken;
     if (before === state && !isSettled) return;
     if (before === "running" && exitReason === "done" && isTimely)
-      this.slowMachines.done(machine, attempt, now);
+      this.slowMachines.taskDone(machine, attempt, now);
     const unacknowledgedToken = isSettled ? null : attempt.unacknowledgedToken;
     if (before === state) {
       updateAttempt(cluster, attempt, { exitReason, unacknowledgedToken });
@@ -161,6 +159,7 @@
     if (state === "running" || hasExited) noteResult(cluster, machine, attempt, now);
   }
 
+  /** Attempts that the heartbeat doesn't show are gone, unless their start may still be executed (S4). */
   private removeMissing(
     machine: Machine,
     present: ReadonlySet<string>,
@@ -173,7 +172,7 @@
     }
   }
 
-  /** A heartbeat under this term's token: the machine's holds are complete from now on (S2). */
+  /** A heartbeat under this term's token: the machine's attempts are complete from now on (S2). */
   private confirm(machine: Machine): void {
     const { cluster } = this.context;
     setMachine(cluster, machine, { confirmed: true });
--- a/src/core/heartbeats/slow-machine-detector.ts
+++ b/src/core/heartbeats/slow-machine-detector.ts
@@ -3,92 +3,109 @@
  * empty, and what is overdue there starts anew elsewhere, once.
  */
 import * as Duration from "effect/Duration";
-import { type TaskAttempt, type Job, type Machine } from "../cluster/cluster.js";
+import { type TaskAttempt, type Job, type Machine, machineOf } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed } from "../time.js";
 
 /** Tasks of one job differ by half, machines by a tenth; early finishers are the short ones. */
-const SLOW = 2.2;
-const ENOUGH = 3;
-const LOOK_EVERY = Duration.seconds(2);
-/** With more of them than this share the measure must be wrong. */
-const MOST = 0.25;
+const SLOW_FACTOR = 2.2;
+/** The mean run time of a job says something only after so many of its tasks have finished. */
+const LEAST_FINISHED = 3;
+const CHECK_INTERVAL = Duration.seconds(2);
+/** With more cordoned machines than this share, or than two, the measure must be wrong. */
+const MOST_CORDONED_SHARE = 0.25;
+const CORDONED_ANYWAY = 2;
 
+/** How long the finished tasks of a job ran, taken together. */
+interface RunTimes {
+  tasks: number;
+  milliseconds: number;
+}
+
+/** Owns the run times of finished array tasks, and cordons the machines that take much longer than the mean. */
 export class SlowMachineDetector {
-  private readonly ran = new Map<string, { tasks: number; ms: number }>();
+  private readonly runTimesByJob = new Map<string, RunTimes>();
   /** Tasks that were already started anew, by job. */
-  private readonly renewed = new Map<string, Set<number>>();
-  private looked: Instant | null = null;
+  private readonly restartedByJob = new Map<string, Set<number>>();
+  private lastCheckedAt: Instant | null = null;
 
   constructor(private readonly context: SchedulerContext) {}
 
-  jobOver(id: string): void {
-    this.ran.delete(id);
-    this.renewed.delete(id);
+  /** The job is over: nothing of it is compared any more. */
+  forgetJob(id: string): void {
+    this.runTimesByJob.delete(id);
+    this.restartedByJob.delete(id);
   }
 
   /** A running task was seen to be done. */
-  done(machine: Machine, attempt: TaskAttempt, now: Instant): void {
+  taskDone(machine: Machine, attempt: TaskAttempt, now: Instant): void {
     if (attempt.spec?.kind !== "array" || attempt.runningSince === null) return;
-    const ms = now - attempt.runningSince;
+    const milliseconds = now - attempt.runningSince;
     const job = this.context.cluster.jobs.get(attempt.job);
-    if (job !== undefined && this.isOverdue(job, ms)) this.setAside(machine, now);
-    const row = this.ran.get(attempt.job);
-    if (row === undefined) this.ran.set(attempt.job, { tasks: 1, ms });
+    if (job !== undefined && this.isOverdue(job, milliseconds)) this.cordon(machine, now);
+    const runTimes = this.runTimesByJob.get(attempt.job);
+    if (runTimes === undefined) this.runTimesByJob.set(attempt.job, { tasks: 1, milliseconds });
     else {
-      row.tasks++;
-      row.ms += ms;
+      runTimes.tasks++;
+      runTimes.milliseconds += milliseconds;
+    }
+  }
+
+  /** Now and then: cordons machines on which a task is overdue, and stops it so that it starts anew elsewhere. */
+  step(now: Instant, pendingCommands: PendingCommands): void {
+    if (this.lastCheckedAt !== null && !hasElapsed(now, this.lastCheckedAt, CHECK_INTERVAL)) return;
+    this.lastCheckedAt = now;
+    for (const [id, runTimes] of this.runTimesByJob) {
+      const job = this.context.cluster.jobs.get(id);
+      if (job === undefined || !isConclusive(runTimes, job)) continue;
+      for (const attempts of job.attempts.values())
+        for (const attempt of attempts) this.checkAttempt(job, attempt, now, pendingCommands);
     }
   }
 
-  private isOverdue(job: Job, ms: number): boolean {
-    const row = this.ran.get(job.spec.id);
-    if (row === undefined || row.tasks < Math.max(ENOUGH, job.running)) return false;
-    return ms > (row.ms / row.tasks) * SLOW;
+  private checkAttempt(job: Job, attempt: TaskAttempt, now: Instant, pendingCommands: PendingCommands): void {
+    if (attempt.state !== "running" || attempt.stopping || attempt.runningSince === null) return;
+    if (!this.isOverdue(job, now - attempt.runningSince)) return;
+    const machine = machineOf(this.context.cluster, attempt);
+    // a silent machine is another matter; so is a task that was slow before
+    if (machine.commandsInFlight || this.isSilent(machine, now)) return;
+    if (this.cordon(machine, now) && this.isFirstRestart(job.spec.id, attempt.index))
+      pendingCommands.stop(attempt);
   }
 
-  private setAside(machine: Machine, now: Instant): boolean {
+  private isSilent({ lastHeartbeatAt }: Machine, now: Instant): boolean {
+    return lastHeartbeatAt === null || hasElapsed(now, lastHeartbeatAt, this.context.fresh);
+  }
+
+  private isOverdue(job: Job, milliseconds: number): boolean {
+    const runTimes = this.runTimesByJob.get(job.spec.id);
+    if (runTimes === undefined || !isConclusive(runTimes, job)) return false;
+    return milliseconds > (runTimes.milliseconds / runTimes.tasks) * SLOW_FACTOR;
+  }
+
+  /** Gives the machine no new work; false where too many are cordoned already. */
+  private cordon(machine: Machine, now: Instant): boolean {
     if (machine.cordonedAsSlow) return true;
     const { cluster } = this.context;
-    let slow = 0;
-    for (const machine of cluster.byLastHeartbeat) if (machine.cordonedAsSlow) slow++;
-    if (slow + 1 > Math.max(2, cluster.byLastHeartbeat.size * MOST)) return false;
+    let cordoned = 0;
+    for (const other of cluster.byLastHeartbeat) if (other.cordonedAsSlow) cordoned++;
+    const most = Math.max(CORDONED_ANYWAY, cluster.byLastHeartbeat.size * MOST_CORDONED_SHARE);
+    if (cordoned + 1 > most) return false;
     machine.cordonedAsSlow = true;
     machine.cordonedAt ??= now;
     return true;
   }
 
-  /** Now and then: what runs far too long. */
-  step(now: Instant, pendingCommands: PendingCommands): void {
-    if (this.looked !== null && !hasElapsed(now, this.looked, LOOK_EVERY)) return;
-    this.looked = now;
-    const { cluster } = this.context;
-    for (const [id, row] of this.ran) {
-      const job = cluster.jobs.get(id);
-      if (job === undefined || row.tasks < Math.max(ENOUGH, job.running)) continue;
-      for (const attempts of job.attempts.values())
-        for (const attempt of attempts) {
-          if (attempt.state !== "running" || attempt.stopping || attempt.runningSince === null) continue;
-          if (!this.isOverdue(job, now - attempt.runningSince)) continue;
-          const machine = cluster.machines.get(attempt.machine)!;
-          // a silent machine is another matter; so is a task that was slow before
-          if (
-            machine.commandsInFlight ||
-            machine.lastHeartbeatAt === null ||
-            hasElapsed(now, machine.lastHeartbeatAt, this.context.fresh)
-          )
-            continue;
-          if (!this.setAside(machine, now) || this.wasRenewed(id, attempt.index)) continue;
-          pendingCommands.stop(attempt);
-        }
-    }
-  }
-
-  private wasRenewed(id: string, index: number): boolean {
-    const tasks = this.renewed.get(id) ?? new Set<number>();
-    if (tasks.has(index)) return true;
-    this.renewed.set(id, tasks.add(index));
-    return false;
+  /** Whether the task hasn't been started anew before; from now on it has. */
+  private isFirstRestart(id: string, index: number): boolean {
+    const restarted = this.restartedByJob.get(id) ?? new Set<number>();
+    if (restarted.has(index)) return false;
+    this.restartedByJob.set(id, restarted.add(index));
+    return true;
   }
 }
+
+/** Whether enough tasks have finished, also next to those that still run: the first ones to finish are the short ones. */
+const isConclusive = (runTimes: RunTimes, job: Job): boolean =>
+  runTimes.tasks >= Math.max(LEAST_FINISHED, job.running);
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -1,13 +1,15 @@
-/** Stops what must not run, forgets what is over, moves replicas off machines that go. */
+/** Reconciliation: stops what must not run, forgets what is over, moves replicas off machines that go. */
 import * as Duration from "effect/Duration";
-import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
+import { type Job, type TaskAttempt, type Machine, machineOf, occupiesCapacity } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
 import { chooseMachine } from "../placement/placement.js";
 import type { SchedulerContext } from "./scheduler-context.js";
+import type { JobSpec } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
 
-/** An exited task takes no room: forgetting it waits this long for other commands to the same machine. */
+/** An exited task uses no capacity: forgetting it waits this long for other commands to the same machine. */
 const FORGET_AFTER = Duration.seconds(2);
+/** A stop whose effect no heartbeat has shown for so long is sent again. */
 const STOP_AGAIN_AFTER = Duration.seconds(3);
 
 /** A replica that has run long enough for its start to count, and that nobody is stopping. */
@@ -18,103 +20,117 @@
   attempt.unacknowledgedToken === null &&
   hasElapsed(now, attempt.stateSince, Duration.seconds(35));
 
+/** Compares what is on machines with what should be, and decides on the commands that bring them together. */
 export class Reconciler {
   constructor(private readonly context: SchedulerContext) {}
 
-  /** Looks at the machines about which something changed; keeps an eye on those where something is under way. */
+  /** Looks at the machines about which something changed; keeps those in the queue where something is under way. */
   step(now: Instant, pendingCommands: PendingCommands): void {
     const { reconcileQueue } = this.context.cluster;
     for (const machine of [...reconcileQueue]) {
       machine.idleSince =
         machine.attempts.size === 0 && machine.lastHeartbeatAt !== null ? (machine.idleSince ?? now) : null;
-      // whatever ends these states puts the machine back
-      const isBusy = machine.commandsInFlight || this.context.isPaused(machine);
-      if (
-        isBusy ||
-        !machine.confirmed ||
-        machine.addr === null ||
-        !this.machine(machine, now, pendingCommands)
-      )
+      if (!this.canBeCommanded(machine) || !this.reconcile(machine, now, pendingCommands))
         reconcileQueue.delete(machine);
     }
   }
 
+  /** Whatever ends one of the states that this excludes puts the machine back into the queue. */
+  private canBeCommanded(machine: Machine): boolean {
+    const isBusy = machine.commandsInFlight || this.context.isPaused(machine);
+    return !isBusy && machine.confirmed && machine.addr !== null;
+  }
+
   /** Whether there is more to do here later. */
-  private machine(machine: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
-    let more = machine.draining || machine.reclaimAt !== null;
-    if (machine.reclaimAt !== null) this.evacuate(machine, now, pendingCommands);
-    let moving = machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
+  private reconcile(machine: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
+    let hasMore = machine.draining || machine.reclaimAt !== null;
+    if (machine.reclaimAt !== null) this.evacuate(machine, machine.reclaimAt, now, pendingCommands);
+    // replicas leave a draining machine one at a time
+    let isMoving = machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
     for (const attempt of machine.attempts.values()) {
       if (attempt.state === "dispatched") continue;
       const job = this.context.cluster.jobs.get(attempt.job);
       if (attempt.state === "exited") {
-        // a finish is reaped only once stored; nothing is reaped while its start may yet be executed again
-        if (
-          attempt.unacknowledgedToken === null &&
-          (job === undefined || attempt.exitReason !== "done" || attempt.stored)
-        ) {
-          pendingCommands.forget(attempt, hasElapsed(now, attempt.stateSince, FORGET_AFTER));
-          more = true;
-        }
-        continue;
-      }
-      if (machine.draining && !moving && isMovableReplica(attempt, now)) {
-        moving = true;
+        if (!mayBeForgotten(attempt, job)) continue;
+        pendingCommands.forget(attempt, hasElapsed(now, attempt.stateSince, FORGET_AFTER));
+        hasMore = true;
+      } else if (machine.draining && !isMoving && isMovableReplica(attempt, now)) {
+        isMoving = true;
         pendingCommands.stop(attempt);
-        continue;
-      }
-      if (job === undefined || job.done.has(attempt.index) || this.hasTwin(attempt)) {
+      } else if (this.isUnwanted(attempt, job)) {
         if (!attempt.stopping || hasElapsed(now, attempt.stateSince, STOP_AGAIN_AFTER))
           pendingCommands.stop(attempt, 0);
-        more = true;
+        hasMore = true;
       }
     }
-    return more;
+    return hasMore;
+  }
+
+  /** Whether an attempt must not go on: its job is over, its task is finished, or an earlier attempt of it exists. */
+  private isUnwanted(attempt: TaskAttempt, job: Job | undefined): boolean {
+    return job === undefined || job.done.has(attempt.index) || this.hasEarlierAttempt(attempt, job);
   }
 
   /**
-   * Whether an earlier attempt of the same task is on another machine, by that machine's own present word: a late copy
-   * of an old heartbeat must not get the real task stopped.
+   * Whether an earlier attempt of the same task is on another machine, as that machine itself has confirmed in this term:
+   * a late copy of an old heartbeat must not get the real task stopped.
    */
-  private hasTwin(attempt: TaskAttempt): boolean {
-    const { cluster } = this.context;
-    const attempts = cluster.jobs.get(attempt.job)?.attempts.get(attempt.index) ?? [];
+  private hasEarlierAttempt(attempt: TaskAttempt, job: Job): boolean {
+    const attempts = job.attempts.get(attempt.index);
+    if (attempts === undefined) return false;
     return attempts.some(
-      (taskAttempt) =>
-        taskAttempt !== attempt &&
-        occupiesCapacity(taskAttempt) &&
-        taskAttempt.attempt < attempt.attempt &&
-        cluster.machines.get(taskAttempt.machine)!.confirmed,
+      (other) =>
+        other !== attempt &&
+        occupiesCapacity(other) &&
+        other.attempt < attempt.attempt &&
+        machineOf(this.context.cluster, other).confirmed,
     );
   }
 
-  /** A machine that the cloud takes back soon: what can save does so, replicas move if there is room. */
-  private evacuate(machine: Machine, now: Instant, pendingCommands: PendingCommands): void {
+  /** A machine that the cloud takes back at `reclaimAt`: what can save does so, replicas move if there is room. */
+  private evacuate(
+    machine: Machine,
+    reclaimAt: Instant,
+    now: Instant,
+    pendingCommands: PendingCommands,
+  ): void {
     const { cluster } = this.context;
-    let room: Machine[] | null = null;
+    let candidates: Machine[] | null = null;
     for (const attempt of machine.attempts.values()) {
       const { spec } = attempt;
       const job = cluster.jobs.get(attempt.job);
       if (spec === null || job === undefined || attempt.state !== "running" || attempt.stopping) continue;
-      const saves =
-        Duration.toMillis(spec.checkpoint) > 0 && machine.reclaimAt! - now >= Duration.toMillis(spec.save);
+      const canSave = canSaveWithin(spec, reclaimAt - now);
       if (spec.kind === "gang") {
-        if (saves) stopGang([...job.attempts.values()].flat(), pendingCommands);
+        if (canSave) stopGang([...job.attempts.values()].flat(), pendingCommands);
         continue;
       }
-      if (!saves && spec.kind !== "service") continue;
-      room ??= [...cluster.capacityIndex.atLeast(spec.cpus)].filter((machine) =>
-        this.context.usable(machine, now),
-      );
-      if (saves || chooseMachine(cluster, job, room, now, () => 0) !== null) pendingCommands.stop(attempt);
+      if (!canSave && spec.kind !== "service") continue;
+      candidates ??= this.usableMachines(spec.cpus, now);
+      if (canSave || chooseMachine(cluster, job, candidates, now, () => 0) !== null)
+        pendingCommands.stop(attempt);
     }
   }
+
+  private usableMachines(cpus: number, now: Instant): Machine[] {
+    const { cluster } = this.context;
+    return [...cluster.capacityIndex.atLeast(cpus)].filter((machine) => this.context.usable(machine, now));
+  }
 }
 
-/** Takes a gang down with time to save, all tasks at once; says how many are still there. */
+/** A finish is forgotten only once it is stored (S7), and nothing is while its start may yet be executed again (S4). */
+const mayBeForgotten = (attempt: TaskAttempt, job: Job | undefined): boolean =>
+  attempt.unacknowledgedToken === null &&
+  (job === undefined || attempt.exitReason !== "done" || attempt.stored);
+
+/** Whether a task keeps checkpoints, and has the time to write one. */
+const canSaveWithin = (spec: JobSpec, milliseconds: number): boolean =>
+  Duration.toMillis(spec.checkpoint) > 0 && milliseconds >= Duration.toMillis(spec.save);
+
+/** Takes a gang down with time to save, all tasks at once; returns how many are still there. */
 export const stopGang = (attempts: readonly TaskAttempt[], pendingCommands: PendingCommands): number => {
-  const live = attempts.filter(occupiesCapacity);
-  for (const attempt of live)
+  const remaining = attempts.filter(occupiesCapacity);
+  for (const attempt of remaining)
     if (attempt.state !== "dispatched" && !attempt.stopping) pendingCommands.stop(attempt);
-  return live.length;
+  return remaining.length;
 };
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -132,7 +132,7 @@
   jobOver(id: string): void {
     this.jobs.over(id);
     this.placer.jobOver(id);
-    this.slowMachines.jobOver(id);
+    this.slowMachines.forgetJob(id);
   }
 
   /** Finishes that are in the state service (S7). */
--- a/src/core/scheduler/summary.ts
+++ b/src/core/scheduler/summary.ts
@@ -21,20 +21,20 @@
   return cpus;
 };
 
-const machineFigures = (scope: SchedulerContext, now: Instant) => {
+const machineFigures = (context: SchedulerContext, now: Instant) => {
   const figures = {
     ready: 0,
     booting: 0,
     spot: 0,
     cpus: 0,
     used: 0,
-    // of these: starts that wait for their image, and replicas; then what is paid for and takes no work
+    // processors of starts that wait for their image, and of replicas; then what is paid for and takes no work
     fetching: 0,
     replicas: 0,
     bootingCpus: 0,
-    aside: 0,
+    unusable: 0,
   };
-  for (const machine of scope.cluster.machines.values()) {
+  for (const machine of context.cluster.machines.values()) {
     if (machine.lastHeartbeatAt === null) {
       figures.booting++;
       figures.bootingCpus += machine.cpus;
@@ -43,8 +43,8 @@
     const { starting, replicas } = cpusByState(machine);
     figures.fetching += starting;
     figures.replicas += replicas;
-    if (!scope.usable(machine, now)) {
-      figures.aside += machine.cpus;
+    if (!context.usable(machine, now)) {
+      figures.unusable += machine.cpus;
       continue;
     }
     figures.ready++;
@@ -56,16 +56,16 @@
 };
 
 /** The figures of one line, by name. Looks at all machines, so it is not for every step. */
-export const summaryOf = (scope: SchedulerContext, now: Instant): Record<string, number> => {
-  const { cluster } = scope;
-  const { ready, booting, spot, ...cpus } = machineFigures(scope, now);
+export const summaryOf = (context: SchedulerContext, now: Instant): Record<string, number> => {
+  const { cluster } = context;
+  const { ready, booting, spot, ...cpus } = machineFigures(context, now);
   return {
     machines: cluster.machines.size,
     ready,
     booting,
     unconfirmed: cluster.unconfirmed.size,
-    mute: cluster.unreachable.size,
-    doubts: cluster.unacknowledgedStarts.size,
+    unreachable: cluster.unreachable.size,
+    unacknowledgedStarts: cluster.unacknowledgedStarts.size,
     spot,
     ...cpus,
     waiting: waitingCpus(cluster),
