--- a/src/core/commands/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -19,11 +19,12 @@
 import { termNumberOf, fencingTokenOf } from "../leases/term.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
+/** How long after a question without an answer the next one is put. */
 const ASK_AGAIN = Duration.seconds(1);
-/** Behind a cut there may be hundreds that can't answer: after a few questions each is asked less often. */
+/** Behind a network partition there may be hundreds that can't answer: after a few questions each is asked less often. */
 const ASK_SELDOM = Duration.seconds(4);
 const ASKED_OFTEN = 4;
-/** Questions put in one step: after a take-over all machines are asked, a few at a time, or a share of all. */
+/** Questions put in one step: after a failover all machines are asked, a few at a time, or a share of all. */
 const LEAST_QUESTIONS = 12;
 const SHARE_ASKED = 0.01;
 /** How long nothing is decided for a machine whose commands could not be sent. */
@@ -40,7 +41,7 @@
   readonly answeredBy: HeartbeatId;
 }
 
-/** The way to the workers. Owns which machines are blocked because a batch could not be sent. */
+/** The route to the workers. Owns which machines are blocked because a batch could not be sent. */
 export class CommandSender {
   /** Machines whose commands could not be sent, and until when nothing is decided for them. */
   private readonly blockedUntil = new Map<Machine, Instant>();
@@ -89,7 +90,7 @@
       // one batch at a time: what can't be sent now is decided on again
       if (!sent) this.answered(id, notSent(commands), now);
     }
-    this.askForReports(now, decisions);
+    this.askForHeartbeats(now, decisions);
   }
 
   /** Whether the machine has an address to send to. */
@@ -100,8 +101,8 @@
       kind: "commands",
       machine: machine.id,
       zone: machine.zone,
-      // what got no answer by one way is sent by the other
-      via: machine.unansweredBatches % 2 === 1 ? this.otherWay(machine) : this.usualWay(machine),
+      // what got no answer by one route is sent by the other
+      via: machine.unansweredBatches % 2 === 1 ? this.alternateRoute(machine) : this.usualRoute(machine),
       addr: machine.addr,
       workerEpoch: Math.max(1, machine.workerEpoch),
       fencingToken: fencingTokenOf(this.context.term.number, machine.fencingTokenStep),
@@ -111,23 +112,23 @@
   }
 
   /** The member that passes on its heartbeats; right after its shard was handed over, the new owner. */
-  private usualWay(machine: Machine): string | null {
+  private usualRoute(machine: Machine): string | null {
     return this.context.options.ownership?.wayTo(machine.id, machine.zone) ?? machine.relayedBy;
   }
 
   /**
-   * Beside the member that passes on a machine's reports, this node itself; and where that is the same, another member:
+   * Beside the member that passes on a machine's heartbeats, this node itself; and where that is the same, another member:
    * a leader that lost only its connections to workers would otherwise take them for dead.
    */
-  private otherWay(machine: Machine): string | null {
+  private alternateRoute(machine: Machine): string | null {
     const { leader, members } = this.context.term;
     if (machine.relayedBy !== null && machine.relayedBy !== leader) return null;
     const others = members.filter((member) => member.name !== leader);
-    const near = others.find((member) => member.zone === machine.zone);
-    return (near ?? others[0])?.name ?? null;
+    const inZone = others.find((member) => member.zone === machine.zone);
+    return (inZone ?? others[0])?.name ?? null;
   }
 
-  private askForReports(now: Instant, decisions: Decision[]): void {
+  private askForHeartbeats(now: Instant, decisions: Decision[]): void {
     const most = Math.max(LEAST_QUESTIONS, this.context.cluster.machines.size * SHARE_ASKED);
     for (const machine of this.nextToAsk(now, Math.ceil(most))) {
       machine.probedAt = now;
@@ -137,17 +138,17 @@
 
   /**
    * Up to `most` machines to be asked now. Where more are wanted, those asked longest ago come first: with hundreds behind
-   * a cut the first ones, asked again and again, would keep the others from being asked at all.
+   * a partition the first ones, asked again and again, would keep the others from being asked at all.
    */
   private nextToAsk(now: Instant, most: number): Machine[] {
-    const wanted = [...new Set(this.toAsk(now))].filter((machine) => this.mayAsk(machine, now));
+    const wanted = [...new Set(this.questionable(now))].filter((machine) => this.mayAsk(machine, now));
     if (wanted.length <= most) return wanted;
     const askedAt = (machine: Machine): number => machine.probedAt ?? -Infinity;
-    return wanted.sort((machine, b) => askedAt(machine) - askedAt(b)).slice(0, most);
+    return wanted.sort((one, other) => askedAt(one) - askedAt(other)).slice(0, most);
   }
 
-  /** Machines whose report is wanted; some come up more than once. */
-  private *toAsk(now: Instant): Iterable<Machine> {
+  /** Machines whose heartbeat is wanted; some come up more than once. */
+  private *questionable(now: Instant): Iterable<Machine> {
     const { cluster } = this.context;
     for (const attempt of cluster.unacknowledgedStarts) yield machineOf(cluster, attempt);
     // an earlier leader may have started something on these
@@ -167,8 +168,8 @@
   private mayAsk(machine: Machine, now: Instant): boolean {
     if (!machine.recorded || machine.addr === null) return false;
     if (machine.commandsInFlight || machine.releaseRequestedAt !== null) return false;
-    const isOften = machine.unansweredBatches < ASKED_OFTEN || !this.isSilent(machine, now);
-    const pause = isOften ? ASK_AGAIN : ASK_SELDOM;
+    const isAskedOften = machine.unansweredBatches < ASKED_OFTEN || !this.isSilent(machine, now);
+    const pause = isAskedOften ? ASK_AGAIN : ASK_SELDOM;
     return machine.probedAt === null || hasElapsed(now, machine.probedAt, pause);
   }
 
@@ -203,16 +204,17 @@
   ): void {
     const { cluster } = this.context;
     // A heartbeat under a higher token came before this and didn't show the task: a late start is refused from then on. No
-    // later heartbeat would settle the doubt, since workers report changes alone.
+    // later heartbeat would settle it, since workers report changes alone.
     const isRefusedLater = machine.fencingToken > fencingToken;
     if (outcome === "unknown" && !isRefusedLater)
       updateAttempt(cluster, attempt, { unacknowledgedToken: fencingToken });
-    // reports come by several ways: the one that shows the task may arrive after this answer
+    // heartbeats come by several routes: the one that shows the task may arrive after this answer
     else if (outcome === "done" && !isSameOrNewer(machine, answeredBy)) attempt.acknowledgedBy = answeredBy;
     else removeAttempt(cluster, attempt);
   }
 }
 
+/** The outcome of commands that stayed here. */
 const notSent = (commands: readonly Command[]): CommandBatchResult => ({
   commands,
   fencingToken: NOT_SENT,
--- a/src/core/commands/pending-commands.ts
+++ b/src/core/commands/pending-commands.ts
@@ -1,9 +1,11 @@
-/** The orders that one step decides on, by machine. */
+/** The commands that one step decides on, by machine. */
 import * as Duration from "effect/Duration";
 import type { TaskAttempt } from "../cluster/cluster.js";
 import type { Command } from "../records.js";
 
+/** Collects commands, so that each machine gets those of one step in one batch. */
 export class PendingCommands {
+  /** What is sent in any case. */
   readonly commands = new Map<string, Command[]>();
   /** What can wait until something else goes to the same machine. */
   readonly deferred = new Map<string, Command[]>();
@@ -19,7 +21,7 @@
       for (const command of commands) other.push(machine, command);
   }
 
-  /** Goes along with the machine's next commands; `due`: goes even without any. */
+  /** Lets a worker forget an attempt: with the machine's next commands, or, where it is `due`, even without any. */
   forget(taskAttempt: TaskAttempt, due: boolean): void {
     const { job, index, attempt } = taskAttempt;
     add(due ? this.commands : this.deferred, taskAttempt.machine, {
@@ -31,7 +33,7 @@
     });
   }
 
-  /** Tells a worker to start an attempt of a task; its attempt is there already (S4). */
+  /** Tells a worker to start an attempt, which the cluster already has (S4). */
   start(machine: string, job: string, index: number, attempt: number): void {
     this.push(machine, { op: "start", job, index, attempt, gracePeriodSeconds: 0 });
   }
@@ -50,8 +52,8 @@
   take(machine: string): Command[] | null {
     const commands = this.commands.get(machine);
     if (commands === undefined) return null;
-    const aside = this.deferred.get(machine);
-    return aside === undefined ? commands : [...aside, ...commands];
+    const deferred = this.deferred.get(machine);
+    return deferred === undefined ? commands : [...deferred, ...commands];
   }
 }
 
--- a/src/core/heartbeats/attempt-results.ts
+++ b/src/core/heartbeats/attempt-results.ts
@@ -6,14 +6,14 @@
 
 /** A job that failed on so many machines, and completed nowhere, is probably at fault itself. */
 const SUSPECT_AFTER = 3;
-/** A machine with so many failures, of jobs that aren't suspect, is set aside. */
+/** A machine with so many failures, of jobs that aren't suspect, is cordoned. */
 const FAULTY_AFTER = 2;
 /** The pause between tries of such a job: it doubles up to the longest. */
 const FIRST_PAUSE = Duration.seconds(8);
 const LONGEST_PAUSE = Duration.seconds(60);
 const RETRY_AFTER_UNKNOWN = Duration.seconds(2);
 
-/** Tasks of a job that fails wherever it runs end at once: one that runs for longer speaks for its job. */
+/** Tasks of a job that fails wherever it runs end at once: one that runs for longer shows that its job can run. */
 const PROVEN_AFTER = Duration.seconds(10);
 
 const isUnproven = (attempt: TaskAttempt, now: Instant): boolean =>
@@ -31,12 +31,12 @@
 
 /**
  * Whether a job failed on several machines, completed nowhere and runs nowhere: the fault is probably its own. It is
- * tried one task at a time, after growing pauses, and holds no room that others need.
+ * tried one task at a time, after growing pauses, and keeps no capacity from others.
  */
 export const isSuspect = (job: Job, now: Instant): boolean =>
   job.failedOn.size >= SUSPECT_AFTER && job.done.size === 0 && !isProven(job, now);
 
-/** How many of a job's tasks are worth starting now, room and limits aside. */
+/** How many of a job's tasks are worth starting now, whatever capacity and limits allow. */
 export const startableTasks = (job: Job, now: Instant): number => {
   if (!isSuspect(job, now)) return job.pending.size;
   const isTried = [...job.attempts.values()].flat().some((attempt) => attempt.state !== "exited");
--- a/src/core/leases/term.ts
+++ b/src/core/leases/term.ts
@@ -1,4 +1,4 @@
-/** Who leads, how long a node may act, and which member takes care of which machine. */
+/** The spans of the safety argument, how long a node may act, fencing tokens, and which member owns which machine. */
 import * as Duration from "effect/Duration";
 import { rendezvousOwner } from "#shards";
 import { type Instant, hasElapsed, withClockDrift } from "../time.js";
@@ -10,23 +10,29 @@
   readonly memberLease: Duration.Duration;
   /** How long a node may act after sending the last renewal that showed its term current. */
   readonly fencingWindow: Duration.Duration;
+  /** How often a node renews its lease. */
   readonly renewalInterval: Duration.Duration;
+  /** How long a worker keeps its tasks after its last answered heartbeat. */
   readonly workerLease: Duration.Duration;
+  /** How often a worker sends a heartbeat. */
   readonly heartbeatInterval: Duration.Duration;
+  /** How long after a cancel a task may still run (S9). */
   readonly cancelDeadline: Duration.Duration;
   /** How long after its last read of the jobs a node may act: cancels since then are not known to it. */
   readonly jobViewMaxAge: Duration.Duration;
-  /** From the start of a term on: after this, a machine that nobody answered holds nothing old. */
+  /** From the start of a term on: after this, a machine that nobody answered runs nothing old (S3). */
   readonly machineExpiry: Duration.Duration;
 }
 
+/** Derives the spans so that S1, S3 and S9 hold; the settings are in seconds. */
 export const leaseTimingsOf = (
   workers: { leaseS: number; reportS: number; cancelS: number },
   memberLease: Duration.Duration,
 ): LeaseTimings => {
-  // fence < ttl by a margin for drift and for delay; fence + lease_s < cancel_s
-  const room = (workers.cancelS - workers.leaseS) * 1000 * 0.8;
-  const fencingWindow = Duration.millis(Math.min(Duration.toMillis(memberLease) * 0.8 - 100, room));
+  // the fencing window is shorter than the member's lease by a margin for drift and for delay, and together with the
+  // worker's lease it is shorter than the cancel deadline
+  const longestWindow = (workers.cancelS - workers.leaseS) * 1000 * 0.8;
+  const fencingWindow = Duration.millis(Math.min(Duration.toMillis(memberLease) * 0.8 - 100, longestWindow));
   const workerLease = Duration.seconds(workers.leaseS);
   return {
     memberLease,
@@ -35,7 +41,7 @@
     workerLease,
     heartbeatInterval: Duration.seconds(workers.reportS),
     cancelDeadline: Duration.seconds(workers.cancelS),
-    jobViewMaxAge: Duration.millis(room),
+    jobViewMaxAge: Duration.millis(longestWindow),
     machineExpiry: Duration.sum(
       withClockDrift(Duration.sum(fencingWindow, workerLease)),
       Duration.millis(500),
@@ -43,7 +49,7 @@
   };
 };
 
-/** May this node act for the controllers? `confirmed` is when it *sent* the renewal that succeeded. */
+/** May this node act for the controllers (S1)? `confirmed` is when it *sent* the renewal that succeeded. */
 export const isWithinFencingWindow = (
   timings: LeaseTimings,
   confirmed: Instant | null,
@@ -51,31 +57,33 @@
 ): boolean => confirmed !== null && !hasElapsed(now, confirmed, timings.fencingWindow);
 
 /**
- * Does this node know recent enough ends of jobs to renew a worker's lease or to order a start? `read` is when it
+ * Does this node know recent enough ends of jobs to renew a worker's lease or to command a start (S9)? `read` is when it
  * *sent* the last request whose answer showed it every job that had ended by then. What it does after that may concern
  * a job that was cancelled since, and its tasks' leases have to end within `cancel_s` of that: neither a renewal of its
- * own nor the others' word says anything about cancels.
+ * own nor its peers' confirmation says anything about cancels.
  */
 export const hasFreshJobView = (timings: LeaseTimings, read: Instant | null, now: Instant): boolean =>
   read !== null && !hasElapsed(now, read, timings.jobViewMaxAge);
 
-/** Rendezvous hash: the member whose part a machine belongs to; members of its own zone come first. */
+/** Rendezvous hash: the member whose partition a machine belongs to; members of its own zone come first. */
 export const ownerOf = (term: TermRecord, machine: string, zone: string): TermMember | null =>
   rendezvousOwner(term.members, machine, zone);
 
-/** The members that hold keys now make a new term when they differ from the ones the term names. */
-export const sameMembers = (members: readonly TermMember[], b: readonly TermMember[]): boolean =>
-  members.length === b.length &&
-  members.every((member) => b.some((n) => n.name === member.name && n.incarnation === member.incarnation));
+/** Whether two lists name the same processes: a new term begins when the members' keys differ from the term's list. */
+export const sameMembers = (members: readonly TermMember[], others: readonly TermMember[]): boolean =>
+  members.length === others.length &&
+  members.every((member) =>
+    others.some((other) => other.name === member.name && other.incarnation === member.incarnation),
+  );
 
-/** Since when every other node's word stands that it knows of no newer term; null: not every one's does. */
+/** Since when every other node confirms that it knows of no newer term (S11); null: not every one does. */
 export const oldestPeerConfirmation = (
   others: readonly string[],
-  words: ReadonlyMap<string, Instant>,
+  confirmations: ReadonlyMap<string, Instant>,
 ): Instant | null => {
   let since: Instant | null = null;
   for (const other of others) {
-    const at = words.get(other);
+    const at = confirmations.get(other);
     if (at === undefined) return null;
     if (since === null || at < since) since = at;
   }
@@ -89,7 +97,9 @@
 const FENCING_TOKENS_PER_TERM = 1_000_000;
 /** How many attempts one term has numbers for: the next term's begin where they end (S4). */
 export const ATTEMPTS_PER_TERM = FENCING_TOKENS_PER_TERM - 1;
+/** The token of a term, raised `step` times for one machine (S2). */
 export const fencingTokenOf = (term: number, step = 0): number => term * FENCING_TOKENS_PER_TERM + step;
+/** The term of a token. */
 export const termNumberOf = (token: number): number => Math.floor(token / FENCING_TOKENS_PER_TERM);
 /** The number of a leader's n-th start under a term: unique for ever, since a token belongs to one leader (S4). */
 export const attemptOf = (term: number, start: number): number => term * FENCING_TOKENS_PER_TERM + start;
@@ -97,10 +107,10 @@
 export const fencingTokenForAnswer = (term: number, seen: number): number =>
   termNumberOf(seen) === term ? seen : fencingTokenOf(term);
 
-/** May a node answer workers by the word of all others? Only nodes begin terms. */
+/** May a node answer workers because all others confirm its term (S11)? Only nodes begin terms. */
 export const isConfirmedByPeers = (
   timings: LeaseTimings,
   others: readonly string[],
-  words: ReadonlyMap<string, Instant>,
+  confirmations: ReadonlyMap<string, Instant>,
   now: Instant,
-): boolean => isWithinFencingWindow(timings, oldestPeerConfirmation(others, words), now);
+): boolean => isWithinFencingWindow(timings, oldestPeerConfirmation(others, confirmations), now);
--- a/src/core/leases/zones.ts
+++ b/src/core/leases/zones.ts
@@ -1,23 +1,25 @@
-/** Since when a zone has had no member: what is known of a cut by a leader that has never heard that zone's machines. */
+/** Since when a zone has had no member: what a leader that never heard a zone's machines knows of its partition. */
 import type { TermRecord } from "../records.js";
 import type { Instant } from "../time.js";
 
+/** Remembers which zones had members, and when each lost its last one. */
 export class ZoneWatch {
-  private readonly lost = new Map<string, Instant>();
-  private readonly present = new Set<string>();
+  private readonly lostAt = new Map<string, Instant>();
+  private readonly zonesWithMembers = new Set<string>();
 
   /** A term was seen at `now`; every node sees them all, also those it doesn't lead. */
   seen(term: TermRecord, now: Instant): void {
     const zones = new Set(term.members.map((member) => member.zone));
-    for (const zone of this.present) if (!zones.has(zone)) this.lost.set(zone, now);
-    this.present.clear();
+    for (const zone of this.zonesWithMembers) if (!zones.has(zone)) this.lostAt.set(zone, now);
+    this.zonesWithMembers.clear();
     for (const zone of zones) {
-      this.present.add(zone);
-      this.lost.delete(zone);
+      this.zonesWithMembers.add(zone);
+      this.lostAt.delete(zone);
     }
   }
 
+  /** When the zone's last member went; null: it has one, or never had any that was seen. */
   lostSince(zone: string): Instant | null {
-    return this.lost.get(zone) ?? null;
+    return this.lostAt.get(zone) ?? null;
   }
 }
--- a/src/core/packing.ts
+++ b/src/core/packing.ts
@@ -5,8 +5,10 @@
 /** The service may write JSON a little differently from us; so nothing is filled to the last byte. */
 const FILL = 0.95;
 
+/** How many bytes are put into one value of a service whose values may have so many kilobytes. */
 export const valueBytes = (valueKb: number): number => Math.floor(valueKb * 1024 * FILL);
 
+/** How many bytes a value has as it is written. */
 export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /**
@@ -19,35 +21,39 @@
   most = Infinity,
 ): Record<string, T>[] => {
   const wrapping = jsonBytes({ machines: {} });
-  const out: Record<string, T>[] = [];
-  let room = 0;
+  const pieces: Record<string, T>[] = [];
+  let piece: Record<string, T> = {};
+  let bytesLeft = 0;
   let count = most;
   for (const [name, value] of entries) {
     const needs = jsonBytes(name) + jsonBytes(value) + 2;
-    if (out.length === 0 || needs > room || count >= most) {
-      out.push({});
-      room = bytes - wrapping;
+    if (pieces.length === 0 || needs > bytesLeft || count >= most) {
+      piece = {};
+      pieces.push(piece);
+      bytesLeft = bytes - wrapping;
       count = 0;
     }
-    out.at(-1)![name] = value;
-    room -= needs;
+    piece[name] = value;
+    bytesLeft -= needs;
     count++;
   }
-  return out;
+  return pieces;
 };
 
 /** The items in order, in groups that weigh no more than `most` each. One that weighs more is a group of its own. */
 export const groups = <T>(items: readonly T[], weight: (item: T) => number, most: number): T[][] => {
-  const out: T[][] = [];
-  let room = 0;
+  const grouped: T[][] = [];
+  let group: T[] = [];
+  let weightLeft = 0;
   for (const item of items) {
     const needs = weight(item);
-    if (out.length === 0 || needs > room) {
-      out.push([]);
-      room = most;
+    if (grouped.length === 0 || needs > weightLeft) {
+      group = [];
+      grouped.push(group);
+      weightLeft = most;
     }
-    out.at(-1)!.push(item);
-    room -= needs;
+    group.push(item);
+    weightLeft -= needs;
   }
-  return out;
+  return grouped;
 };
--- a/src/core/ranges.ts
+++ b/src/core/ranges.ts
@@ -1,33 +1,40 @@
-/** A set of task numbers kept as sorted, disjoint, half-open ranges. */
+/** Sets of task numbers, kept and stored as ranges: most tasks of an array finish about in order (S7). */
+
+/** The numbers from `from` up to, but without, `to`. */
 export type Range = readonly [from: number, to: number];
 
+/** A set of task numbers kept as sorted, disjoint ranges that don't touch. */
 export class RangeSet {
   private segments: [number, number][] = [];
+  /** How many numbers are in the set. */
   size = 0;
 
+  /** The set of all numbers in these ranges. */
   static of(ranges: Iterable<Range>): RangeSet {
     const set = new RangeSet();
     for (const [from, to] of ranges) set.add(from, to);
     return set;
   }
 
-  /** Index of the first span that ends after `n`. */
-  private find(n: number): number {
+  /** Index of the first segment that ends after `number`. */
+  private find(number: number): number {
     let low = 0;
     let high = this.segments.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (this.segments[middle]![1] > n) high = middle;
+      if (this.segments[middle]![1] > number) high = middle;
       else low = middle + 1;
     }
     return low;
   }
 
-  has(n: number): boolean {
-    const span = this.segments[this.find(n)];
-    return span !== undefined && span[0] <= n;
+  /** Whether a number is in the set. */
+  has(number: number): boolean {
+    const segment = this.segments[this.find(number)];
+    return segment !== undefined && segment[0] <= number;
   }
 
+  /** Adds the numbers from `from` up to, but without, `to`. */
   add(from: number, to = from + 1): void {
     if (from >= to) return;
     let first = this.find(from);
@@ -46,34 +53,36 @@
     this.size += high - low;
   }
 
-  delete(n: number): void {
-    const at = this.find(n);
-    const span = this.segments[at];
-    if (span === undefined || span[0] > n) return;
+  /** Takes one number out. */
+  delete(number: number): void {
+    const at = this.find(number);
+    const segment = this.segments[at];
+    if (segment === undefined || segment[0] > number) return;
     const rest: [number, number][] = [];
-    if (span[0] < n) rest.push([span[0], n]);
-    if (n + 1 < span[1]) rest.push([n + 1, span[1]]);
+    if (segment[0] < number) rest.push([segment[0], number]);
+    if (number + 1 < segment[1]) rest.push([number + 1, segment[1]]);
     this.segments.splice(at, 1, ...rest);
     this.size--;
   }
 
   /** Up to `most` of the smallest numbers in the set. */
   take(most: number): number[] {
-    const out: number[] = [];
+    const smallest: number[] = [];
     for (const [from, to] of this.segments)
-      for (let n = from; n < to; n++) {
-        if (out.length >= most) return out;
-        out.push(n);
+      for (let number = from; number < to; number++) {
+        if (smallest.length >= most) return smallest;
+        smallest.push(number);
       }
-    return out;
+    return smallest;
   }
 
+  /** Whether all numbers from 0 up to, but without, `count` are in the set. */
   covers(count: number): boolean {
-    return (
-      count === 0 || (this.segments.length > 0 && this.segments[0]![0] <= 0 && this.segments[0]![1] >= count)
-    );
+    const first = this.segments[0];
+    return count === 0 || (first !== undefined && first[0] <= 0 && first[1] >= count);
   }
 
+  /** The set as ranges, in order. */
   ranges(): Range[] {
     return this.segments.map(([from, to]) => [from, to] as const);
   }
@@ -86,15 +95,15 @@
 export const windows = (ranges: readonly Range[], bytes: number): Map<number, Range[]> => {
   const perRange = 17; // "[100000,100001],"
   const width = Math.max(1, Math.floor((bytes - 64) / perRange)) * 2;
-  const out = new Map<number, Range[]>();
+  const rangesByWindow = new Map<number, Range[]>();
   for (const [from, to] of ranges)
     for (let at = from; at < to;) {
       const window = Math.floor(at / width);
       const end = Math.min(to, (window + 1) * width);
-      const list = out.get(window);
-      if (list === undefined) out.set(window, [[at, end]]);
+      const list = rangesByWindow.get(window);
+      if (list === undefined) rangesByWindow.set(window, [[at, end]]);
       else list.push([at, end]);
       at = end;
     }
-  return out;
+  return rangesByWindow;
 };
--- a/src/core/scheduler/scheduler-context.ts
+++ b/src/core/scheduler/scheduler-context.ts
@@ -1,4 +1,4 @@
-/** What every part of the leader's core looks at: its picture, its term, the machine types and its options. */
+/** What every part of the leader's core shares: the cluster, the term, the machine types and the options. */
 import * as Duration from "effect/Duration";
 import { type Cluster, type Machine, newCluster, setMachine } from "../cluster/cluster.js";
 import type { FleetOptions } from "../autoscaling/autoscaler.js";
@@ -10,10 +10,11 @@
 import { ZoneWatch } from "../leases/zones.js";
 
 /** After this long a worker gives a heartbeat up. */
-const REPORT_TIMEOUT = Duration.seconds(4);
-/** What a worker needs beyond that to be heard elsewhere: a second's pause, and room for delays. */
+const HEARTBEAT_TIMEOUT = Duration.seconds(4);
+/** What a worker needs beyond that to reach another controller: a second's pause, and an allowance for delays. */
 const MOVE_MARGIN = Duration.seconds(3);
 
+/** What follows from the settings, and stays as it is while a leader leads. */
 export interface SchedulerOptions {
   readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
@@ -28,12 +29,15 @@
 export interface MachineOwnership {
   /** No commands may be sent to the machine: its shard is being handed over. */
   isPaused(machine: string, zone: string): boolean;
-  /** The member that commands go by, where that isn't the one which passes on the machine's reports; null: it is. */
+  /** The member that commands go by, where that isn't the one which passes on the machine's heartbeats; null: it is. */
   wayTo(machine: string, zone: string): string | null;
 }
 
+/** Shared by the parts of one `Scheduler`, which alone replaces the term. */
 export class SchedulerContext {
+  /** Jobs, machines and attempts. */
   readonly cluster: Cluster = newCluster();
+  /** The machine types that the platform offers. */
   types: readonly MachineType[] = [];
   typeByName = new Map<string, MachineType>();
   /** How long after its last message a machine may be given work. */
@@ -52,16 +56,18 @@
     this.fresh = Duration.sum(Duration.times(options.timings.heartbeatInterval, 1.25), Duration.millis(1500));
     this.reconnectWithin = Duration.sum(
       Duration.times(options.timings.heartbeatInterval, 1.25),
-      Duration.sum(REPORT_TIMEOUT, MOVE_MARGIN),
+      Duration.sum(HEARTBEAT_TIMEOUT, MOVE_MARGIN),
     );
   }
 
+  /** Takes over the platform's machine types, also for the machines that are known. */
   setTypes(types: readonly MachineType[]): void {
     this.types = types;
     this.typeByName = new Map(types.map((type) => [type.name, type]));
     for (const machine of this.cluster.machines.values()) this.applyType(machine);
   }
 
+  /** Gives a machine the size of its type. */
   applyType(machine: Machine): void {
     const type = this.typeByName.get(machine.type);
     if (type === undefined) return;
@@ -69,6 +75,7 @@
     setMachine(this.cluster, machine, { cpus, gpus, memoryGb, cacheGb });
   }
 
+  /** Whether a machine may be given work, as far as its own state says. */
   readonly usable = (machine: Machine, now: Instant): boolean =>
     usable(machine, now, this.fresh) && !this.isLeaseRenewalOverdue(machine, now);
 
@@ -85,7 +92,7 @@
 
   /**
    * Whether a machine is silent only because the members changed a moment ago: its worker has yet to find another
-   * controller. Its room is about to be there again, so no other machine is rented in its place.
+   * controller. Its capacity is about to be there again, so no other machine is rented in its place.
    */
   isReconnecting(machine: Machine, now: Instant): boolean {
     if (hasElapsed(now, this.termBegan, this.reconnectWithin)) return false;
@@ -106,6 +113,7 @@
     return machine.leaseRenewedAt !== null && hasElapsed(now, machine.leaseRenewedAt, span);
   }
 
+  /** What a team's attempts use; not to be changed. */
   usageOf(team: string): Usage {
     return this.cluster.usage.get(team) ?? { cpus: 0, gpus: 0 };
   }
--- a/src/core/shards/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -8,7 +8,7 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { fencingTokenOf } from "../leases/term.js";
 
-/** The shard's side of the core. Owns `cluster.fencing`. */
+/** The shard's side of the core. Owns `cluster.awaitingFence`. */
 export class ShardDrain {
   /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {}
@@ -44,7 +44,7 @@
     };
   }
 
-  /** One that is being returned, or that never held anything, has no commands to wait for. */
+  /** One that is being returned, or that never got a command, has none to wait for. */
   private isWanted(machine: Machine): boolean {
     return machine.releaseRequestedAt === null && machine.recorded;
   }
@@ -62,14 +62,14 @@
       if (!machine.confirmed || machine.addr === null) return Refusal.MachineNotHeard({ machine: id });
       if (machine.unansweredBatches > 0) return Refusal.CommandInDoubt({ machine: id });
       for (const attempt of machine.attempts.values()) {
-        const refusal = this.obstacleOfHold(attempt);
+        const refusal = this.obstacleOfAttempt(attempt);
         if (refusal !== null) return refusal;
       }
     }
     return null;
   }
 
-  private obstacleOfHold(attempt: TaskAttempt): Refusal | null {
+  private obstacleOfAttempt(attempt: TaskAttempt): Refusal | null {
     if (attempt.unacknowledgedToken !== null) return Refusal.CommandInDoubt({ machine: attempt.machine });
     if (attempt.spec?.kind !== "gang") return null;
     if (attempt.state === "saving") return Refusal.GangSaving({ job: attempt.job });
--- a/src/core/time.ts
+++ b/src/core/time.ts
@@ -5,16 +5,21 @@
  */
 import * as Duration from "effect/Duration";
 
+/** A moment on this process's steady clock, in milliseconds. */
 export type Instant = number & { readonly Instant: unique symbol };
 
+/** The one place where a plain number of milliseconds becomes a moment. */
 export const instant = (ms: number): Instant => ms as Instant;
-export const plus = (at: Instant, by: Duration.Duration): Instant => (at + Duration.toMillis(by)) as Instant;
-export const minus = (at: Instant, by: Duration.Duration): Instant => (at - Duration.toMillis(by)) as Instant;
+/** The moment that is later by a duration. */
+export const plus = (at: Instant, by: Duration.Duration): Instant => instant(at + Duration.toMillis(by));
+/** The moment that is earlier by a duration. */
+export const minus = (at: Instant, by: Duration.Duration): Instant => instant(at - Duration.toMillis(by));
 /** Whether at least `span` has passed from `earlier` to `now`. */
 export const hasElapsed = (now: Instant, earlier: Instant, span: Duration.Duration): boolean =>
   now - earlier >= Duration.toMillis(span);
 
 /** The steady clocks of two machines drift apart by as much as 0.05%; we allow four times that. */
 export const CLOCK_DRIFT = 0.002;
+/** What a span on one machine's clock may be at most on another's. */
 export const withClockDrift = (span: Duration.Duration): Duration.Duration =>
   Duration.millis(Duration.toMillis(span) * (1 + CLOCK_DRIFT));
