--- a/src/core/cluster/capacity-index.ts
+++ b/src/core/cluster/capacity-index.ts
@@ -7,7 +7,7 @@
 /** The bucket of a number of free processors. */
 const bucketOf = (cpus: number): number => Math.floor(cpus + CAPACITY_EPSILON);
 
-/** Items with free processors, in buckets of one processor. Within a bucket they come in the order of their arrival. */
+/** Items with free processors, in buckets of one processor. Within a bucket the one that came first is met first. */
 export class CapacityIndex<Item> {
   /** The items by whole free processors. */
   readonly buckets: Set<Item>[] = [];
--- a/src/core/cluster/cluster-state.ts
+++ b/src/core/cluster/cluster-state.ts
@@ -63,7 +63,7 @@
   readonly attempts: Map<number, TaskAttempt[]>;
   /** Machines on which its tasks failed, and when last. */
   readonly failedOn: Map<string, Instant>;
-  /** Machines that turned its tasks down for lack of room, and when last. */
+  /** Machines that turned its tasks down for lack of capacity, and when last. */
   readonly refusedOn: Map<string, Instant>;
   /** Nothing of it is started before this; null: at once. */
   retryAt: Instant | null;
@@ -127,7 +127,7 @@
   cordonedAsSlow: boolean;
   /** Its replicas are being moved to other machines, so that it can be returned. */
   draining: boolean;
-  /** A batch of commands is on its way: nothing more is sent until it is answered. */
+  /** A batch of commands is unanswered: nothing more is sent until it is answered. */
   commandsInFlight: boolean;
   /** When it was last sent a batch without commands, whose answer is a heartbeat. */
   probedAt: Instant | null;
--- a/src/core/commands/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -48,6 +48,7 @@
   /** How long after its last message a machine is asked for a heartbeat. */
   private readonly askAfter: Duration.Duration;
 
+  /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {
     const interval = Duration.times(context.options.timings.heartbeatInterval, 1.25);
     this.askAfter = Duration.sum(interval, Duration.millis(500));
--- a/src/core/heartbeats/attempt-results.ts
+++ b/src/core/heartbeats/attempt-results.ts
@@ -43,11 +43,11 @@
   return isTried ? 0 : Math.min(job.pending.size, 1);
 };
 
-/** Whether a job waits for room: one that pauses between its tries, or is tried right now, does not. */
+/** Whether a job waits for capacity: one that pauses between its tries, or is tried right now, does not. */
 export const isWaitingForRoom = (job: Job, now: Instant): boolean =>
   (job.retryAt === null || now >= job.retryAt) && startableTasks(job, now) > 0;
 
-/** A task of this job ran here, so its image is in the machine's cache; the least recently used ones make room. */
+/** A task of this job ran here, so its image is in the machine's cache; the least recently used ones are evicted. */
 export const noteImage = (machine: Machine, spec: JobSpec | null): void => {
   if (spec === null) return;
   machine.images.delete(spec.image);
--- a/src/core/heartbeats/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -37,6 +37,7 @@
 
 /** Applies each newer heartbeat to the cluster; older ones and late copies change nothing. */
 export class HeartbeatHandler {
+  /** `machines` takes in unknown machines; `slowMachines` hears of the tasks that finish. */
   constructor(
     private readonly context: SchedulerContext,
     private readonly machines: MachineIntake,
@@ -184,7 +185,7 @@
 }
 
 /**
- * Whether a start that the heartbeat doesn't show may still be executed (S4): it is on its way, or it got no answer and the
+ * Whether a start that the heartbeat doesn't show may still be executed (S4): it is being sent, or it got no answer and the
  * worker has not seen a higher token. In a new epoch late commands are refused, whatever they are.
  */
 const mayStillStart = (attempt: TaskAttempt, heartbeat: Heartbeat): boolean => {
--- a/src/core/heartbeats/slow-machine-detector.ts
+++ b/src/core/heartbeats/slow-machine-detector.ts
@@ -30,6 +30,7 @@
   private readonly restartedByJob = new Map<string, Set<number>>();
   private lastCheckedAt: Instant | null = null;
 
+  /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {}
 
   /** The job is over: nothing of it is compared any more. */
--- a/src/core/leases/lease-expiry.ts
+++ b/src/core/leases/lease-expiry.ts
@@ -41,6 +41,7 @@
 export class LeaseExpiry {
   private evidenceByMember = new Map<string, MemberEvidence>();
 
+  /** Begins with the context's present term. */
   constructor(private readonly context: SchedulerContext) {
     this.newTerm();
   }
@@ -72,7 +73,7 @@
     }
   }
 
-  /** When a member's updates came last, by whatever way; null: not in this term. */
+  /** When a member's updates came last, directly or through the state service; null: not in this term. */
   lastUpdateAt(member: string): Instant | null {
     return this.evidenceByMember.get(member)?.lastUpdateAt ?? null;
   }
--- a/src/core/ranges.ts
+++ b/src/core/ranges.ts
@@ -22,7 +22,8 @@
     let high = this.segments.length;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if (this.segments[middle]![1] > number) high = middle;
+      const segment = this.segments[middle];
+      if (segment !== undefined && segment[1] > number) high = middle;
       else low = middle + 1;
     }
     return low;
@@ -38,16 +39,18 @@
   add(from: number, to = from + 1): void {
     if (from >= to) return;
     let first = this.find(from);
-    if (first > 0 && this.segments[first - 1]![1] === from) first--;
+    // one that ends where this begins is extended
+    if (first > 0 && this.segments[first - 1]?.[1] === from) first--;
     let last = first;
     let low = from;
     let high = to;
-    while (last < this.segments.length && this.segments[last]![0] <= to) {
-      const span = this.segments[last]!;
-      low = Math.min(low, span[0]);
-      high = Math.max(high, span[1]);
-      this.size -= span[1] - span[0];
+    let segment = this.segments[last];
+    while (segment !== undefined && segment[0] <= to) {
+      low = Math.min(low, segment[0]);
+      high = Math.max(high, segment[1]);
+      this.size -= segment[1] - segment[0];
       last++;
+      segment = this.segments[last];
     }
     this.segments.splice(first, last - first, [low, high]);
     this.size += high - low;
@@ -82,7 +85,7 @@
     return count === 0 || (first !== undefined && first[0] <= 0 && first[1] >= count);
   }
 
-  /** The set as ranges, in order. */
+  /** The set as ranges, the lowest first. */
   ranges(): Range[] {
     return this.segments.map(([from, to]) => [from, to] as const);
   }
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -22,6 +22,7 @@
 
 /** Compares what is on machines with what should be, and decides on the commands that bring them together. */
 export class Reconciler {
+  /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {}
 
   /** Looks at the machines about which something changed; keeps those in the queue where something is under way. */
@@ -87,7 +88,7 @@
     );
   }
 
-  /** A machine that the cloud takes back at `reclaimAt`: what can save does so, replicas move if there is room. */
+  /** A machine that the cloud takes back at `reclaimAt`: what can save does so, replicas move if they fit elsewhere. */
   private evacuate(
     machine: Machine,
     reclaimAt: Instant,
--- a/src/core/scheduler/scheduler-context.ts
+++ b/src/core/scheduler/scheduler-context.ts
@@ -45,6 +45,7 @@
   /** How long a worker takes to be heard through another controller: its next heartbeat, its timeout, another attempt. */
   readonly reconnectWithin: Duration.Duration;
 
+  /** Begins with a leader's first term, which began at `termBegan`. */
   constructor(
     readonly options: SchedulerOptions,
     public term: TermRecord,
@@ -79,7 +80,7 @@
   readonly usable = (machine: Machine, now: Instant): boolean =>
     usable(machine, now, this.fresh) && !this.isLeaseRenewalOverdue(machine, now);
 
-  /** Whether tasks may be started on it now: no batch is on its way, and nothing of unknown size is on it (S6). */
+  /** Whether tasks may be started on it now: no batch is unanswered, and nothing of unknown size is on it (S6). */
   isReady(machine: Machine, now: Instant): boolean {
     const isFree = !machine.commandsInFlight && !this.isPaused(machine);
     return this.usable(machine, now) && isFree && !this.cluster.orphanedAttemptCounts.has(machine);
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -32,9 +32,9 @@
 
 /** One leader's core, from its first term on. A new leader makes a new one and reads everything anew (S5). */
 export class Scheduler {
-  /** Rentals under way and what the fleet's sizing remembers. */
+  /** Scale-out requests without an outcome, and what the autoscaler remembers. */
   readonly fleet: Autoscaler;
-  /** What handing machines over to another controller needs. */
+  /** The handoff of machines to another controller. */
   readonly drain: ShardDrain;
   private readonly context: SchedulerContext;
   private readonly jobs: JobIntake;
@@ -47,6 +47,7 @@
   private readonly slowMachines: SlowMachineDetector;
   private readonly reconciler: Reconciler;
   private readonly fleetDecisions: AutoscalerDecisions;
+  /** Whether the cloud's list was read: before that, machines rented by an earlier leader are not known. */
   private listedOnce = false;
 
   /** `leaderRevision`: the revision of the leader's key, which tells older jobs from younger ones (S5). */
@@ -69,8 +70,8 @@
     this.queue = new JobQueue(this.context);
     this.placer = new Placer(this.context, this.queue);
     this.reconciler = new Reconciler(this.context);
-    const returns = new ScaleIn(this.context, this.leaseExpiry);
-    this.fleetDecisions = new AutoscalerDecisions(this.context, this.fleet, returns, this.queue);
+    const scaleIn = new ScaleIn(this.context, this.leaseExpiry);
+    this.fleetDecisions = new AutoscalerDecisions(this.context, this.fleet, scaleIn, this.queue);
   }
 
   /** Jobs, machines and attempts. */
@@ -123,7 +124,7 @@
     this.jobs.waiting(spec, accepted);
   }
 
-  /** It waits no longer: released (the order of this and `jobSeen` doesn't matter) or cancelled. */
+  /** It waits no longer: cancelled, or released (whether this or `jobSeen` comes first doesn't matter). */
   waitingOver(id: string): void {
     this.jobs.waitingOver(id);
   }
@@ -203,7 +204,7 @@
     this.commands.answered(machine, { commands, fencingToken, outcome, answeredBy }, now);
   }
 
-  /** Decides on everything but the fleet's size. Its work is in proportion to what changed and what waits. */
+  /** Decides on everything but scaling. Its work is in proportion to what changed and what waits. */
   step(now: Instant): Decision[] {
     const decisions: Decision[] = [];
     const pendingCommands = new PendingCommands();
@@ -214,15 +215,15 @@
     this.slowMachines.step(now, pendingCommands);
     this.placer.step(now, pendingCommands, notes);
     for (const text of notes) decisions.push({ kind: "note", text });
-    this.commit(decisions);
-    this.record(decisions);
+    this.decideCommits(decisions);
+    this.decideRecords(decisions);
     this.commands.settleUnacknowledgedStarts();
     this.commands.send(now, pendingCommands, decisions);
     return decisions;
   }
 
   /** Every job of which all tasks are finished gets its commit. */
-  private commit(decisions: Decision[]): void {
+  private decideCommits(decisions: Decision[]): void {
     for (const job of this.cluster.awaitingCommit) {
       job.committing = true;
       decisions.push({ kind: "commit", job: job.spec.id, tasks: job.spec.tasks });
@@ -231,7 +232,7 @@
   }
 
   /** A machine is recorded before the first start on it (S5). */
-  private record(decisions: Decision[]): void {
+  private decideRecords(decisions: Decision[]): void {
     for (const machine of this.cluster.unrecorded) {
       if (machine.recording || machine.releaseRequestedAt !== null) continue;
       machine.recording = true;
@@ -245,10 +246,9 @@
     return summaryOf(this.context, now);
   }
 
-  /** Decides on the fleet's size. Called about once a second, and only while the cloud can be asked. */
+  /** Decides on scaling out and in. Called about once a second, and only while the cloud can be asked. */
   stepFleet(now: Instant): Decision[] {
     const releases = this.fleetDecisions.release(now);
-    // before the first list, machines that were rented by an earlier leader are not known
     if (!this.listedOnce) return releases;
     return [...releases, ...this.fleetDecisions.rent(now)];
   }
