--- a/src/core/shards/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -8,23 +8,23 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { fencingTokenOf } from "../leases/term.js";
 
-/** The shard's side of the core. Owns `cluster.fencing`. */
+/** The shard's side of the core. Owns `cluster.awaitingFence`. */
 export class ShardDrain {
-  /** `scope`: what the parts of the core share. */
-  constructor(private readonly scope: SchedulerContext) {}
+  /** `context`: what the parts of the core share. */
+  constructor(private readonly context: SchedulerContext) {}
 
   /** Raises the machines' tokens and has them asked for heartbeats. */
   raiseTokens(machines: readonly Machine[]): void {
     for (const machine of machines) {
       machine.fencingTokenStep++;
       machine.probedAt = null;
-      this.scope.cluster.awaitingFence.add(machine);
+      this.context.cluster.awaitingFence.add(machine);
     }
   }
 
   /** The machines may be given commands again. */
   resume(machines: readonly Machine[]): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     for (const machine of machines) {
       cluster.awaitingFence.delete(machine);
       cluster.reconcileQueue.add(machine);
@@ -44,15 +44,15 @@
     };
   }
 
-  /** One that is being returned, or that never held anything, has no commands to wait for. */
+  /** One that is being returned, or that never got a command, has none to wait for. */
   private isWanted(machine: Machine): boolean {
     return machine.releaseRequestedAt === null && machine.recorded;
   }
 
   private isFenced(machine: Machine): boolean {
-    const token = fencingTokenOf(this.scope.term.number, machine.fencingTokenStep);
+    const token = fencingTokenOf(this.context.term.number, machine.fencingTokenStep);
     const isSeen = machine.confirmed && machine.fencingToken >= token;
-    if (isSeen) this.scope.cluster.awaitingFence.delete(machine);
+    if (isSeen) this.context.cluster.awaitingFence.delete(machine);
     return isSeen && !machine.commandsInFlight;
   }
 
@@ -62,14 +62,14 @@
       if (!machine.confirmed || machine.addr === null) return Refusal.MachineNotHeard({ machine: id });
       if (machine.unansweredBatches > 0) return Refusal.CommandInDoubt({ machine: id });
       for (const attempt of machine.attempts.values()) {
-        const refusal = this.obstacleOfHold(attempt);
+        const refusal = this.obstacleOfAttempt(attempt);
         if (refusal !== null) return refusal;
       }
     }
     return null;
   }
 
-  private obstacleOfHold(attempt: TaskAttempt): Refusal | null {
+  private obstacleOfAttempt(attempt: TaskAttempt): Refusal | null {
     if (attempt.unacknowledgedToken !== null) return Refusal.CommandInDoubt({ machine: attempt.machine });
     if (attempt.spec?.kind !== "gang") return null;
     if (attempt.state === "saving") return Refusal.GangSaving({ job: attempt.job });
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -91,14 +91,9 @@
         scheduler.contactReported(machine, minus(receivedAt, Duration.millis(heartbeatAgeMs)));
       if (answerAgeMs >= 0) answered.push({ machine, at: minus(receivedAt, Duration.millis(answerAgeMs)) });
     }
-    scheduler.leasesAcknowledged(
-      request.member,
-      request.incarnation,
-      request.termNumber,
-      request.leaderClockMark < 0 ? null : instant(request.leaderClockMark),
-      answered,
-      receivedAt,
-    );
+    const { member, incarnation, termNumber, leaderClockMark } = request;
+    const completeUpTo = leaderClockMark < 0 ? null : instant(leaderClockMark);
+    scheduler.leasesAcknowledged({ member, incarnation, termNumber, completeUpTo, answered }, receivedAt);
   }
 
   /**
