--- /dev/null
+++ b/src/service/shards/machines-of-shards.ts
@@ -0,0 +1,60 @@
+/** The machines of each shard, as the leader's scheduler knows them. */
+import type { ShardId } from "#shards";
+import type { Machine } from "../../core/cluster/cluster.js";
+import { fencingTokenOf } from "../../core/leases/term.js";
+import type { Scheduler } from "../../core/scheduler/scheduler.js";
+import type { SampleWorker } from "../../io/shard-codec.js";
+import type { Locked } from "../leader/locked.js";
+import type { ShardView } from "./shard-view.js";
+
+/** Workers that the target of a handoff is to ask. */
+const MAX_SAMPLES = 3;
+
+/** Looks machines up by shard. Each look goes through all machines of the cluster. */
+export class MachinesOfShards {
+  constructor(
+    private readonly scheduler: Locked<Scheduler>,
+    private readonly view: ShardView,
+  ) {}
+
+  /** The machines of every shard that has one. */
+  byShard(): ReadonlyMap<ShardId, readonly Machine[]> {
+    const byShard = new Map<ShardId, Machine[]>();
+    this.scheduler.with((scheduler) => {
+      for (const machine of scheduler.cluster.machines.values()) {
+        const shard = this.view.shardOf(machine.id, machine.zone);
+        const machines = byShard.get(shard);
+        if (machines === undefined) byShard.set(shard, [machine]);
+        else machines.push(machine);
+      }
+    });
+    return byShard;
+  }
+
+  /** The machines of one shard. */
+  of(shard: ShardId): readonly Machine[] {
+    return this.scheduler.with((scheduler) =>
+      [...scheduler.cluster.machines.values()].filter(
+        (machine) => this.view.shardOf(machine.id, machine.zone) === shard,
+      ),
+    );
+  }
+
+  /** Some of a shard's workers that answer at present, with the fencing tokens of this term, for the target to ask. */
+  sampleWorkers(shard: ShardId, term: number): readonly SampleWorker[] {
+    const samples: SampleWorker[] = [];
+    for (const machine of this.of(shard)) {
+      const { addr, workerEpoch, fencingTokenStep, confirmed, lastHeartbeatAt, unansweredBatches } = machine;
+      // one that is still booting, or silent, says nothing about the target
+      const isAnswering = confirmed && lastHeartbeatAt !== null && unansweredBatches === 0;
+      if (addr === null || !isAnswering) continue;
+      samples.push({
+        addr,
+        session: Math.max(1, workerEpoch),
+        token: fencingTokenOf(term, fencingTokenStep),
+      });
+      if (samples.length >= MAX_SAMPLES) break;
+    }
+    return samples;
+  }
+}
--- a/src/service/shards/move-log.ts
+++ b/src/service/shards/move-log.ts
@@ -36,7 +36,9 @@
   /** A move began. */
   began(outcome: MoveOutcome): void {
     this.outcomes.set(outcome.move, outcome);
-    if (this.outcomes.size > MAX_REMEMBERED) this.outcomes.delete(this.outcomes.keys().next().value!);
+    if (this.outcomes.size <= MAX_REMEMBERED) return;
+    const [oldest] = this.outcomes.keys();
+    if (oldest !== undefined) this.outcomes.delete(oldest);
   }
 
   /** A move ended. Each refusal of a shard doubles the pause before it is proposed again. */
@@ -70,8 +72,8 @@
   /** Whether the rebalancer leaves the shard alone for now. */
   isBlocked(shard: ShardId, reason: MoveReason, now: Instant): boolean {
     if (now < (this.pauses.get(shard)?.until ?? instant(-Infinity))) return true;
-    const at = this.movedAt.get(shard);
-    return reason === "balance" && at !== undefined && !hasElapsed(now, at, REST);
+    const movedAt = this.movedAt.get(shard);
+    return reason === "balance" && movedAt !== undefined && !hasElapsed(now, movedAt, REST);
   }
 
   /** One move; undefined: this leader doesn't know it. */
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -17,19 +17,17 @@
 import type { Machine } from "../../core/cluster/cluster.js";
 import { shardKeys } from "../../core/shards/shard-keys.js";
 import type { Scheduler } from "../../core/scheduler/scheduler.js";
-import { fencingTokenOf } from "../../core/leases/term.js";
 import { type Instant, hasElapsed } from "../../core/time.js";
 import { now } from "../../io/clock.js";
 import type { Log } from "../../io/log.js";
-import { parseRefusal, type SampleWorker } from "../../io/shard-codec.js";
 import type { StateClient } from "../../io/state-client.js";
 import type { Locked } from "../leader/locked.js";
 import type { Membership } from "../members/membership.js";
-import type { Peers } from "../members/peers.js";
+import type { HandoffRequests } from "./handoff-requests.js";
+import { MachinesOfShards } from "./machines-of-shards.js";
 import { MoveLog, type MoveOutcome } from "./move-log.js";
-import type { ShardMoveExerciser } from "./shard-move-exerciser.js";
+import type { MoveRequester, ShardMoveExerciser } from "./shard-move-exerciser.js";
 import { ShardLoads } from "./shard-loads.js";
-import type { ShardMember } from "./shard-member.js";
 import type { ShardView } from "./shard-view.js";
 import type { ShardWriter } from "./shard-writer.js";
 
@@ -39,21 +37,35 @@
 const REPAIR_AFTER = Duration.seconds(1);
 /** Moves by themselves wait until workers have found their controllers again after a change of term. */
 const CALM_AFTER = Duration.seconds(5);
-/** Workers that the target is to ask. */
-const SAMPLES = 3;
-
+/** What a controller's settings say of its part as leader. */
 export interface ShardLeaderOptions {
   readonly me: string;
   readonly movesAtOnce: number;
+  /** How far the busiest controller may be above the least busy, as a share of their mean. */
   readonly hysteresis: number;
-  readonly reportEvery: Duration.Duration;
+  /** The time between two heartbeats of a worker. */
+  readonly heartbeatInterval: Duration.Duration;
+  /** Conditions and changes that the state service takes in one transaction. */
   readonly txnOps: number;
-  readonly fence: Duration.Duration;
+  readonly fencingWindow: Duration.Duration;
+}
+
+/** What the leader's side of handoffs works with. */
+export interface ShardLeaderDependencies {
+  readonly view: ShardView;
+  readonly writer: ShardWriter;
+  readonly requests: HandoffRequests;
+  readonly membership: Membership;
+  readonly state: StateClient;
+  /** Moves for trials; null: none. */
+  readonly exerciser: ShardMoveExerciser | null;
+  readonly log: Log;
 }
 
 /** What exists only while this node leads. */
 interface Leading {
   readonly scheduler: Locked<Scheduler>;
+  readonly machines: MachinesOfShards;
   readonly coordinator: Coordinator;
   readonly moves: MoveLog;
   /** The shards whose machines got no commands at the last look. */
@@ -62,29 +74,43 @@
 }
 
 /** The leader's side of handoffs. */
-export class ShardLeader {
+export class ShardLeader implements MoveRequester {
   private leading: Leading | null = null;
   private readonly loads: ShardLoads;
   private moveNumber = 0;
 
+  private readonly view: ShardView;
+  private readonly writer: ShardWriter;
+  private readonly requests: HandoffRequests;
+  private readonly membership: Membership;
+  private readonly state: StateClient;
+  private readonly exerciser: ShardMoveExerciser | null;
+  private readonly log: Log;
+
   constructor(
     private readonly options: ShardLeaderOptions,
-    private readonly view: ShardView,
-    private readonly writer: ShardWriter,
-    private readonly member: ShardMember,
-    private readonly membership: Membership,
-    private readonly state: StateClient,
-    private readonly peers: Peers,
-    private readonly rehearsal: ShardMoveExerciser | null,
-    private readonly log: Log,
+    dependencies: ShardLeaderDependencies,
   ) {
-    this.loads = new ShardLoads(options.reportEvery);
+    this.view = dependencies.view;
+    this.writer = dependencies.writer;
+    this.requests = dependencies.requests;
+    this.membership = dependencies.membership;
+    this.state = dependencies.state;
+    this.exerciser = dependencies.exerciser;
+    this.log = dependencies.log;
+    this.loads = new ShardLoads(options.heartbeatInterval);
   }
 
   /** This node leads from now on. */
   begin(scheduler: Locked<Scheduler>): void {
-    const coordinator = new Coordinator();
-    this.leading = { scheduler, coordinator, moves: new MoveLog(), paused: new Set(), plannedAt: null };
+    this.leading = {
+      scheduler,
+      machines: new MachinesOfShards(scheduler, this.view),
+      coordinator: new Coordinator(),
+      moves: new MoveLog(),
+      paused: new Set(),
+      plannedAt: null,
+    };
   }
 
   /** This node doesn't lead any more. */
@@ -160,29 +186,12 @@
   isDraining(member: string): boolean {
     const incarnation = this.view.drains.get(member);
     const members = this.view.assignment.term?.members ?? [];
-    return members.some((m) => m.name === member && m.incarnation === incarnation);
+    return members.some((candidate) => candidate.name === member && candidate.incarnation === incarnation);
   }
 
   /** The machines of each shard, as this leader knows them. */
   machinesByShard(): ReadonlyMap<ShardId, readonly Machine[]> {
-    const byShard = new Map<ShardId, Machine[]>();
-    this.leading?.scheduler.with((scheduler) => {
-      for (const machine of scheduler.cluster.machines.values()) {
-        const shard = this.view.shardOf(machine.id, machine.zone);
-        const machines = byShard.get(shard);
-        if (machines === undefined) byShard.set(shard, [machine]);
-        else machines.push(machine);
-      }
-    });
-    return byShard;
-  }
-
-  private machinesOf(leading: Leading, shard: ShardId): readonly Machine[] {
-    return leading.scheduler.with((scheduler) =>
-      [...scheduler.cluster.machines.values()].filter(
-        (machine) => this.view.shardOf(machine.id, machine.zone) === shard,
-      ),
-    );
+    return this.leading?.machines.byShard() ?? new Map<ShardId, readonly Machine[]>();
   }
 
   private input(leading: Leading): CoordinatorInput {
@@ -190,7 +199,7 @@
       now: now(),
       assignment: this.view.assignment,
       facts: (shard) => {
-        const machines = this.machinesOf(leading, shard);
+        const machines = leading.machines.of(shard);
         return leading.scheduler.with((scheduler) => scheduler.drain.factsOf(machines));
       },
     };
@@ -211,7 +220,7 @@
       case "release":
         return void Effect.runFork(this.askRelease(leading, action));
       case "raise": {
-        const machines = this.machinesOf(leading, action.shard);
+        const machines = leading.machines.of(action.shard);
         return leading.scheduler.with((scheduler) => scheduler.drain.raiseTokens(machines));
       }
       case "ended": {
@@ -226,64 +235,32 @@
     if (this.leading === leading) this.carryOut(leading, answer(this.input(leading)));
   }
 
-  private sampleWorkers(leading: Leading, shard: ShardId): readonly SampleWorker[] {
+  private offer(
+    leading: Leading,
+    { to, offer }: Extract<CoordinatorAction, { kind: "offer" }>,
+  ): Effect.Effect<void> {
     const term = this.membership.term?.number ?? 0;
-    const samples: SampleWorker[] = [];
-    for (const {
-      addr,
-      workerEpoch,
-      fencingTokenStep,
-      confirmed,
-      lastHeartbeatAt,
-      unansweredBatches,
-    } of this.machinesOf(leading, shard)) {
-      // one that is still booting, or silent, says nothing about the target
-      const isAnswering = confirmed && lastHeartbeatAt !== null && unansweredBatches === 0;
-      if (addr === null || !isAnswering) continue;
-      samples.push({
-        addr,
-        session: Math.max(1, workerEpoch),
-        token: fencingTokenOf(term, fencingTokenStep),
-      });
-      if (samples.length >= SAMPLES) break;
-    }
-    return samples;
-  }
-
-  private offer(leading: Leading, { to, offer }: Extract<CoordinatorAction, { kind: "offer" }>) {
-    const message = { ...offer, workers: this.sampleWorkers(leading, offer.shard) };
-    const asked =
-      to === this.options.me
-        ? this.member.answerOffer(message)
-        : Effect.map(this.peers.offerShard(to, message), (answer) =>
-            answer === null ? undefined : parseRefusal(answer, to),
-          );
-    return Effect.map(
-      Effect.orElseSucceed(asked, () => undefined),
-      (answer) =>
-        this.tell(leading, (input) =>
-          leading.coordinator.offerAnswered(offer.shard, offer.id, answer, input),
-        ),
+    const workers = leading.machines.sampleWorkers(offer.shard, term);
+    return Effect.map(this.requests.offer(to, { ...offer, workers }), (answer) =>
+      this.tell(leading, (input) => leading.coordinator.offerAnswered(offer.shard, offer.id, answer, input)),
     );
   }
 
-  private askRelease(leading: Leading, { to, request }: Extract<CoordinatorAction, { kind: "release" }>) {
-    const asked =
-      to === this.options.me
-        ? this.member.answerRelease(request)
-        : Effect.map(this.peers.releaseShard(to, request), (answer) =>
-            answer === null ? undefined : parseRefusal(answer, to),
-          );
-    return Effect.map(
-      Effect.orElseSucceed(asked, () => undefined),
-      (answer) =>
-        this.tell(leading, (input) =>
-          leading.coordinator.releaseAnswered(request.shard, request.id, answer, input),
-        ),
+  private askRelease(
+    leading: Leading,
+    { to, request }: Extract<CoordinatorAction, { kind: "release" }>,
+  ): Effect.Effect<void> {
+    return Effect.map(this.requests.release(to, request), (answer) =>
+      this.tell(leading, (input) =>
+        leading.coordinator.releaseAnswered(request.shard, request.id, answer, input),
+      ),
     );
   }
 
-  private write(leading: Leading, { id, write }: Extract<CoordinatorAction, { kind: "write" }>) {
+  private write(
+    leading: Leading,
+    { id, write }: Extract<CoordinatorAction, { kind: "write" }>,
+  ): Effect.Effect<void> {
     return Effect.map(this.writer.write([write]), (outcome: WriteOutcome) =>
       this.tell(leading, (input) =>
         leading.coordinator.writeAnswered(write.shard, id, write, outcome, input),
@@ -303,7 +280,7 @@
     );
     for (const shard of leading.paused) {
       if (paused.has(shard)) continue;
-      const machines = this.machinesOf(leading, shard);
+      const machines = leading.machines.of(shard);
       leading.scheduler.with((scheduler) => scheduler.drain.resume(machines));
     }
     leading.paused = paused;
@@ -324,7 +301,7 @@
     yield* this.repair(leading, counts);
     yield* this.forgetDrains;
     if (this.leading !== leading) return;
-    if (hasElapsed(now(), this.view.termLearnedAt, Duration.max(CALM_AFTER, this.options.fence)))
+    if (hasElapsed(now(), this.view.termLearnedAt, Duration.max(CALM_AFTER, this.options.fencingWindow)))
       this.plan(leading, this.loads.of(counts));
   }).pipe(
     Effect.catchAllCause((cause) =>
@@ -347,14 +324,16 @@
   private readonly forgetDrains = Effect.suspend(() => {
     const members = this.view.assignment.term?.members ?? [];
     const over = [...this.view.drains]
-      .filter(([name, incarnation]) => members.some((m) => m.name === name && m.incarnation !== incarnation))
+      .filter(([name, incarnation]) =>
+        members.some((member) => member.name === name && member.incarnation !== incarnation),
+      )
       .map(([name]) => ({ delete: shardKeys.drain(name) }));
     if (over.length === 0) return Effect.void;
     return Effect.ignore(this.state.commit([], over, "later"));
   });
 
   private plan(leading: Leading, loads: ReadonlyMap<ShardId, ShardLoad>): void {
-    this.rehearsal?.step(this, this.view.assignment, loads, now());
+    this.exerciser?.step(this, this.view.assignment, loads, now());
     const draining = new Set([...this.view.drains.keys()].filter((name) => this.isDraining(name)));
     const moves = planMoves({
       assignment: this.view.assignment,
@@ -379,5 +358,6 @@
     return weights;
   }
 
+  /** Goes on with moves, repairs and plans for ever; does nothing while this node doesn't lead. */
   readonly run = Effect.forever(this.step);
 }
--- a/src/service/shards/shard-loads.ts
+++ b/src/service/shards/shard-loads.ts
@@ -4,13 +4,18 @@
 
 /** The share of the newest second in the smoothed rate of commands. */
 const SMOOTHING = 0.1;
+/** Batches a second below which a rate is forgotten. */
+const NEGLIGIBLE_RATE = 1e-3;
 
 /** Counts commands by shard; the rest follows from the machines. */
 export class ShardLoads {
+  /** Batches of commands since the last call of `second`. */
   private readonly sent = new Map<ShardId, number>();
+  /** Smoothed batches a second; shards without commands have no entry. */
   private readonly rates = new Map<ShardId, number>();
 
-  constructor(private readonly reportEvery: Duration.Duration) {}
+  /** `heartbeatInterval`: the time between two heartbeats of a worker. */
+  constructor(private readonly heartbeatInterval: Duration.Duration) {}
 
   /** A batch of commands to a machine of the shard. */
   commandsSent(shard: ShardId): void {
@@ -22,7 +27,7 @@
     for (const shard of new Set([...this.sent.keys(), ...this.rates.keys()])) {
       const before = this.rates.get(shard) ?? 0;
       const rate = before + SMOOTHING * ((this.sent.get(shard) ?? 0) - before);
-      if (rate < 1e-3) this.rates.delete(shard);
+      if (rate < NEGLIGIBLE_RATE) this.rates.delete(shard);
       else this.rates.set(shard, rate);
     }
     this.sent.clear();
@@ -30,7 +35,7 @@
 
   /** The loads of shards with so many machines each. */
   of(machines: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, ShardLoad> {
-    const seconds = Duration.toSeconds(this.reportEvery);
+    const seconds = Duration.toSeconds(this.heartbeatInterval);
     return new Map(
       [...machines].map(([shard, count]) => [
         shard,
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -2,8 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import {
-  type Assignment,
-  Assignment as AssignmentClass,
+  Assignment,
   Holder,
   parseShardId,
   type ShardChange,
@@ -49,16 +48,16 @@
 
   constructor(
     me: string,
-    private readonly fence: Duration.Duration,
+    private readonly fencingWindow: Duration.Duration,
     private readonly state: StateClient,
     private readonly log: Log,
   ) {
-    this.current = Holder.of(me, AssignmentClass.empty);
+    this.current = Holder.of(me, Assignment.empty);
   }
 
   /** This controller's part, as of now. */
   get holder(): Holder {
-    if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fence)))
+    if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fencingWindow)))
       this.current = this.current.settled();
     return this.current;
   }
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -15,6 +15,7 @@
 import type { WorkerClient } from "../../io/worker-client.js";
 import type { Membership, MembershipExtension } from "../members/membership.js";
 import type { Peers, ShardHandlers } from "../members/peers.js";
+import { HandoffRequests } from "./handoff-requests.js";
 import { ShardMoveExerciser } from "./shard-move-exerciser.js";
 import { ShardLeader } from "./shard-leader.js";
 import { ShardMember } from "./shard-member.js";
@@ -29,10 +30,14 @@
 }
 const ANNOUNCEMENT: Announcement = { version: 1, shards_per_zone: SHARDS_PER_ZONE };
 
-const isSame = (value: unknown): boolean => {
-  const { version, shards_per_zone } = (value ?? {}) as Partial<Announcement>;
-  return version === ANNOUNCEMENT.version && shards_per_zone === ANNOUNCEMENT.shards_per_zone;
-};
+/** Whether another process announced the same division. */
+const isSameAnnouncement = (value: unknown): boolean =>
+  typeof value === "object" &&
+  value !== null &&
+  "version" in value &&
+  value.version === ANNOUNCEMENT.version &&
+  "shards_per_zone" in value &&
+  value.shards_per_zone === ANNOUNCEMENT.shards_per_zone;
 
 /** The announcement beside the member key, and the leader's verdict beside the term. */
 export const shardExtension = (me: string, state: StateClient): MembershipExtension => ({
@@ -41,19 +46,22 @@
     Effect.map(state.list(shardKeys.members), ({ rows }) => {
       const announced = new Map(rows.map((row) => [row.key.slice(shardKeys.members.length), row]));
       // written in the same transaction as the member key, so it has the same revision
-      const all = members.every(({ name, incarnation }) => {
+      const allAnnounced = members.every(({ name, incarnation }) => {
         const row = announced.get(name);
-        return row?.revision === incarnation && isSame(row.value);
+        return row?.revision === incarnation && isSameAnnouncement(row.value);
       });
-      return all ? [{ put: shardKeys.term, value: { token } }] : [];
+      return allAnnounced ? [{ put: shardKeys.term, value: { token } }] : [];
     }),
 });
 
+/** What shards are set up with, beside the services of the controller. */
 export interface ShardOptions {
   readonly me: string;
   readonly settings: ShardSettings;
   readonly timings: LeaseTimings;
+  /** Conditions and changes that the state service takes in one transaction. */
   readonly txnOps: number;
+  /** How many more connections this controller has room for. */
   readonly freeConnections: () => number;
 }
 
@@ -64,6 +72,7 @@
   readonly operator: ShardOperator;
   private readonly member: ShardMember;
 
+  /** Wires the parts together; nothing runs before `run`. */
   constructor(
     options: ShardOptions,
     membership: Membership,
@@ -76,29 +85,30 @@
     this.view = new ShardView(me, timings.fencingWindow, state, log);
     const writer = new ShardWriter(state, this.view, log);
     this.member = new ShardMember(this.view, writer, membership, workers, options.freeConnections, log);
-    const every = settings.rehearseEvery;
+    const exerciseInterval = settings.rehearseEvery;
     this.leader = new ShardLeader(
       {
         me,
         movesAtOnce: settings.movesAtOnce,
         hysteresis: settings.hysteresis,
-        reportEvery: timings.heartbeatInterval,
+        heartbeatInterval: timings.heartbeatInterval,
         txnOps,
-        fence: timings.fencingWindow,
+        fencingWindow: timings.fencingWindow,
+      },
+      {
+        view: this.view,
+        writer,
+        requests: new HandoffRequests(me, this.member, peers),
+        membership,
+        state,
+        exerciser: exerciseInterval === null ? null : new ShardMoveExerciser(exerciseInterval, me, state),
+        log,
       },
-      this.view,
-      writer,
-      this.member,
-      membership,
-      state,
-      peers,
-      every === null ? null : new ShardMoveExerciser(every, me, state),
-      log,
     );
     this.operator = new ShardOperator(me, this.view, this.leader, membership, state, peers);
   }
 
-  /** Who answers a machine's reports; the rendezvous owner where shards aren't in force. */
+  /** Who answers a machine's heartbeats; the rendezvous owner where shards aren't in force. */
   ownerLookup(otherwise: OwnerLookup): OwnerLookup {
     return (term, machine, zone) => {
       const owner = this.view.ownerOf(machine, zone);
@@ -119,7 +129,7 @@
     operate: (request) => this.operator.answer(request),
   };
 
-  /** Runs for ever. */
+  /** Follows the records and carries out this controller's part of handoffs, for ever. */
   get run(): Effect.Effect<void> {
     return Effect.all([this.view.run, this.member.run, this.leader.run], {
       concurrency: "unbounded",
