--- a/packages/shards/test/handoffs.property.test.ts
+++ b/packages/shards/test/handoffs.property.test.ts
@@ -29,22 +29,22 @@
   run(_model: object, world: World): void {
     this.apply(world);
     world.check();
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.invariants.broken, []);
   }
   toString = (): string => this.text;
 }
 
 const node = fc.constantFrom(...NODES.map(([name]) => name));
-const shard = fc.nat(20).map(
-  (n) =>
-    (world: World): ShardId =>
-      world.shards[n % world.shards.length]!,
-);
+const shard = fc.nat(20).map((index) => (world: World): ShardId => {
+  const chosen = world.shards[index % world.shards.length];
+  if (chosen === undefined) throw new Error("the world has no shards");
+  return chosen;
+});
 const ms = (most: number) => fc.integer({ min: 1, max: most });
 const move = fc
   .tuple(shard, node)
-  .map(([s, n]) => new Step(`move(${n})`, (world) => world.move(s(world), n)));
-const wait = ms(2500).map((t) => new Step(`advance(${t})`, (world) => world.advance(t)));
+  .map(([shardIn, target]) => new Step(`move(${target})`, (world) => world.move(shardIn(world), target)));
+const wait = ms(2500).map((duration) => new Step(`advance(${duration})`, (world) => world.advance(duration)));
 const steps = [
   // what comes more than once comes more often
   wait,
@@ -53,24 +53,50 @@
   move,
   move,
   move,
-  ms(400).map((t) => new Step(`advance(${t})`, (world) => world.advance(t))),
-  fc.tuple(node, ms(4000)).map(([n, t]) => new Step(`freeze(${n}, ${t})`, (world) => world.freeze(n, t))),
-  fc.tuple(node, ms(6000)).map(([n, t]) => new Step(`refuse(${n}, ${t})`, (world) => world.refuse(n, t))),
+  ms(400).map((duration) => new Step(`advance(${duration})`, (world) => world.advance(duration))),
+  fc
+    .tuple(node, ms(4000))
+    .map(
+      ([name, duration]) =>
+        new Step(`freeze(${name}, ${duration})`, (world) => world.faults.freeze(name, duration)),
+    ),
+  fc
+    .tuple(node, ms(6000))
+    .map(
+      ([name, duration]) =>
+        new Step(`refuse(${name}, ${duration})`, (world) => world.faults.refuse(name, duration)),
+    ),
   fc
     .double({ min: 0, max: 0.5, noNaN: true })
     .map(
       (slow) =>
-        new Step(`workers(${slow.toFixed(2)})`, (world) => Object.assign(world, { slowWorkers: slow })),
+        new Step(`workers(${slow.toFixed(2)})`, (world) =>
+          Object.assign(world.network, { slowWorkers: slow }),
+        ),
     ),
-  fc.tuple(node, ms(4000)).map(([n, t]) => new Step(`deafen(${n}, ${t})`, (world) => world.deafen(n, t))),
-  fc.tuple(node, ms(8000)).map(([n, t]) => new Step(`lag(${n}, ${t})`, (world) => world.lag(n, t))),
-  fc.constantFrom("n-13", "n-15").map((id) => new Step(`silence(${id})`, (world) => world.silence(id))),
-  node.map((n) => new Step(`crash(${n})`, (world) => world.crash(n))),
+  fc
+    .tuple(node, ms(4000))
+    .map(
+      ([name, duration]) =>
+        new Step(`deafen(${name}, ${duration})`, (world) => world.faults.deafen(name, duration)),
+    ),
+  fc
+    .tuple(node, ms(8000))
+    .map(
+      ([name, duration]) =>
+        new Step(`lag(${name}, ${duration})`, (world) => world.faults.lag(name, duration)),
+    ),
+  fc
+    .constantFrom("n-13", "n-15")
+    .map((id) => new Step(`silence(${id})`, (world) => world.faults.silence(id))),
+  node.map((name) => new Step(`crash(${name})`, (world) => world.faults.crash(name))),
   fc
     .tuple(node, fc.integer({ min: 0, max: 9 }))
     .map(
-      ([n, old]) =>
-        new Step(`restart(${n}${old === 0 ? ", old" : ""})`, (world) => world.restart(n, old !== 0)),
+      ([name, old]) =>
+        new Step(`restart(${name}${old === 0 ? ", old" : ""})`, (world) =>
+          world.faults.restart(name, old !== 0),
+        ),
     ),
   fc
     .record({
@@ -80,7 +106,7 @@
     .map(
       ({ loss, slow }) =>
         new Step(`network(${loss.toFixed(2)}, ${slow.toFixed(2)})`, (world) =>
-          Object.assign(world, { loss, slow, copies: slow }),
+          Object.assign(world.network, { loss, slow, copies: slow }),
         ),
     ),
 ];
@@ -93,14 +119,14 @@
 const history = (without: Guard | null, totals: Totals) =>
   fc.property(fc.commands(steps, { maxCommands: 60, size: "max" }), fc.nat(1e9), (commands, seed) => {
     const world = new World(seed, without, NODES, MACHINES);
-    for (const [name] of NODES) world.restart(name, true);
+    for (const [name] of NODES) world.faults.restart(name, true);
     world.advance(5000);
     fc.modelRun(() => ({ model: {}, real: world }), commands);
-    world.calm();
+    world.faults.calm();
     world.advance(CALM_MS);
-    totals.executed += world.executed;
+    totals.executed += world.invariants.executed;
     for (const outcome of world.ended) totals.ended.set(outcome, (totals.ended.get(outcome) ?? 0) + 1);
-    assert.deepEqual(world.broken, []);
+    assert.deepEqual(world.invariants.broken, []);
     assert.deepEqual(world.unfinished(), [], "once troubles are over every handoff ends");
   });
 
@@ -113,9 +139,9 @@
     assert.ok((totals.ended.get(outcome) ?? 0) > 0, `${outcome}: ${JSON.stringify([...totals.ended])}`);
 });
 
-/** Each guard, what its absence breaks, and a seed that shows it soon. "token" is left to the search of all interleavings. */
+/** Each guard, what its absence breaks, and a seed that shows it soon. "fencingToken" is left to the search of all interleavings. */
 const GUARDS: readonly (readonly [Guard, RegExp, number])[] = [
-  ["stamp", /epoch|counted by|carried out|handoff/, 3],
+  ["revision", /epoch|counted by|carried out|handoff/, 3],
   ["term", /epoch|counted by/, 306],
   ["pause", /carried out/, 1],
   ["releasing", /counted by/, 9],
--- a/packages/shards/test/interleavings.test.ts
+++ b/packages/shards/test/interleavings.test.ts
@@ -31,7 +31,7 @@
     assert.ok((found.ends.get("north") ?? 0) > 0 && (found.ends.get("inland") ?? 0) > 0);
   });
 
-for (const guard of ["pause", "token", "stamp"] as const)
+for (const guard of ["pause", "fencingToken", "revision"] as const)
   test(`without the guard "${guard}" the search finds a broken property`, () => {
     const bounds = { ...NONE, commands: 1, copies: 1, timeouts: 1 };
     assert.notDeepEqual(new Interleavings(bounds, guard).explore(SHARD).broken, []);
--- a/packages/shards/test/interleavings.ts
+++ b/packages/shards/test/interleavings.ts
@@ -1,6 +1,8 @@
 /** A breadth-first search through everything that can happen during one handoff, within stated bounds. */
 import type { ShardId } from "../src/index.js";
-import { type Guard, type Node, World } from "./world.js";
+import { type Mail, mailText } from "./world-network.js";
+import type { Node } from "./world-nodes.js";
+import { type Guard, World } from "./world.js";
 
 /** The parties of the handoff that is looked at. */
 export type Party = "source" | "target" | "leader";
@@ -43,7 +45,7 @@
   ] as const;
   const world = new World(1, without, nodes, new Map([["n-4", "east"]]));
   world.busy = false;
-  for (const [name] of nodes) world.restart(name, true);
+  for (const [name] of nodes) world.faults.restart(name, true);
   world.advance(5000);
   for (const node of world.nodes.values()) node.windowUntil = node.leaseUntil = Infinity;
   return world;
@@ -58,12 +60,12 @@
 
   explore(shard: ShardId): Found {
     const first = newWorld(this.without);
-    const leader = first.nodes.get(NAMES.leader)!;
-    // the machine has reported, so that nothing stands against a handoff
+    const leader = first.node(NAMES.leader);
+    // the machine has sent a heartbeat, so that nothing stands against a handoff
     first.ask(leader, shard);
-    while (first.mail.length > 0) first.deliver(0);
+    while (first.network.mail.length > 0) first.deliver(0);
     const request = { id: "move-1", shard, target: NAMES.target, by: "operator" } as const;
-    const begun = leader.coordinator!.request(request, first.inputOf(leader));
+    const begun = leader.leadingCoordinator.request(request, first.inputOf(leader));
     if ("_tag" in begun) throw new Error(`not begun: ${begun._tag}`);
     first.carryOut(leader, begun);
     return this.search({ world: first, left: this.bounds }, shard);
@@ -81,7 +83,8 @@
         // before known states are left out: a property may break on one of two ways to the same state
         for (const { world } of successors) {
           world.check();
-          if (world.broken.length > 0) return { states: seen.size, broken: world.broken, ends, stuck };
+          if (world.invariants.broken.length > 0)
+            return { states: seen.size, broken: world.invariants.broken, ends, stuck };
         }
         const fresh = successors.filter((successor) => {
           const key = JSON.stringify(successor.left) + successor.world.describe();
@@ -91,7 +94,7 @@
         });
         if (seen.size > MAX_STATES) throw new Error(`more than ${MAX_STATES} states`);
         next.push(...fresh);
-        if (fresh.length > 0 || state.world.mail.length > 0) continue;
+        if (fresh.length > 0 || state.world.network.mail.length > 0) continue;
         const record = state.world.records.get(shard)?.state;
         const owner = record?.owner ?? "default";
         ends.set(owner, (ends.get(owner) ?? 0) + 1);
@@ -110,31 +113,31 @@
       change(copy);
       states.push({ world: copy, left: { ...left, ...bounds } });
     };
-    world.mail.forEach((mail, i) => {
-      then((copy) => deliver(copy, i, true));
-      if (left.losses > 0) then((copy) => deliver(copy, i, false), { losses: left.losses - 1 });
-      if (left.copies > 0) then((copy) => void copy.mail.push(mail), { copies: left.copies - 1 });
+    world.network.mail.forEach((mail, index) => {
+      then((copy) => deliver(copy, index, true));
+      if (left.losses > 0) then((copy) => deliver(copy, index, false), { losses: left.losses - 1 });
+      if (left.copies > 0) then((copy) => void copy.network.mail.push(mail), { copies: left.copies - 1 });
     });
     for (const name of world.nodes.keys()) this.ownSteps(name, world, then);
     if (mayBeSettled(world)) then(settle);
     if (left.commands > 0) then((copy) => command(copy), { commands: left.commands - 1 });
     if (left.timeouts > 0) then((copy) => void (copy.now += TIMEOUT_MS), { timeouts: left.timeouts - 1 });
     for (const party of left.crashes)
-      then((copy) => crash(copy, NAMES[party]), { crashes: left.crashes.filter((p) => p !== party) });
+      then((copy) => crash(copy, NAMES[party]), { crashes: left.crashes.filter((other) => other !== party) });
     return states;
   }
 
   /** What a process does by itself, where that changes anything. */
   private ownSteps(name: string, world: World, then: (change: (copy: World) => void) => void): void {
-    const node = world.nodes.get(name)!;
-    const token = node.assignment.term?.number ?? 0;
-    const present = world.term?.number ?? 0;
-    if (token < present) then((copy) => copy.learn(copy.nodes.get(name)!, copy.term!));
-    if (!knowsRecords(world, node)) then((copy) => copy.read(copy.nodes.get(name)!));
-    if (node.holder.takes().length > 0) then((copy) => copy.take(copy.nodes.get(name)!));
+    const node = world.node(name);
+    const known = node.assignment.term?.number ?? 0;
+    const { term } = world;
+    if (term !== null && known < term.number) then((copy) => copy.learn(copy.node(name), term));
+    if (!knowsRecords(world, node)) then((copy) => copy.read(copy.node(name)));
+    if (node.holder.takes().length > 0) then((copy) => copy.take(copy.node(name)));
     if (world.leader?.node !== name) return;
-    if (world.membersChanged()) then((copy) => copy.writeTerm(copy.nodes.get(name)!));
-    then((copy) => lead(copy, copy.nodes.get(name)!));
+    if (world.membersChanged()) then((copy) => copy.writeTerm(copy.node(name)));
+    then((copy) => lead(copy, copy.node(name)));
   }
 }
 
@@ -143,17 +146,17 @@
  * than that it never arrives. What is for a process that is over is dropped.
  */
 const deliver = (world: World, index: number, isAnswered: boolean): void => {
-  const known = new Set(world.mail);
+  const known = new Set(world.network.mail);
   world.deliver(index);
-  const isReply = (mail: (typeof world.mail)[number]): boolean =>
+  const isReply = (mail: Mail): boolean =>
     mail.kind === "written" ||
     mail.kind === "offered" ||
     mail.kind === "releaseAnswer" ||
     mail.kind === "commandAnswer";
-  const reply = world.mail.findIndex((mail) => !known.has(mail) && isReply(mail));
+  const reply = world.network.mail.findIndex((mail) => !known.has(mail) && isReply(mail));
   if (reply < 0) return;
   if (isAnswered) world.deliver(reply);
-  else world.mail.splice(reply, 1);
+  else world.network.mail.splice(reply, 1);
 };
 
 /** Whether a process would learn nothing by reading the records. */
@@ -179,13 +182,15 @@
 /** A step of the leader. What is on its way already isn't sent again, so that the search ends. */
 const lead = (world: World, node: Node): void => {
   if (!world.mayAct(node) || node.coordinator === null) return;
-  const before = new Set(world.mail.map((mail) => JSON.stringify({ ...mail, due: 0 })));
-  const known = world.mail.length;
+  const before = new Set(world.network.mail.map(mailText));
+  const known = world.network.mail.length;
   world.carryOut(node, node.coordinator.step(world.inputOf(node)));
   node.nextRepair = 0;
   for (const write of world.repairs(node))
     if (!world.isOnItsWay(node, write)) world.sendWrite(node, null, write);
-  world.mail = world.mail.filter((mail, i) => i < known || !before.has(JSON.stringify({ ...mail, due: 0 })));
+  world.network.mail = world.network.mail.filter(
+    (mail, index) => index < known || !before.has(mailText(mail)),
+  );
   node.nextRepair = 0;
 };
 
@@ -198,8 +203,8 @@
 /** The process ends and is back at once, in the middle of an election if it led. */
 const crash = (world: World, name: string): void => {
   const wasLeader = world.leader?.node === name;
-  world.restart(name, true);
-  const node = world.nodes.get(name)!;
+  world.faults.restart(name, true);
+  const node = world.node(name);
   node.windowUntil = node.leaseUntil = Infinity;
   if (!wasLeader) return;
   world.leader = node.process;
--- /dev/null
+++ b/packages/shards/test/world-nodes.ts
@@ -0,0 +1,87 @@
+/** The controllers of the model: what one process knows, and how far it may act. Times are in virtual milliseconds. */
+import { Assignment, Coordinator, Holder } from "../src/index.js";
+import type { Process } from "./world-network.js";
+
+/** Fencing tokens within a term: the leader raises a machine's own. */
+const STEPS_PER_TERM = 1000;
+
+/** What a leader knows of a machine. */
+export interface MachineView {
+  /** The highest fencing token that the worker has shown. */
+  seenFencingToken: number;
+  /** How often the leader has raised the machine's fencing token in its term. */
+  fencingTokenStep: number;
+  /** Commands without an answer. */
+  outstanding: { readonly fencingToken: number; readonly sentAt: number }[];
+}
+
+/** One process of a controller. */
+export class Node {
+  alive = true;
+  incarnation = 0;
+  knowsShards = true;
+  holder: Holder;
+  /** The end of its fencing window. */
+  windowUntil = -1;
+  leaseUntil = -1;
+  nextRenew = 0;
+  nextRead = 0;
+  learnedAt = 0;
+  frozenUntil = 0;
+  cutUntil = 0;
+  /** Its writes are carried out, but it hears nothing of that. */
+  deafUntil = 0;
+  nextRepair = 0;
+  coordinator: Coordinator | null = null;
+  machines = new Map<string, MachineView>();
+  constructor(
+    readonly name: string,
+    readonly zone: string,
+  ) {
+    this.holder = Holder.of(name, Assignment.empty);
+  }
+  /** A node in the same state that goes on by itself. */
+  copy(): Node {
+    const copy = Object.assign(new Node(this.name, this.zone), this);
+    copy.coordinator = this.coordinator?.copy() ?? null;
+    copy.machines = new Map(
+      [...this.machines].map(([id, view]) => [id, { ...view, outstanding: [...view.outstanding] }]),
+    );
+    return copy;
+  }
+  get process(): Process {
+    return { node: this.name, incarnation: this.incarnation };
+  }
+  get assignment(): Assignment {
+    return this.holder.assignment;
+  }
+
+  /** Whether the process is a member of the term that it knows. */
+  get isMember(): boolean {
+    const members = this.assignment.term?.members ?? [];
+    return members.some((member) => member.name === this.name && member.incarnation === this.incarnation);
+  }
+
+  /** The coordinator of a process that leads. */
+  get leadingCoordinator(): Coordinator {
+    if (this.coordinator === null) throw new Error(`${this.name} does not lead`);
+    return this.coordinator;
+  }
+
+  /** What this process knows of a machine; nothing yet, if it never asked. */
+  viewOf(machine: string): MachineView {
+    const view = this.machines.get(machine) ?? { seenFencingToken: 0, fencingTokenStep: 0, outstanding: [] };
+    this.machines.set(machine, view);
+    return view;
+  }
+
+  /** The lowest fencing token of its term. */
+  get firstFencingToken(): number {
+    return (this.assignment.term?.number ?? 0) * STEPS_PER_TERM;
+  }
+
+  /** The fencing token under which it sends to a machine now. */
+  fencingTokenOf(machine: string): number {
+    return this.firstFencingToken + this.viewOf(machine).fencingTokenStep;
+  }
+}
