--- a/packages/shards/src/accounting.ts
+++ b/packages/shards/src/accounting.ts
@@ -6,7 +6,7 @@
  * - no record: the owner by rendezvous hash under the present term.
  *
  * Two processes that have read the same record under the same term therefore never both count a machine. A process whose
- * reading is older than its term, or whose fence window is over, counts nothing (`Holder.holds`).
+ * reading is older than its term, or whose fencing window is over, counts nothing (`OwnerView.ownsForCertain`).
  */
 import type { Assignment } from "./assignment.js";
 import { type ShardId, shardOf } from "./shard-id.js";
--- a/packages/shards/src/coordinator.ts
+++ b/packages/shards/src/coordinator.ts
@@ -5,23 +5,18 @@
  * A handoff lives in one term and in one leader's process. What a term leaves behind is ended by `repairsOf`.
  */
 import type { Assignment } from "./assignment.js";
+import {
+  type Attempt,
+  HANDOFF_TIMES,
+  type HandoffTimes,
+  type MoveRequest,
+  type Phase,
+} from "./handoff-attempt.js";
 import type { Offer, OfferAnswer, ReleaseAnswer, ReleaseRequest } from "./messages.js";
-import type { MoveReason } from "./rebalancer.js";
 import { Refusal } from "./refusal.js";
 import type { ShardId } from "./shard-id.js";
 import { beginHandoff, endHandoff, type ShardWrite } from "./transitions.js";
 
-/** Who wanted a move. */
-export type RequestedBy = MoveReason | "operator" | "rehearsal";
-
-/** A move that is to be tried. */
-export interface MoveRequest {
-  readonly id: string;
-  readonly shard: ShardId;
-  readonly target: string;
-  readonly by: RequestedBy;
-}
-
 /** What the leader sees of a shard's machines. */
 export interface ShardFacts {
   readonly machines: number;
@@ -53,48 +48,6 @@
   readonly tookMs: number;
 }
 
-/** The times that a handoff may take, in milliseconds. */
-export interface HandoffTimes {
-  /** For the target's answer. */
-  readonly offerMs: number;
-  /** For draining and releasing; the machines get no commands meanwhile. */
-  readonly drainMs: number;
-  /** For the target to take a released shard. */
-  readonly takeMs: number;
-  /** How long after a request without an answer it is sent again. */
-  readonly repeatMs: number;
-}
-
-/**
- * A gang is stopped as a whole only if all its machines are told within a few seconds (`gang_peer_s`), so no machine is
- * left without commands for longer than three.
- */
-export const HANDOFF_TIMES: HandoffTimes = { offerMs: 3000, drainMs: 3000, takeMs: 2000, repeatMs: 400 };
-
-type Phase =
-  | { readonly kind: "offered" }
-  /** A write is on its way. It is sent again until it is answered; if it failed, the record's next state is awaited. */
-  | { readonly kind: "beginning"; readonly write: ShardWrite; readonly failed: boolean }
-  | { readonly kind: "draining"; readonly raised: boolean; readonly askedAt: number | null }
-  | { readonly kind: "released" }
-  | {
-      readonly kind: "ending";
-      readonly write: ShardWrite;
-      readonly failed: boolean;
-      readonly refusal: Refusal;
-    };
-
-interface Attempt {
-  readonly request: MoveRequest;
-  readonly source: string;
-  readonly epoch: number;
-  readonly term: number;
-  readonly began: number;
-  readonly since: number;
-  readonly sentAt: number;
-  readonly phase: Phase;
-}
-
 /** What the coordinator is told at each step. */
 export interface CoordinatorInput {
   readonly now: number;
@@ -153,12 +106,13 @@
     const { assignment, now } = input;
     const { shard, target } = request;
     if (this.attempts.has(shard)) return Refusal.InHandoff({ shard });
+    if (assignment.term === null) return Refusal.NotInForce();
     const step = beginHandoff(assignment, shard, { id: request.id, target });
     if ("refusal" in step) return step.refusal;
     const { machines, obstacle } = input.facts(shard);
     if (obstacle !== null) return obstacle;
     const { epoch, owner } = step.write.state;
-    const term = assignment.term!.number;
+    const term = assignment.term.number;
     this.attempts.set(shard, {
       request,
       source: owner,
@@ -280,15 +234,8 @@
         return isLate ? this.end(attempt, Refusal.NoAnswer({ member: attempt.request.target }), now) : [];
       }
       case "beginning":
-      case "ending": {
-        const revision = assignment.recordOf(shard)?.revision ?? 0;
-        if (revision !== phase.write.revision) return this.resume(attempt, phase, input);
-        // one that is carried out yet is ended by the repairs: nobody is asked to release it
-        if (phase.kind === "beginning" && now - attempt.since >= this.times.drainMs)
-          return this.end(attempt, Refusal.NotWritten({ shard }), now);
-        if (phase.failed || now - attempt.sentAt < this.times.repeatMs) return [];
-        return this.write(attempt, phase, phase.write, now);
-      }
+      case "ending":
+        return this.awaitWrite(attempt, phase, input);
       case "draining":
         return this.drain(attempt, phase, input);
       case "released":
@@ -296,6 +243,23 @@
     }
   }
 
+  /** A write is on its way: sent again as it is until it is answered, or until the record shows another revision. */
+  private awaitWrite(
+    attempt: Attempt,
+    phase: Extract<Phase, { kind: "beginning" | "ending" }>,
+    input: CoordinatorInput,
+  ): readonly CoordinatorAction[] {
+    const { now, assignment } = input;
+    const { shard } = attempt.request;
+    const revision = assignment.recordOf(shard)?.revision ?? 0;
+    if (revision !== phase.write.revision) return this.resume(attempt, phase, input);
+    // one that is carried out yet is ended by the repairs: nobody is asked to release it
+    if (phase.kind === "beginning" && now - attempt.since >= this.times.drainMs)
+      return this.end(attempt, Refusal.NotWritten({ shard }), now);
+    if (phase.failed || now - attempt.sentAt < this.times.repeatMs) return [];
+    return this.write(attempt, phase, phase.write, now);
+  }
+
   private drain(
     attempt: Attempt,
     phase: Extract<Phase, { kind: "draining" }>,
--- a/packages/shards/src/holder.ts
+++ b/packages/shards/src/owner-view.ts
@@ -1,6 +1,6 @@
 /**
- * A controller's own part: which shards it holds, what it answers to an offer, and when it releases or takes a shard.
- * Pure and immutable: what a process sends and hears is told to it, and each change makes a new value.
+ * A controller's own part: which shards it owns for certain, what it answers to an offer, and when it releases or takes
+ * a shard. Pure and immutable: what a process sends and hears is told to it, and each change makes a new value.
  */
 import * as HashMap from "effect/HashMap";
 import * as Option from "effect/Option";
@@ -13,55 +13,56 @@
 
 /** What the target checks before it accepts an offer. */
 export interface TargetCondition {
-  /** Its fence window is open. */
+  /** Its fencing window is open. */
   readonly mayAct: boolean;
   /** It reached at least one of the shard's workers, or the shard has none. */
   readonly reachesWorkers: boolean;
   readonly freeConnections: number;
 }
 
-/** One controller's view of shards. */
-export class Holder {
+/** One controller's view of what it owns: an immutable value. */
+export class OwnerView {
   private constructor(
     readonly me: string,
     readonly assignment: Assignment,
     /**
      * Shards of which this process has sent a release, with the revision that it rests on. While the record still has that
-     * revision the release may be carried out at any moment, so the shard isn't held any more.
+     * revision the release may be carried out at any moment, so the shard isn't counted any more.
      */
     private readonly releasing: HashMap.HashMap<ShardId, number>,
     /**
      * This process under the term before, until `settled`. Somebody who hasn't heard of the present term yet goes on acting
-     * under that one for as long as its fence window is open, so until then this process holds only what it held already.
+     * under that one for as long as its fencing window is open, so until then this process counts only what it
+     * counted already.
      */
-    private readonly before: Holder | null,
+    private readonly before: OwnerView | null,
   ) {}
 
   /** A process that has sent nothing yet. */
-  static of(me: string, assignment: Assignment): Holder {
-    return new Holder(me, assignment, HashMap.empty(), null);
+  static of(me: string, assignment: Assignment): OwnerView {
+    return new OwnerView(me, assignment, HashMap.empty(), null);
   }
 
   /** What this process has read now. */
-  withAssignment(assignment: Assignment): Holder {
+  withAssignment(assignment: Assignment): OwnerView {
     const releasing = HashMap.filter(
       this.releasing,
       (revision, shard) => (assignment.recordOf(shard)?.revision ?? 0) === revision,
     );
-    return new Holder(this.me, assignment, releasing, this.before);
+    return new OwnerView(this.me, assignment, releasing, this.before);
   }
 
   /** The same records under another term, which isn't settled yet. */
-  withTerm(term: TermView): Holder {
-    return new Holder(this.me, this.assignment.withTerm(term), this.releasing, this);
+  withTerm(term: TermView): OwnerView {
+    return new OwnerView(this.me, this.assignment.withTerm(term), this.releasing, this);
   }
 
-  /** A fence window has passed since this process heard of its term: nobody acts under an earlier one any more. */
-  settled(): Holder {
-    return this.before === null ? this : new Holder(this.me, this.assignment, this.releasing, null);
+  /** A fencing window has passed since this process heard of its term: nobody acts under an earlier one any more. */
+  settled(): OwnerView {
+    return this.before === null ? this : new OwnerView(this.me, this.assignment, this.releasing, null);
   }
 
-  /** Whether a fence window has passed since this process heard of its term. */
+  /** Whether a fencing window has passed since this process heard of its term. */
   get isSettled(): boolean {
     return this.before === null;
   }
@@ -78,11 +79,11 @@
   }
 
   /** A member key that never went away: this process was a member of every term in between. */
-  private sameMemberAs(before: Holder): boolean {
+  private sameMemberAs(before: OwnerView): boolean {
     return this.incarnation !== null && this.incarnation === before.incarnation;
   }
 
-  /** The state as text: two holders with the same text behave the same. */
+  /** The state as text: two views with the same text behave the same. */
   describe(): string {
     const { revision, term, enabledTerm } = this.assignment;
     const releasing = [...this.releasing].sort();
@@ -97,10 +98,10 @@
   }
 
   /**
-   * Whether this process owns the shard for certain, so that it counts its machines. `mayAct`: its fence window is open
-   * right now. With a reading older than its term it doesn't know, and holds nothing.
+   * Whether this process owns the shard for certain, so that it counts its machines. `mayAct`: its fencing window is open
+   * right now. With a reading older than its term it doesn't know, and owns nothing.
    */
-  holds(shard: ShardId, mayAct: boolean): boolean {
+  ownsForCertain(shard: ShardId, mayAct: boolean): boolean {
     return mayAct && this.counts(shard);
   }
 
@@ -124,16 +125,16 @@
   }
 
   /**
-   * The release is about to be sent: from now on the shard isn't held, until another record is read. A write that failed
+   * The release is about to be sent: from now on the shard isn't counted, until another record is read. A write that failed
    * says nothing, since an earlier copy of it may be what changed the record.
    */
-  releaseSent(write: ShardWrite): Holder {
+  releaseSent(write: ShardWrite): OwnerView {
     const releasing = HashMap.set(this.releasing, write.shard, write.revision);
-    return new Holder(this.me, this.assignment, releasing, this.before);
+    return new OwnerView(this.me, this.assignment, releasing, this.before);
   }
 
-  /** The shards that this process is to take now. */
-  takes(): readonly ShardWrite[] {
+  /** The writes by which this process takes what was released to it, as far as it has read. */
+  pendingTakes(): readonly ShardWrite[] {
     const writes: ShardWrite[] = [];
     for (const [shard] of this.assignment.recorded()) {
       const write = takeShard(this.assignment, this.me, shard);
--- a/packages/shards/src/rebalancer.ts
+++ b/packages/shards/src/rebalancer.ts
@@ -6,10 +6,10 @@
 import { type Member, nearMembers } from "./rendezvous.js";
 import { type ShardId, zoneOfShard } from "./shard-id.js";
 
-/** What a shard costs its owner. */
+/** What a shard costs its owner: messages a second, and machines. */
 export interface ShardLoad {
   readonly machines: number;
-  readonly reportsPerSecond: number;
+  readonly heartbeatsPerSecond: number;
   readonly commandsPerSecond: number;
 }
 
@@ -44,7 +44,7 @@
 
 /** The weight of a shard in messages a second. */
 export const weightOf = (load: ShardLoad): number =>
-  load.reportsPerSecond + load.commandsPerSecond + load.machines * WEIGHT_OF_MACHINE;
+  load.heartbeatsPerSecond + load.commandsPerSecond + load.machines * WEIGHT_OF_MACHINE;
 
 /** Loads by controller while moves are being planned. */
 class Plan {
@@ -57,8 +57,9 @@
     for (const member of this.members) this.byMember.set(member.name, 0);
     for (const shard of [...input.loads.keys()].sort()) {
       const owner = input.assignment.ownershipOf(shard)?.owner;
-      if (owner === undefined) continue;
-      const weight = weightOf(input.loads.get(shard)!);
+      const load = input.loads.get(shard);
+      if (owner === undefined || load === undefined) continue;
+      const weight = weightOf(load);
       this.owners.set(shard, owner);
       this.weights.set(shard, weight);
       this.byMember.set(owner, (this.byMember.get(owner) ?? 0) + weight);
@@ -103,7 +104,8 @@
   }
 
   move(shard: ShardId, target: string, reason: MoveReason): void {
-    const source = this.owners.get(shard)!;
+    const source = this.owners.get(shard);
+    if (source === undefined) return;
     const weight = this.weightOfShard(shard);
     this.owners.set(shard, target);
     this.byMember.set(source, this.loadOf(source) - weight);
@@ -152,9 +154,10 @@
 ): { shard: ShardId; target: string } | null => {
   const names = members.map((member) => member.name).sort();
   if (names.length < 2) return null;
-  const byLoad = [...names].sort((a, b) => plan.loadOf(b) - plan.loadOf(a));
-  const heaviest = byLoad[0]!;
-  const target = lightest(plan, members)!;
+  const byLoad = [...names].sort((one, other) => plan.loadOf(other) - plan.loadOf(one));
+  const [heaviest] = byLoad;
+  const target = lightest(plan, members);
+  if (heaviest === undefined || target === null) return null;
   const gap = plan.loadOf(heaviest) - plan.loadOf(target);
   const mean = names.reduce((sum, name) => sum + plan.loadOf(name), 0) / names.length;
   if (gap <= hysteresis * mean) return null;
--- a/packages/shards/src/shard-id.ts
+++ b/packages/shards/src/shard-id.ts
@@ -30,10 +30,10 @@
 
 /** Reads the name of a shard; null: it is none. */
 export const parseShardId = (text: string): ShardId | null => {
-  const match = SHARD_ID.exec(text);
-  if (match === null || Number(match[2]) >= SHARDS_PER_ZONE) return null;
+  const [, zone, index] = SHARD_ID.exec(text) ?? [];
+  if (zone === undefined || Number(index) >= SHARDS_PER_ZONE) return null;
   try {
-    decodeURIComponent(match[1]!);
+    decodeURIComponent(zone);
   } catch {
     return null;
   }
--- a/packages/shards/test/assignment.test.ts
+++ b/packages/shards/test/assignment.test.ts
@@ -12,7 +12,7 @@
   describeRefusal,
   encodeShardState,
   endHandoff,
-  Holder,
+  OwnerView,
   parseShardId,
   pinShard,
   Refusal,
@@ -103,7 +103,7 @@
   assert.equal(write?.state.epoch, 61);
 });
 
-test("versions share what didn't change, and late news change nothing", () => {
+test("versions share what didn't change, and what comes late changes nothing", () => {
   const [first, second] = shardsOfZone("east") as [ShardId, ShardId];
   const before = read([
     [first, ShardState.Owned({ epoch: 1, owner: "north" })],
@@ -177,16 +177,16 @@
 
 test("a second release that fails says nothing of the first: the shard isn't held until another record is read", () => {
   const draining = read([[SHARD, ShardState.Draining({ epoch: 3, owner: "north", handoff })]]);
-  const holder = Holder.of("north", draining);
-  assert.ok(holder.holds(SHARD, true));
-  const step = holder.answerRelease({ id: "move-1", term: 7, shard: SHARD, epoch: 3 });
+  const ownerView = OwnerView.of("north", draining);
+  assert.ok(ownerView.ownsForCertain(SHARD, true));
+  const step = ownerView.answerRelease({ id: "move-1", term: 7, shard: SHARD, epoch: 3 });
   assert.ok("write" in step);
-  const sent = holder.releaseSent(step.write);
-  assert.ok(!sent.holds(SHARD, true));
-  assert.ok(!sent.withAssignment(draining).holds(SHARD, true));
+  const sent = ownerView.releaseSent(step.write);
+  assert.ok(!sent.ownsForCertain(SHARD, true));
+  assert.ok(!sent.withAssignment(draining).ownsForCertain(SHARD, true));
   const value = encodeShardState(ShardState.Owned({ epoch: 3, owner: "north" }));
   const back = draining.changed([{ shard: SHARD, revision: 200, value }], 7, 200);
-  assert.ok(sent.withAssignment(back).holds(SHARD, true));
+  assert.ok(sent.withAssignment(back).ownsForCertain(SHARD, true));
 });
 
 test("machines are counted once", () => {
--- a/packages/shards/test/interleavings.ts
+++ b/packages/shards/test/interleavings.ts
@@ -134,7 +134,7 @@
     const { term } = world;
     if (term !== null && known < term.number) then((copy) => copy.learn(copy.node(name), term));
     if (!knowsRecords(world, node)) then((copy) => copy.read(copy.node(name)));
-    if (node.holder.takes().length > 0) then((copy) => copy.take(copy.node(name)));
+    if (node.ownerView.pendingTakes().length > 0) then((copy) => copy.take(copy.node(name)));
     if (world.leader?.node !== name) return;
     if (world.membersChanged()) then((copy) => copy.writeTerm(copy.node(name)));
     then((copy) => lead(copy, copy.node(name)));
@@ -172,11 +172,11 @@
 const mayBeSettled = (world: World): boolean => {
   const nodes = [...world.nodes.values()];
   const allKnow = nodes.every(({ assignment }) => assignment.term?.number === world.term?.number);
-  return allKnow && nodes.some(({ holder }) => !holder.isSettled);
+  return allKnow && nodes.some(({ ownerView }) => !ownerView.isSettled);
 };
 
 const settle = (world: World): void => {
-  for (const node of world.nodes.values()) node.holder = node.holder.settled();
+  for (const node of world.nodes.values()) node.ownerView = node.ownerView.settled();
 };
 
 /** A step of the leader. What is on its way already isn't sent again, so that the search ends. */
--- a/packages/shards/test/rebalancer.test.ts
+++ b/packages/shards/test/rebalancer.test.ts
@@ -32,7 +32,7 @@
   );
 const load = (machines: number): ShardLoad => ({
   machines,
-  reportsPerSecond: machines / 4,
+  heartbeatsPerSecond: machines / 4,
   commandsPerSecond: 0,
 });
 const input = (assignment: Assignment, more: Partial<RebalanceInput> = {}): RebalanceInput => ({
--- a/packages/shards/test/world-nodes.ts
+++ b/packages/shards/test/world-nodes.ts
@@ -1,5 +1,5 @@
 /** The controllers of the model: what one process knows, and how far it may act. Times are in virtual milliseconds. */
-import { Assignment, Coordinator, Holder } from "../src/index.js";
+import { Assignment, Coordinator, OwnerView } from "../src/index.js";
 import type { Process } from "./world-network.js";
 
 /** Fencing tokens within a term: the leader raises a machine's own. */
@@ -20,7 +20,7 @@
   alive = true;
   incarnation = 0;
   knowsShards = true;
-  holder: Holder;
+  ownerView: OwnerView;
   /** The end of its fencing window. */
   windowUntil = -1;
   leaseUntil = -1;
@@ -38,7 +38,7 @@
     readonly name: string,
     readonly zone: string,
   ) {
-    this.holder = Holder.of(name, Assignment.empty);
+    this.ownerView = OwnerView.of(name, Assignment.empty);
   }
   /** A node in the same state that goes on by itself. */
   copy(): Node {
@@ -53,7 +53,7 @@
     return { node: this.name, incarnation: this.incarnation };
   }
   get assignment(): Assignment {
-    return this.holder.assignment;
+    return this.ownerView.assignment;
   }
 
   /** Whether the process is a member of the term that it knows. */
--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -177,8 +177,8 @@
       if (this.now >= node.nextRenew) this.renew(node);
       if (this.now >= node.nextRead) this.read(node);
     }
-    if (!node.holder.isSettled && this.now >= node.learnedAt + FENCING_WINDOW_MS)
-      node.holder = node.holder.settled();
+    if (!node.ownerView.isSettled && this.now >= node.learnedAt + FENCING_WINDOW_MS)
+      node.ownerView = node.ownerView.settled();
     this.take(node);
     this.lead(node);
   }
@@ -192,9 +192,9 @@
 
   learn(node: Node, term: TermView): void {
     if ((node.assignment.term?.number ?? 0) >= term.number) return;
-    node.holder = node.holder.withTerm(term);
+    node.ownerView = node.ownerView.withTerm(term);
     node.learnedAt = this.now;
-    if (this.without === "settle") node.holder = node.holder.settled();
+    if (this.without === "settle") node.ownerView = node.ownerView.settled();
     if (this.without === "fresh") this.pretendFresh(node);
     for (const view of node.machines.values()) view.fencingTokenStep = 0;
   }
@@ -202,7 +202,7 @@
   /** Takes what was read before the term for all that there is. */
   private pretendFresh(node: Node): void {
     const { assignment } = node;
-    node.holder = node.holder.withAssignment(assignment.changed([], this.enabledTerm, this.revision));
+    node.ownerView = node.ownerView.withAssignment(assignment.changed([], this.enabledTerm, this.revision));
   }
 
   /** Reads all records. How long ago that was is how far behind a process is. */
@@ -213,7 +213,9 @@
       revision,
       value: encodeShardState(state),
     }));
-    node.holder = node.holder.withAssignment(node.assignment.reread(rows, this.enabledTerm, this.revision));
+    node.ownerView = node.ownerView.withAssignment(
+      node.assignment.reread(rows, this.enabledTerm, this.revision),
+    );
   }
 
   // --- the leader ----------------------------------------------------------------------------------------
@@ -379,7 +381,7 @@
 
   take(node: Node): void {
     if (!this.mayAct(node)) return;
-    for (const write of node.holder.takes())
+    for (const write of node.ownerView.pendingTakes())
       if (!this.isOnItsWay(node, write)) this.sendWrite(node, null, write);
   }
 
@@ -432,7 +434,7 @@
         if (this.now < node.deafUntil) return;
         const { write, revision, outcome } = mail;
         if (outcome === "written")
-          node.holder = node.holder.withAssignment(
+          node.ownerView = node.ownerView.withAssignment(
             node.assignment.written(write.shard, { revision, state: write.state }),
           );
         if (coordinator !== null && mail.id !== null)
@@ -484,17 +486,17 @@
     const node = this.node(to);
     if (!node.alive) return;
     const condition = { mayAct: this.mayAct(node), reachesWorkers: true, freeConnections: 100 };
-    const answer = node.holder.answerOffer(offer, condition);
+    const answer = node.ownerView.answerOffer(offer, condition);
     this.send({ kind: "offered", to: from, offer, answer });
   }
 
   private asked({ from, to, request }: Extract<Mail, { kind: "release" }>): void {
     const node = this.node(to);
     if (!node.alive) return;
-    const step = node.holder.answerRelease(request);
+    const step = node.ownerView.answerRelease(request);
     const answer = "refusal" in step ? step.refusal : null;
     if ("write" in step && this.reachesState(node)) {
-      if (this.without !== "releasing") node.holder = node.holder.releaseSent(step.write);
+      if (this.without !== "releasing") node.ownerView = node.ownerView.releaseSent(step.write);
       this.sendWrite(node, null, step.write);
     }
     this.send({ kind: "releaseAnswer", to: from, request, answer });
@@ -529,7 +531,7 @@
       node.name,
       node.alive,
       node.incarnation,
-      node.holder.describe(),
+      node.ownerView.describe(),
       node.coordinator?.describe() ?? null,
       [...node.machines],
     ]);
@@ -565,7 +567,7 @@
       this.shards,
       [...this.nodes.values()].map((node) => ({
         name: node.name,
-        counts: (shard: ShardId) => node.holder.holds(shard, this.mayAct(node)),
+        counts: (shard: ShardId) => node.ownerView.ownsForCertain(shard, this.mayAct(node)),
       })),
     );
   }
@@ -576,13 +578,15 @@
     const leading = this.leader === null ? null : this.node(this.leader.node);
     const tried = leading?.coordinator?.size ?? 0;
     const unowned = this.shards.filter((shard) => {
-      const owners = [...this.nodes.values()].filter((node) => node.holder.holds(shard, this.mayAct(node)));
+      const owners = [...this.nodes.values()].filter((node) =>
+        node.ownerView.ownsForCertain(shard, this.mayAct(node)),
+      );
       return owners.length !== 1;
     });
     return [
       ...open.map((shard) => `${shard} is in a handoff`),
       ...(tried > 0 ? [`${tried} moves are tried`] : []),
-      ...unowned.map((shard) => `${shard} has no holder`),
+      ...unowned.map((shard) => `${shard} has no ownerView`),
     ];
   }
 }
--- a/src/cli/shards.ts
+++ b/src/cli/shards.ts
@@ -28,7 +28,7 @@
 const ask = (at: string, method: string, path: string, body?: object): Promise<Reply> =>
   new Promise((resolve, reject) => {
     const colon = at.lastIndexOf(":");
-    const failed = (why: string): void => reject(new NotReached(`${at} was not reached: ${why}`));
+    const failed = (reason: string): void => reject(new NotReached(`${at} was not reached: ${reason}`));
     const request = http.request(
       {
         host: at.slice(0, colon),
@@ -74,11 +74,14 @@
 };
 
 const table = (rows: readonly (readonly string[])[]): string => {
-  const widths = rows[0]!.map((_, column) => Math.max(...rows.map((row) => row[column]!.length)));
+  const columns = rows[0]?.length ?? 0;
+  const widths = Array.from({ length: columns }, (_, column) =>
+    Math.max(...rows.map((row) => row[column]?.length ?? 0)),
+  );
   return rows
     .map((row) =>
       row
-        .map((cell, i) => cell.padEnd(widths[i]!))
+        .map((cell, column) => cell.padEnd(widths[column] ?? 0))
         .join("  ")
         .trimEnd(),
     )
@@ -86,25 +89,32 @@
 };
 
 const listingText = (listing: ShardListing): string => {
-  const force = listing.inForce ? "in force" : "not in force: machines follow the members of the term";
-  const head = `term ${listing.term}, leader ${listing.leader ?? "unknown"}, shards ${force}`;
-  const controllers = listing.controllers.map((c) => [
-    c.name,
-    c.zone,
-    String(c.shards),
-    String(c.machines),
-    c.weight.toFixed(2),
-    c.draining ? "draining" : "",
+  const inForceText = listing.inForce ? "in force" : "not in force: machines follow the members of the term";
+  const head = `term ${listing.term}, leader ${listing.leader ?? "unknown"}, shards ${inForceText}`;
+  const controllers = listing.controllers.map((controller) => [
+    controller.name,
+    controller.zone,
+    String(controller.shards),
+    String(controller.machines),
+    controller.weight.toFixed(2),
+    controller.draining ? "draining" : "",
+  ]);
+  const shards = listing.shards.map((shard) => [
+    shard.shard,
+    shard.owner ?? "none",
+    String(shard.epoch),
+    shard.state,
+    shard.target ?? "",
+    String(shard.machines),
   ]);
-  const shards = listing.shards.map((s) => [
-    s.shard,
-    s.owner ?? "none",
-    String(s.epoch),
-    s.state,
-    s.target ?? "",
-    String(s.machines),
+  const moves = listing.moves.map(({ shard, source, target, by, outcome, reason }) => [
+    shard,
+    source,
+    target,
+    by,
+    outcome,
+    reason,
   ]);
-  const moves = listing.moves.map((m) => [m.shard, m.source, m.target, m.by, m.outcome, m.reason]);
   return [
     head,
     "",
@@ -159,10 +169,12 @@
   for (let left = options.wait * 1000; ; left -= POLL_MS) {
     const reply = await ask(options.at, "GET", "/shards/list");
     const listing = reply.value as ShardListing;
-    const machines = listing.controllers.find((c) => c.name === member)?.machines ?? 0;
+    const machines = listing.controllers.find((controller) => controller.name === member)?.machines ?? 0;
     if (reply.status === 200 && machines === 0) return finish(options, reply, () => `${member} is drained`);
     if (left <= 0) {
-      const refused = listing.moves.find((m) => m.source === member && m.outcome === "refused")?.reason;
+      const refused = listing.moves.find(
+        ({ source, outcome }) => source === member && outcome === "refused",
+      )?.reason;
       const reason = `${member} still has ${machines} machines${refused === undefined ? "" : `; the last refusal: ${refused}`}`;
       return finish(options, { status: 409, value: { reason, machines } }, () => "");
     }
--- a/src/io/shard-codec.ts
+++ b/src/io/shard-codec.ts
@@ -5,7 +5,9 @@
 /** A worker of the shard, for the target to ask. */
 export interface SampleWorker {
   readonly addr: string;
+  /** The worker epoch; the name is that of the wire. */
   readonly session: number;
+  /** The fencing token of its machine; the name is that of the wire. */
   readonly token: number;
 }
 
@@ -36,6 +38,7 @@
   readonly body: string;
 }
 
+/** The leader's offer of a shard to the target of a handoff. */
 export const offerCodec = codec<ShardOffer>(
   record("ShardOffer", {
     id: "string",
@@ -46,13 +49,17 @@
     workers: array(record("SampleWorker", { addr: "string", session: "long", token: "long" })),
   }),
 );
+/** The leader's request to the owner to release a drained shard. */
 export const releaseCodec = codec<ReleaseRequest>(
   record("ReleaseRequest", { id: "string", term: "long", shard: "string", epoch: "long" }),
 );
+/** The answer to an offer and to a request to release. */
 export const refusalCodec = codec<RefusalText>(record("RefusalText", { refusal: "string" }));
+/** What an operator asked another controller than the leader, passed on. */
 export const operatorRequestCodec = codec<OperatorRequest>(
   record("OperatorRequest", { verb: "string", name: "string", target: "string", epoch: "long" }),
 );
+/** The leader's answer to that. */
 export const operatorAnswerCodec = codec<OperatorAnswer>(
   record("OperatorAnswer", { status: "int", body: "string" }),
 );
--- a/src/service/shards/shard-loads.ts
+++ b/src/service/shards/shard-loads.ts
@@ -39,7 +39,11 @@
     return new Map(
       [...machines].map(([shard, count]) => [
         shard,
-        { machines: count, reportsPerSecond: count / seconds, commandsPerSecond: this.rates.get(shard) ?? 0 },
+        {
+          machines: count,
+          heartbeatsPerSecond: count / seconds,
+          commandsPerSecond: this.rates.get(shard) ?? 0,
+        },
       ]),
     );
   }
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -29,7 +29,7 @@
   /** The leader offers a shard: whether this node could serve it. */
   answerOffer(offer: ShardOffer): Effect.Effect<Refusal | null> {
     return Effect.map(this.reachesAny(offer.workers), (reachesWorkers) =>
-      this.view.holder.answerOffer(offer, {
+      this.view.ownerView.answerOffer(offer, {
         mayAct: this.membership.mayAct(),
         reachesWorkers,
         freeConnections: this.freeConnections(),
@@ -48,10 +48,10 @@
     );
   }
 
-  /** The leader asks to release a drained shard. From the moment of sending it isn't held here any more. */
+  /** The leader asks to release a drained shard. From the moment of sending it isn't counted here any more. */
   answerRelease(request: ReleaseRequest): Effect.Effect<Refusal | null> {
     return Effect.sync(() => {
-      const step = this.view.holder.answerRelease(request);
+      const step = this.view.ownerView.answerRelease(request);
       if ("refusal" in step) return step.refusal;
       this.view.releaseSent(step.write);
       Effect.runFork(this.release(step.write));
@@ -82,7 +82,7 @@
   readonly run = Effect.gen(this, function* () {
     yield* this.view.changed.wait(TAKE_EVERY);
     if (!this.membership.mayAct()) return;
-    yield* Effect.forEach(this.view.holder.takes(), (write) => this.take(write), {
+    yield* Effect.forEach(this.view.ownerView.pendingTakes(), (write) => this.take(write), {
       concurrency: 4,
       discard: true,
     });
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -3,7 +3,7 @@
 import * as Effect from "effect/Effect";
 import {
   Assignment,
-  Holder,
+  OwnerView,
   parseShardId,
   type ShardChange,
   type ShardId,
@@ -19,8 +19,11 @@
 import type { StateClient } from "../../io/state-client.js";
 import { Signal } from "../signal.js";
 
+/** How long one watch stays open without a change. */
 const WATCH = Duration.seconds(10);
+/** Between two watches, so that a burst of changes is read at once. */
 const WATCH_GAP = Duration.millis(20);
+/** After a failed reading, before everything is read anew. */
 const RETRY = Duration.millis(300);
 /** For so long after a change of owner commands go by the new one, whoever passed on the machine's last heartbeat. */
 const SETTLING = Duration.seconds(10);
@@ -36,14 +39,14 @@
 
 /** The shards, drains and the verdict of the leader, as far as this process has read. */
 export class ShardView {
-  private current: Holder;
+  private current: OwnerView;
   private learnedAt: Instant = now();
   /** Controllers that are to be emptied, and which of their processes. */
   readonly drains = new Map<string, number>();
   private enabledTerm = 0;
   private readonly movedAt = new Map<ShardId, Instant>();
   private readonly shardOfMachine = new Map<string, ShardId>();
-  /** Poked whenever something changed. */
+  /** Notified whenever something changed. */
   readonly changed = new Signal();
 
   constructor(
@@ -52,11 +55,11 @@
     private readonly state: StateClient,
     private readonly log: Log,
   ) {
-    this.current = Holder.of(me, Assignment.empty);
+    this.current = OwnerView.of(me, Assignment.empty);
   }
 
-  /** This controller's part, as of now. */
-  get holder(): Holder {
+  /** This controller's part, as of now: settled once a fencing window has passed since it heard of its term. */
+  get ownerView(): OwnerView {
     if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fencingWindow)))
       this.current = this.current.settled();
     return this.current;
@@ -78,8 +81,8 @@
     this.replace(this.current.withTerm({ number: term.number, revision, members: term.members }));
   }
 
-  /** A release is about to be sent. */
-  releaseSent(write: Parameters<Holder["releaseSent"]>[0]): void {
+  /** A release is about to be sent: from now on this controller doesn't count the shard. */
+  releaseSent(write: Parameters<OwnerView["releaseSent"]>[0]): void {
     this.current = this.current.releaseSent(write);
   }
 
@@ -117,12 +120,12 @@
     return this.assignment.ownershipOf(shard)?.owner ?? null;
   }
 
-  private replace(holder: Holder): void {
+  private replace(ownerView: OwnerView): void {
     const before = this.assignment;
-    this.current = holder;
+    this.current = ownerView;
     const at = now();
-    for (const shard of holder.assignment.changedSince(before)) {
-      const owner = holder.assignment.ownershipOf(shard)?.owner;
+    for (const shard of ownerView.assignment.changedSince(before)) {
+      const owner = ownerView.assignment.ownershipOf(shard)?.owner;
       if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, at);
     }
     this.changed.notify();
--- a/test/measure/shards.ts
+++ b/test/measure/shards.ts
@@ -81,7 +81,7 @@
     const loads = new Map(
       [...this.loads].map(([shard, machines]) => [
         shard,
-        { machines, reportsPerSecond: machines / 5, commandsPerSecond: 0 },
+        { machines, heartbeatsPerSecond: machines / 5, commandsPerSecond: 0 },
       ]),
     );
     for (;;) {
