--- a/packages/shards/src/coordinator.ts
+++ b/packages/shards/src/coordinator.ts
@@ -22,7 +22,7 @@
   readonly machines: number;
   /** Why a handoff can't begin now; null: nothing stands against it. */
   readonly obstacle: Refusal | null;
-  /** Every machine was seen under a token that was raised after the last command: no earlier one is carried out any more. */
+  /** Every machine has shown a fencing token that was raised after the last command: no earlier one is carried out (S2). */
   readonly fenced: boolean;
   /** A machine that keeps `fenced` from holding. */
   readonly unfenced: string | null;
@@ -35,7 +35,7 @@
 export type CoordinatorAction =
   | { readonly kind: "offer"; readonly to: string; readonly offer: Offer }
   | { readonly kind: "write"; readonly id: string; readonly write: ShardWrite }
-  /** Raises the tokens of the shard's machines, after which `fenced` is asked for. */
+  /** Raises the fencing tokens of the shard's machines, after which `fenced` is asked for. */
   | { readonly kind: "raise"; readonly shard: ShardId }
   | { readonly kind: "release"; readonly to: string; readonly request: ReleaseRequest }
   | { readonly kind: "ended"; readonly attempt: EndedAttempt };
--- a/packages/shards/src/handoff-attempt.ts
+++ b/packages/shards/src/handoff-attempt.ts
@@ -1,4 +1,6 @@
-/** One attempt to hand a shard over, as the leader keeps it: who wanted it, how far it is, and how long each step may take. */
+/**
+ * One attempt to hand a shard over, as the leader keeps it: who wanted it, how far it is, and how long each step may take.
+ */
 import type { MoveReason } from "./rebalancer.js";
 import type { Refusal } from "./refusal.js";
 import type { ShardId } from "./shard-id.js";
--- a/packages/shards/src/shard-state.ts
+++ b/packages/shards/src/shard-state.ts
@@ -7,7 +7,7 @@
   /** Tells one handoff from another; never used again. */
   readonly id: string;
   readonly target: string;
-  /** The token of the term in which it began. */
+  /** The number of the term in which it began. */
   readonly term: number;
 }
 
@@ -15,10 +15,10 @@
  * A shard's record. `epoch` grows by one whenever the shard gets an owner, so an epoch has one owner for ever.
  *
  * - `Owned`: the owner commands the shard's machines.
- * - `Draining`: the owner still holds the shard, but the leader sends no commands and waits until every earlier one is
+ * - `Draining`: the owner still owns the shard, but the leader sends no commands and waits until every earlier one is
  *   settled.
  * - `Released`: nobody commands the shard's machines until the target takes it or the owner gets it back. The owner
- *   goes on answering reports, so leases don't lapse.
+ *   goes on answering heartbeats, so leases don't lapse.
  */
 export type ShardState = Data.TaggedEnum<{
   Owned: { readonly epoch: number; readonly owner: string };
--- a/src/service/shards/move-log.ts
+++ b/src/service/shards/move-log.ts
@@ -3,11 +3,13 @@
 import { describeRefusal, type EndedAttempt, type MoveReason, type RequestedBy, type ShardId } from "#shards";
 import { type Instant, instant, hasElapsed, plus } from "../../core/time.js";
 
+/** Moves of which the outcome is known; the oldest is forgotten first. */
 const MAX_REMEMBERED = 200;
+/** The pause after the first refusal of a shard; each further one doubles it. */
 const FIRST_PAUSE = Duration.seconds(2);
 const LONGEST_PAUSE = Duration.seconds(60);
 /** A shard that moved stays where it is for so long, unless its owner is to be emptied. */
-const REST = Duration.seconds(30);
+const REST_AFTER_MOVE = Duration.seconds(30);
 
 /** What became of a move, for operators. */
 export interface MoveOutcome {
@@ -73,7 +75,7 @@
   isBlocked(shard: ShardId, reason: MoveReason, now: Instant): boolean {
     if (now < (this.pauses.get(shard)?.until ?? instant(-Infinity))) return true;
     const movedAt = this.movedAt.get(shard);
-    return reason === "balance" && movedAt !== undefined && !hasElapsed(now, movedAt, REST);
+    return reason === "balance" && movedAt !== undefined && !hasElapsed(now, movedAt, REST_AFTER_MOVE);
   }
 
   /** One move; undefined: this leader doesn't know it. */
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -40,10 +40,10 @@
   /** A question without commands, such as the leader puts too, shows whether a worker is in reach. */
   private reachesAny(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
     if (workers.length === 0) return Effect.succeed(true);
-    const asked = workers.map(({ addr, session: workerEpoch, token }) =>
+    const probes = workers.map(({ addr, session: workerEpoch, token }) =>
       this.workers.sendCommands(addr, token, workerEpoch, [], () => this.membership.mayAct()),
     );
-    return Effect.map(Effect.all(asked, { concurrency: "unbounded" }), (answers) =>
+    return Effect.map(Effect.all(probes, { concurrency: "unbounded" }), (answers) =>
       answers.some(({ outcome }) => outcome === "done" || outcome === "rejected"),
     );
   }
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -10,10 +10,12 @@
 import type { ShardLeader } from "./shard-leader.js";
 import type { ShardView } from "./shard-view.js";
 
+/** Statuses of HTTP. */
 const OK = 200;
 const NOT_FOUND = 404;
 const REFUSED = 409;
 const UNAVAILABLE = 503;
+/** Moves that a listing shows. */
 const LATEST_MOVES = 20;
 
 /** One shard as operators see it. */
@@ -53,8 +55,16 @@
   answer(REFUSED, { refusal: refusal._tag, reason: describeRefusal(refusal) });
 
 const phaseOf = (state: ShardState | undefined): ListedShard["state"] => {
-  if (state === undefined) return "default";
-  return state._tag === "Owned" ? "owned" : state._tag === "Draining" ? "draining" : "released";
+  switch (state?._tag) {
+    case undefined:
+      return "default";
+    case "Owned":
+      return "owned";
+    case "Draining":
+      return "draining";
+    case "Released":
+      return "released";
+  }
 };
 
 /** Answers operators' questions and carries out their commands. */
@@ -76,8 +86,8 @@
       leader === undefined || leader === this.me
         ? Effect.succeed(null)
         : Effect.orElseSucceed(this.peers.operate(leader, request), () => null);
-    return Effect.flatMap(passedOn, (got) => {
-      if (got !== null) return Effect.succeed(got);
+    return Effect.flatMap(passedOn, (leaderAnswer) => {
+      if (leaderAnswer !== null) return Effect.succeed(leaderAnswer);
       // what this node has read is better than nothing
       if (request.verb === "list") return this.answer(request);
       const reason = describeRefusal(Refusal.NotLeader({ member: this.me }));
@@ -114,12 +124,12 @@
     const known = new Set([...assignment.recorded().map(([shard]) => shard), ...byShard.keys()]);
     const shards = [...known].sort().map((shard) => this.listed(shard, byShard.get(shard)?.length ?? 0));
     const controllers = (assignment.term?.members ?? []).map(({ name, zone }): ListedController => {
-      const own = shards.filter((shard) => shard.owner === name);
+      const owned = shards.filter((shard) => shard.owner === name);
       return {
         name,
         zone,
-        shards: own.length,
-        machines: own.reduce((sum, shard) => sum + shard.machines, 0),
+        shards: owned.length,
+        machines: owned.reduce((sum, shard) => sum + shard.machines, 0),
         weight: Math.round((weights.get(name) ?? 0) * 100) / 100,
         draining: this.leader.isDraining(name),
       };
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -8,6 +8,7 @@
   type ShardChange,
   type ShardId,
   shardOf,
+  type ShardWrite,
   type StoredShard,
 } from "#shards";
 import type { TermRecord } from "../../core/records.js";
@@ -82,7 +83,7 @@
   }
 
   /** A release is about to be sent: from now on this controller doesn't count the shard. */
-  releaseSent(write: Parameters<OwnerView["releaseSent"]>[0]): void {
+  releaseSent(write: ShardWrite): void {
     this.current = this.current.releaseSent(write);
   }
 
@@ -115,23 +116,23 @@
   newOwnerOf(machine: string, zone: string): string | null {
     if (this.movedAt.size === 0 || !this.assignment.inForce) return null;
     const shard = this.shardOf(machine, zone);
-    const at = this.movedAt.get(shard);
-    if (at === undefined || hasElapsed(now(), at, SETTLING)) return null;
+    const movedAt = this.movedAt.get(shard);
+    if (movedAt === undefined || hasElapsed(now(), movedAt, SETTLING)) return null;
     return this.assignment.ownershipOf(shard)?.owner ?? null;
   }
 
   private replace(ownerView: OwnerView): void {
     const before = this.assignment;
     this.current = ownerView;
-    const at = now();
+    const changedAt = now();
     for (const shard of ownerView.assignment.changedSince(before)) {
       const owner = ownerView.assignment.ownershipOf(shard)?.owner;
-      if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, at);
+      if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, changedAt);
     }
     this.changed.notify();
   }
 
-  private note(change: KeyChange, changes: ShardChange[]): void {
+  private applyChange(change: KeyChange, changes: ShardChange[]): void {
     const { key, revision, value } = change;
     if (key === shardKeys.term) {
       const token = (value as { token?: unknown } | undefined)?.token;
@@ -148,18 +149,18 @@
     }
   }
 
-  private reread(rows: readonly Row[], revision: number): void {
+  private load(rows: readonly Row[], revision: number): void {
     this.drains.clear();
     this.enabledTerm = 0;
     const changes: ShardChange[] = [];
-    for (const row of rows) this.note(row, changes);
+    for (const row of rows) this.applyChange(row, changes);
     const assignment = this.assignment.reread(changes, this.enabledTerm, revision);
     this.replace(this.current.withAssignment(assignment));
   }
 
   private update(events: readonly KeyChange[], revision: number): void {
     const changes: ShardChange[] = [];
-    for (const event of events) this.note(event, changes);
+    for (const event of events) this.applyChange(event, changes);
     const assignment = this.assignment.changed(changes, this.enabledTerm, revision);
     this.replace(this.current.withAssignment(assignment));
   }
@@ -167,12 +168,12 @@
   /** Follows the records for ever. */
   readonly run = Effect.gen(this, function* () {
     const list = yield* this.state.list(shardKeys.all);
-    this.reread(list.rows, list.revision);
+    this.load(list.rows, list.revision);
     let { revision } = list;
     for (;;) {
-      const got = yield* this.state.watch(shardKeys.all, revision, WATCH);
-      revision = got.revision;
-      this.update(got.events, revision);
+      const watched = yield* this.state.watch(shardKeys.all, revision, WATCH);
+      revision = watched.revision;
+      this.update(watched.events, revision);
       yield* Effect.sleep(WATCH_GAP);
     }
   }).pipe(
