--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -29,7 +29,7 @@
   /** The leader offers a shard: whether this node could serve it. */
   answerOffer(offer: ShardOffer): Effect.Effect<Refusal | null> {
     return Effect.map(this.reachesAny(offer.workers), (reachesWorkers) =>
-      this.view.holder.answerOffer(offer, {
+      this.view.ownerView.answerOffer(offer, {
         mayAct: this.membership.mayAct(),
         reachesWorkers,
         freeConnections: this.freeConnections(),
@@ -40,21 +40,21 @@
   /** A question without commands, such as the leader puts too, shows whether a worker is in reach. */
   private reachesAny(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
     if (workers.length === 0) return Effect.succeed(true);
-    const asked = workers.map(({ addr, session: workerEpoch, token }) =>
+    const probes = workers.map(({ addr, session: workerEpoch, token }) =>
       this.workers.sendCommands({
         ...{ addr, fencingToken: token, workerEpoch, commands: [] },
         maySend: () => this.membership.mayAct(),
       }),
     );
-    return Effect.map(Effect.all(asked, { concurrency: "unbounded" }), (answers) =>
+    return Effect.map(Effect.all(probes, { concurrency: "unbounded" }), (answers) =>
       answers.some(({ outcome }) => outcome === "done" || outcome === "rejected"),
     );
   }
 
-  /** The leader asks to release a drained shard. From the moment of sending it isn't held here any more. */
+  /** The leader asks to release a drained shard. From the moment of sending it isn't counted here any more. */
   answerRelease(request: ReleaseRequest): Effect.Effect<Refusal | null> {
     return Effect.sync(() => {
-      const step = this.view.holder.answerRelease(request);
+      const step = this.view.ownerView.answerRelease(request);
       if ("refusal" in step) return step.refusal;
       this.view.releaseSent(step.write);
       Effect.runFork(this.release(step.write));
@@ -85,7 +85,7 @@
   readonly run = Effect.gen(this, function* () {
     yield* this.view.changed.wait(TAKE_EVERY);
     if (!this.membership.mayAct()) return;
-    yield* Effect.forEach(this.view.holder.takes(), (write) => this.take(write), {
+    yield* Effect.forEach(this.view.ownerView.pendingTakes(), (write) => this.take(write), {
       concurrency: 4,
       discard: true,
     });
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -2,13 +2,13 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import {
-  type Assignment,
-  Assignment as AssignmentClass,
-  Holder,
+  Assignment,
+  OwnerView,
   parseShardId,
   type ShardChange,
   type ShardId,
   shardOf,
+  type ShardWrite,
   type StoredShard,
 } from "#shards";
 import type { TermRecord } from "../../core/records.js";
@@ -20,8 +20,11 @@
 import type { StateClient } from "../../io/state-client.js";
 import { Signal } from "../signal.js";
 
+/** How long one watch stays open without a change. */
 const WATCH = Duration.seconds(10);
+/** Between two watches, so that a burst of changes is read at once. */
 const WATCH_GAP = Duration.millis(20);
+/** After a failed reading, before everything is read anew. */
 const RETRY = Duration.millis(300);
 /** For so long after a change of owner commands go by the new one, whoever passed on the machine's last heartbeat. */
 const SETTLING = Duration.seconds(10);
@@ -37,28 +40,28 @@
 
 /** The shards, drains and the verdict of the leader, as far as this process has read. */
 export class ShardView {
-  private current: Holder;
+  private current: OwnerView;
   private learnedAt: Instant = now();
   /** Controllers that are to be emptied, and which of their processes. */
   readonly drains = new Map<string, number>();
   private enabledTerm = 0;
   private readonly movedAt = new Map<ShardId, Instant>();
   private readonly shardOfMachine = new Map<string, ShardId>();
-  /** Poked whenever something changed. */
+  /** Notified whenever something changed. */
   readonly changed = new Signal();
 
   constructor(
     me: string,
-    private readonly fence: Duration.Duration,
+    private readonly fencingWindow: Duration.Duration,
     private readonly state: StateClient,
     private readonly log: Log,
   ) {
-    this.current = Holder.of(me, AssignmentClass.empty);
+    this.current = OwnerView.of(me, Assignment.empty);
   }
 
-  /** This controller's part, as of now. */
-  get holder(): Holder {
-    if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fence)))
+  /** This controller's part, as of now: settled once a fencing window has passed since it heard of its term. */
+  get ownerView(): OwnerView {
+    if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fencingWindow)))
       this.current = this.current.settled();
     return this.current;
   }
@@ -79,8 +82,8 @@
     this.replace(this.current.withTerm({ number: term.number, revision, members: term.members }));
   }
 
-  /** A release is about to be sent. */
-  releaseSent(write: Parameters<Holder["releaseSent"]>[0]): void {
+  /** A release is about to be sent: from now on this controller doesn't count the shard. */
+  releaseSent(write: ShardWrite): void {
     this.current = this.current.releaseSent(write);
   }
 
@@ -113,23 +116,23 @@
   newOwnerOf(machine: string, zone: string): string | null {
     if (this.movedAt.size === 0 || !this.assignment.inForce) return null;
     const shard = this.shardOf(machine, zone);
-    const at = this.movedAt.get(shard);
-    if (at === undefined || hasElapsed(now(), at, SETTLING)) return null;
+    const movedAt = this.movedAt.get(shard);
+    if (movedAt === undefined || hasElapsed(now(), movedAt, SETTLING)) return null;
     return this.assignment.ownershipOf(shard)?.owner ?? null;
   }
 
-  private replace(holder: Holder): void {
+  private replace(ownerView: OwnerView): void {
     const before = this.assignment;
-    this.current = holder;
-    const at = now();
-    for (const shard of holder.assignment.changedSince(before)) {
-      const owner = holder.assignment.ownershipOf(shard)?.owner;
-      if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, at);
+    this.current = ownerView;
+    const changedAt = now();
+    for (const shard of ownerView.assignment.changedSince(before)) {
+      const owner = ownerView.assignment.ownershipOf(shard)?.owner;
+      if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, changedAt);
     }
     this.changed.notify();
   }
 
-  private note(change: KeyChange, changes: ShardChange[]): void {
+  private applyChange(change: KeyChange, changes: ShardChange[]): void {
     const { key, revision, value } = change;
     if (key === shardKeys.term) {
       const token = (value as { token?: unknown } | undefined)?.token;
@@ -146,18 +149,18 @@
     }
   }
 
-  private reread(rows: readonly Row[], revision: number): void {
+  private load(rows: readonly Row[], revision: number): void {
     this.drains.clear();
     this.enabledTerm = 0;
     const changes: ShardChange[] = [];
-    for (const row of rows) this.note(row, changes);
+    for (const row of rows) this.applyChange(row, changes);
     const assignment = this.assignment.reread(changes, this.enabledTerm, revision);
     this.replace(this.current.withAssignment(assignment));
   }
 
   private update(events: readonly KeyChange[], revision: number): void {
     const changes: ShardChange[] = [];
-    for (const event of events) this.note(event, changes);
+    for (const event of events) this.applyChange(event, changes);
     const assignment = this.assignment.changed(changes, this.enabledTerm, revision);
     this.replace(this.current.withAssignment(assignment));
   }
@@ -165,12 +168,12 @@
   /** Follows the records for ever. */
   readonly run = Effect.gen(this, function* () {
     const list = yield* this.state.list(shardKeys.all);
-    this.reread(list.rows, list.revision);
+    this.load(list.rows, list.revision);
     let { revision } = list;
     for (;;) {
-      const got = yield* this.state.watch(shardKeys.all, revision, WATCH);
-      revision = got.revision;
-      this.update(got.events, revision);
+      const watched = yield* this.state.watch(shardKeys.all, revision, WATCH);
+      revision = watched.revision;
+      this.update(watched.events, revision);
       yield* Effect.sleep(WATCH_GAP);
     }
   }).pipe(
