--- /dev/null
+++ b/test/model/decisions.ts
@@ -0,0 +1,119 @@
+/**
+ * What a leader's core decides, carried out at the simulated state service and cloud.
+ */
+import { type WorldState } from "./world-state.js";
+import { transact, delayCloudRequest, isLeaderKey, hasNoCommit, commitJob } from "./state-service.js";
+import { sendLater, whenAwake, reachesState } from "./network.js";
+import { endProcess } from "./faults.js";
+import { type Node } from "./nodes.js";
+import { addMachine, killWorker, machinesUp } from "./workers.js";
+import { sendCommands } from "./commands.js";
+import { type Decision, type Scheduler } from "../../src/core/scheduler/scheduler.js";
+import { instant } from "../../src/core/time.js";
+
+/** Carries out one decision of a leader's core. */
+export function carryOutDecision(
+  world: WorldState,
+  node: Node,
+  scheduler: Scheduler,
+  decision: Decision,
+): void {
+  const ownKey = () => reachesState(world, node) && world.leader?.stamp === node.leaderStamp;
+  const { leaderStamp, version } = node;
+  if (decision.kind === "commands") sendCommands(world, node, scheduler, decision);
+  else if (decision.kind === "commit") {
+    // a job cancelled in the meantime has its commit already
+    const wrote = transact(
+      world,
+      node,
+      (late) => isLeaderKey(world, leaderStamp, late) && hasNoCommit(world, decision.job, late),
+      () => commitJob(world, decision.job, "done"),
+    );
+    scheduler.commitFailed(decision.job);
+    if (wrote === true && world.endsAfterCommit > 0 && world.pipelines.hasChildren(decision.job))
+      if (world.extra() < world.endsAfterCommit) {
+        world.count("leaders ended between commit and join");
+        return endProcess(world, node, 300 + world.extra() * 6000);
+      }
+    world.pipelines.committed(node, decision.job, wrote);
+  } else if (decision.kind === "record") {
+    const wrote = transact(
+      world,
+      node,
+      (late) => isLeaderKey(world, leaderStamp, late),
+      () => {
+        world.records.set(decision.machine, decision.record);
+        world.count(`machines recorded by ${version} leaders`);
+      },
+    );
+    if (wrote === true || world.without === "record")
+      scheduler.recorded(decision.machine, decision.record, instant(world.now));
+    else scheduler.recordFailed(decision.machine);
+  } else if (decision.kind === "rent") {
+    const rent = (): string[] => {
+      const ids: string[] = [];
+      for (let i = 0; i < decision.rent.count && machinesUp(world) < 12; i++)
+        ids.push(addMachine(world, decision.rent.type.name, decision.rent.zone, decision.rent.spot));
+      return ids;
+    };
+    // no answer, and carried out much later: machines that nobody expects
+    if (delayCloudRequest(world, "rentals carried out late", rent)) return;
+    const ids = rent();
+    const record = {
+      type: decision.rent.type.name,
+      zone: decision.rent.zone,
+      spot: decision.rent.spot,
+      count: decision.rent.count,
+    };
+    // a leader that dies now leaves machines that nobody recorded: the list shows them to the next one
+    if (ownKey()) scheduler.rentalAnswered("", record, ids, instant(world.now));
+  } else if (decision.kind === "release") {
+    // the cloud may be slow, and its answer may be lost
+    const ids = decision.machines;
+    const down = world.now < world.cloudDownUntil;
+    const release = (): void => {
+      for (const id of ids) {
+        const worker = world.workers.get(id);
+        if (worker !== undefined) killWorker(world, worker);
+      }
+    };
+    if (delayCloudRequest(world, "releases carried out late", release)) return;
+    sendLater(world, () => {
+      if (down)
+        return whenAwake(world, node, () => scheduler.releaseAnswered(ids, false, instant(world.now)))();
+      release();
+      sendLater(
+        world,
+        whenAwake(world, node, () => {
+          scheduler.releaseAnswered(ids, true, instant(world.now));
+          transact(
+            world,
+            node,
+            (late) => isLeaderKey(world, leaderStamp, late),
+            () => {
+              const gone = ids.filter((id) => world.records.delete(id));
+              if (gone.length > 0) world.count(`records of machines rewritten by ${version} leaders`);
+            },
+          );
+        }),
+      );
+    });
+  }
+}
+
+/** The cloud's list is late: what is gone is still in it for a while, what is new is not yet. */
+export function listMachines(world: WorldState, scheduler: Scheduler): void {
+  const rows = [...world.workers.values()]
+    .filter(
+      (worker) => world.now > worker.rented + 1000 && (!worker.gone || world.now < worker.goneAt + 3000),
+    )
+    .map((worker) => ({
+      id: worker.id,
+      record: worker.record,
+      failed: false,
+      ageMs: world.now - worker.rented,
+    }));
+  const at = world.now;
+  if (at >= world.cloudDownUntil)
+    sendLater(world, () => scheduler.listed(rows, instant(Math.max(at, world.now))));
+}
--- /dev/null
+++ b/test/model/election.ts
@@ -0,0 +1,210 @@
+/**
+ * Leases, terms and leadership of the simulated controllers: who may act, who may answer, and how a leader begins.
+ */
+import * as Duration from "effect/Duration";
+import { TTL, TIMINGS, TYPES } from "./settings.js";
+import { type WorldState } from "./world-state.js";
+import { stateDelay, transact } from "./state-service.js";
+import { sendLater, whenAwake, reachesState, areConnected } from "./network.js";
+import { type Node } from "./nodes.js";
+import { showJob } from "./controllers.js";
+import { type TermRecord } from "../../src/core/records.js";
+import { setMachine } from "../../src/core/cluster/cluster.js";
+import { Scheduler } from "../../src/core/scheduler/scheduler.js";
+import {
+  isWithinFencingWindow,
+  isConfirmedByPeers,
+  hasFreshJobView,
+  sameMembers,
+} from "../../src/core/leases/term.js";
+import { instant } from "../../src/core/time.js";
+
+/** Whether this process may act under its term now. */
+export function mayAct(world: WorldState, node: Node): boolean {
+  if (!node.alive || node.term === null) return false;
+  if (world.without === "fence") return node.confirmed !== null;
+  return (
+    isWithinFencingWindow(TIMINGS, node.confirmed, instant(world.now)) &&
+    hasReadJobs(world, node) &&
+    isInTerm(node)
+  );
+}
+
+/** Whether its view of the jobs is fresh. */
+export function hasReadJobs(world: WorldState, node: Node): boolean {
+  return world.without === "read" || hasFreshJobView(TIMINGS, node.read, instant(world.now));
+}
+
+/** The word of all other nodes opens the window too, for answers alone. */
+export function mayAnswer(world: WorldState, node: Node): boolean {
+  if (mayAct(world, node)) return true;
+  if (!node.alive || node.term === null || !isInTerm(node) || !hasReadJobs(world, node)) return false;
+  const others = world.nodes.filter((n) => n !== node).map((node) => node.name);
+  return isConfirmedByPeers(TIMINGS, others, node.words, instant(world.now));
+}
+
+/** Asks the other members whether they know of a later term. */
+export function askPeers(world: WorldState, node: Node): void {
+  const { term } = node;
+  if (term === null || world.now % 500 !== 0) return;
+  const asked = instant(world.now);
+  for (const other of world.nodes)
+    if (other !== node && areConnected(world, node, other))
+      sendLater(
+        world,
+        whenAwake(world, other, () => {
+          const ok = other.alive && (other.term?.number ?? 0) <= term.number;
+          sendLater(
+            world,
+            whenAwake(world, node, () => {
+              if (ok && node.term === term) node.words.set(other.name, asked);
+            }),
+          );
+        }),
+      );
+}
+
+/** Whether this process is a member of its term. */
+export function isInTerm(node: Node): boolean {
+  return node.term!.members.some(
+    (member) => member.name === node.name && member.incarnation === node.incarnation,
+  );
+}
+
+/** Renewals take a while; the fence counts from when they were sent. */
+export function renewLease(world: WorldState, node: Node): void {
+  node.nextRenew = world.now + 700;
+  const sent = instant(world.now);
+  const { incarnation } = node;
+  if (!reachesState(world, node)) return;
+  const answered = (): void => {
+    tryLead(world, node);
+    if (world.leader?.name === node.name && world.leader.stamp === node.leaderStamp)
+      takeLeadership(world, node);
+    if (node.term !== world.term && world.term !== null) {
+      node.term = world.term;
+      node.part.setTerm(world.term);
+      node.words = new Map();
+    }
+    node.confirmed = sent;
+  };
+  sendLater(
+    world,
+    () => {
+      if (!reachesState(world, node) || node.incarnation !== incarnation) return;
+      if (world.now >= node.leaseUntil) {
+        if (world.now < node.frozenUntil) return;
+        // a new lease, a new key; the leader's key went with the old one
+        if (world.leader?.name === node.name) world.leader = null;
+        node.incarnation = ++world.revision;
+        node.scheduler = null;
+      }
+      node.leaseUntil = world.now + Duration.toMillis(TTL);
+      if (world.leader?.name === node.name && world.leader.incarnation === node.incarnation)
+        world.leader.until = node.leaseUntil;
+      const renewed = node.incarnation;
+      whenAwake(world, node, () => {
+        // a lease that ended while the process stood still is found out by the next renewal
+        if (node.incarnation === renewed && world.now < node.leaseUntil) answered();
+      })();
+    },
+    true,
+    stateDelay(world),
+  );
+}
+
+/** Creates the leader's key on this process's lease; one that was written late is its own as well. */
+export function tryLead(world: WorldState, node: Node): void {
+  const { incarnation } = node;
+  const written = transact(
+    world,
+    node,
+    () => world.leader === null && node.incarnation === incarnation && world.now < node.leaseUntil,
+    () => {
+      world.leader = { name: node.name, incarnation, until: node.leaseUntil, stamp: ++world.revision };
+      world.leaders++;
+    },
+  );
+  const { leader } = world;
+  if (leader === null || leader.name !== node.name || leader.incarnation !== incarnation) return;
+  if (leader.stamp === node.leaderStamp) return;
+  // without the guard nobody knows of a key that was written late
+  if (world.without === "adopt" && written !== true) return;
+  node.leaderStamp = leader.stamp;
+  node.scheduler = null;
+}
+
+/** The holder of the leader's key writes a term if the members changed, and loads a scheduler if it has none. */
+export function takeLeadership(world: WorldState, node: Node): void {
+  const members = world.nodes
+    .filter((node) => node.alive && node.leaseUntil > world.now)
+    .map((node) => ({ name: node.name, incarnation: node.incarnation, zone: node.zone }));
+  const fresh = node.scheduler === null;
+  const current = !fresh && world.term !== null && sameMembers(world.term.members, members);
+  if (!current && !writeTerm(world, node, members)) return;
+  if (!fresh) {
+    // also a term of its own that was written late
+    const { term } = world;
+    if (node.scheduler!.term !== term && term!.leaderRevision === node.leaderStamp)
+      node.scheduler!.renewTerm(term!, instant(world.now));
+    return;
+  }
+  // the state service answers at once in the model: reread everything
+  const scheduler = new Scheduler(
+    {
+      timings: TIMINGS,
+      teams: new Map(
+        world.teams.map((team) => [team.name, world.without === "quota" ? { ...team, maxCpus: 0 } : team]),
+      ),
+      fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(2) },
+      startLatencyObjectives: new Map([["service", Duration.millis(100)]]),
+      ...(world.shards === null ? {} : { ownership: world.shards.ownership }),
+    },
+    world.term!,
+    node.leaderStamp,
+    instant(world.now),
+  );
+  for (const [id, record] of world.records) {
+    const machine = scheduler.recorded(id, record, instant(world.now));
+    if (world.without === "confirm" && machine !== null)
+      setMachine(scheduler.cluster, machine, { confirmed: true });
+  }
+  scheduler.setTypes(TYPES);
+  for (const [id, row] of world.jobs) {
+    node.view.put(id, row);
+    showJob(world, scheduler, row);
+  }
+  for (const { spec, accepted } of node.view.waiting.values()) scheduler.waitingSeen(spec, instant(accepted));
+  for (const [id, rows] of world.stored) for (const set of rows.values()) scheduler.stored(id, set.ranges());
+  node.pending.clear();
+  node.scheduler = scheduler;
+}
+
+/** Writes the next term; without an answer the old one goes on, until the node sees what became of it. */
+export function writeTerm(world: WorldState, node: Node, members: TermRecord["members"]): boolean {
+  const old = world.term;
+  const { leaderStamp } = node;
+  const term: TermRecord = {
+    number: (old?.number ?? 0) + 1,
+    leaderRevision: leaderStamp,
+    leader: node.name,
+    members,
+  };
+  const written = transact(
+    world,
+    node,
+    (late) =>
+      (late && world.without === "stamp") || (world.leader?.stamp === leaderStamp && world.term === old),
+    () => {
+      world.terms++;
+      world.term = term;
+    },
+  );
+  if (written !== true) return false;
+  node.term = term;
+  node.part.setTerm(term);
+  node.words = new Map();
+  node.confirmed = null;
+  node.nextRenew = world.now;
+  return true;
+}
--- /dev/null
+++ b/test/model/heartbeats.ts
@@ -0,0 +1,66 @@
+/**
+ * How heartbeats reach a member, also late copies of them.
+ */
+import { type WorldState } from "./world-state.js";
+import { whenAwake } from "./network.js";
+import { type Node } from "./nodes.js";
+import { type Worker } from "./workers.js";
+import { mayAnswer } from "./election.js";
+import { type Heartbeat } from "../../src/core/records.js";
+import { type HeartbeatAnswer } from "../../src/core/members/worker-partition.js";
+import { instant } from "../../src/core/time.js";
+
+/** A copy of a heartbeat arrives at `at`, at any node or at who leads then. */
+export function deliverCopy(
+  world: WorldState,
+  worker: Worker,
+  heartbeat: Heartbeat,
+  at: number,
+  to: Node | null,
+): void {
+  const node = to ?? world.nodes[Math.floor(world.extra() * world.nodes.length)]!;
+  const run = whenAwake(world, node, () => {
+    if (!node.alive) return;
+    const earlier = heartbeat.workerEpoch < worker.session;
+    world.count(earlier ? "copies from an earlier session" : "copies after newer ones");
+    if (isOutlived(world, heartbeat)) world.count("copies with an earlier attempt");
+    // without the guard the copy counts as new
+    const believed = world.without === (earlier ? "session" : "seq");
+    deliverHeartbeat(
+      world,
+      node,
+      believed
+        ? { ...heartbeat, workerEpoch: worker.session, sequence: ++worker.seq, fencingToken: worker.token }
+        : heartbeat,
+    );
+  });
+  world.messages.push({ at, run });
+}
+
+/** Whether a task that it shows runs under a later attempt by now. */
+export function isOutlived(world: WorldState, heartbeat: Heartbeat): boolean {
+  const live = [...world.workers.values()].flatMap((worker) => [...worker.tasks.values()]);
+  return heartbeat.tasks.some(
+    (task) =>
+      task.state !== "exited" &&
+      live.some(
+        (u) =>
+          u.state !== "exited" && u.job === task.job && u.index === task.index && u.attempt > task.attempt,
+      ),
+  );
+}
+
+/** What a node was told by the state service, it knows for as long as it lives. */
+export function deliverHeartbeat(world: WorldState, node: Node, heartbeat: Heartbeat): HeartbeatAnswer {
+  const isOver = (job: string): boolean => {
+    const commit = world.commits.get(job);
+    return world.without !== "cancel" && commit !== undefined && commit.at < (node.read ?? -1);
+  };
+  return node.part.handleHeartbeat(
+    heartbeat,
+    mayAnswer(world, node),
+    node.incarnation,
+    instant(world.now),
+    isOver,
+  );
+}
--- /dev/null
+++ b/test/model/invariants.ts
@@ -0,0 +1,81 @@
+/**
+ * The rules that are checked after each step.
+ */
+import * as Duration from "effect/Duration";
+import { TIMINGS } from "./settings.js";
+import { type WorldState } from "./world-state.js";
+import { workersRunning, workersRunningTask } from "./workers.js";
+import { type JobSpec } from "../../src/core/records.js";
+
+/** The rules that hold after every step. */
+export function checkInvariants(world: WorldState): void {
+  const usage = new Map<string, number>();
+  for (const worker of world.workers.values())
+    for (const t of worker.tasks.values()) {
+      if (t.state === "exited") continue;
+      const spec = world.allJobs.get(t.job)!;
+      usage.set(spec.team, (usage.get(spec.team) ?? 0) + spec.cpus);
+      const commit = world.commits.get(t.job);
+      const late = commit !== undefined && world.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline);
+      if (commit?.outcome === "cancelled" && late)
+        world.broken.push({
+          rule: "ran_cancelled",
+          text: `${t.job}/${t.index} on ${worker.id} at ${world.now}`,
+        });
+    }
+  if (world.calmSince !== null && world.now % 1000 === 0) checkIdleRoom(world, usage);
+  for (const team of world.teams)
+    if (team.maxCpus > 0 && (usage.get(team.name) ?? 0) > team.maxCpus)
+      world.broken.push({ rule: "quota", text: `${team.name}: ${usage.get(team.name)} at ${world.now}` });
+}
+
+/** Once all is over: a job waits though a machine that fits has room and its team is under its limit. */
+export function checkIdleRoom(world: WorldState, usage: ReadonlyMap<string, number>): void {
+  for (const { spec } of world.jobs.values()) {
+    const used = usage.get(spec.team) ?? 0;
+    const limit = world.teams.find((team) => team.name === spec.team)!.maxCpus;
+    let waits = false;
+    for (let n = 0; n < spec.tasks && !waits; n++)
+      waits =
+        !(world.completed.get(spec.id)?.has(n) ?? false) &&
+        workersRunningTask(world, spec.id, n).length === 0;
+    const room = (): boolean => {
+      const zones = new Set(workersRunning(world, spec.id).map((worker) => worker.record.zone));
+      return [...world.workers.values()].some((worker) => {
+        if (worker.gone || world.now < worker.up) return false;
+        const record = worker.record;
+        let free = worker.cpus;
+        for (const t of worker.tasks.values())
+          if (t.state !== "exited") free -= world.allJobs.get(t.job)!.cpus;
+        return (
+          free >= spec.cpus &&
+          (spec.types?.includes(record.type) ?? true) &&
+          (spec.zone === null || spec.zone === record.zone) &&
+          (spec.spot || !record.spot) &&
+          (!spec.oneZone || [...zones].every((z) => z === record.zone))
+        );
+      });
+    };
+    if (!waits || (limit > 0 && used + spec.cpus > limit) || !room()) {
+      world.idleRoom.delete(spec.id);
+      continue;
+    }
+    const since = world.idleRoom.get(spec.id) ?? world.now;
+    world.idleRoom.set(spec.id, since);
+    if (world.now - since > 90_000)
+      world.broken.push({ rule: "idle_room", text: `${spec.id} at ${world.now}` });
+  }
+}
+
+/**
+ * Whether the services of its team leave a job no room for a single task below the team's limit (S6). They run until their
+ * users call them off, so nothing can be served then, whoever owns the machines.
+ */
+export function isKeptOut(world: WorldState, { team, cpus }: JobSpec): boolean {
+  const limit = world.teams.find(({ name }) => name === team)?.maxCpus ?? 0;
+  if (limit === 0) return false;
+  let used = 0;
+  for (const { spec } of world.jobs.values())
+    if (spec.team === team && spec.kind === "service") used += spec.cpus * spec.tasks;
+  return used + cpus > limit;
+}
--- /dev/null
+++ b/test/model/nodes.ts
@@ -0,0 +1,84 @@
+/**
+ * A simulated controller's process, as the model keeps it.
+ */
+import * as Duration from "effect/Duration";
+import { type WorldState } from "./world-state.js";
+import { type Command, type TermRecord } from "../../src/core/records.js";
+import { WorkerPartition } from "../../src/core/members/worker-partition.js";
+import { type Scheduler } from "../../src/core/scheduler/scheduler.js";
+import { type Instant } from "../../src/core/time.js";
+import { type Row, View } from "../model-pipelines.js";
+import { type Version } from "./versions.js";
+
+/** A controller: what its process knows, and what it keeps while it leads. */
+export interface Node {
+  readonly name: string;
+  readonly zone: string;
+  /** The next process of this member may have another one. */
+  version: Version;
+  alive: boolean;
+  back: number;
+  incarnation: number;
+  part: WorkerPartition;
+  confirmed: Instant | null;
+  /** The unfinished jobs as last read from the state service, when that was asked for, and up to which revision. */
+  read: Instant | null;
+  known: ReadonlyMap<string, Row>;
+  knownUpTo: number;
+  nextRead: number;
+  /** What its process knows of waiting jobs and of outcomes. */
+  view: View;
+  term: TermRecord | null;
+  /** The lease in the state service; the key goes when it ends. */
+  leaseUntil: number;
+  nextRenew: number;
+  stateCutUntil: number;
+  /** Cut off from the state service and the other nodes, but not from its workers. */
+  aloneUntil: number;
+  /** Stands still while its clocks run on: what comes waits and is handled on waking, before anything else. */
+  frozenUntil: number;
+  pending: Map<number, { machine: string; orders: readonly Command[]; token: number; at: number }>;
+  batches: number;
+  scheduler: Scheduler | null;
+  leaderStamp: number;
+  began: number;
+  mark: number;
+  markToken: number;
+  nextSync: number;
+  words: Map<string, Instant>;
+}
+
+/** A new process of a member, which knows nothing. */
+export function newNode(world: WorldState, name: string, zone: string): Omit<Node, "version"> {
+  const part = new WorkerPartition(name, 400, Duration.millis(300));
+  if (world.shards !== null) part.ownerName = world.shards.lookup(name);
+  return {
+    name,
+    zone,
+    alive: true,
+    back: 0,
+    incarnation: 0,
+    part,
+    confirmed: null,
+    read: null,
+    known: new Map(),
+    knownUpTo: 0,
+    nextRead: world.now,
+    view: new View(),
+    term: null,
+    leaseUntil: 0,
+    nextRenew: world.now,
+    stateCutUntil: 0,
+    aloneUntil: 0,
+    frozenUntil: 0,
+    pending: new Map(),
+    batches: 0,
+    scheduler: null,
+    leaderStamp: 0,
+    began: world.now,
+    mark: -1,
+    markToken: 0,
+    nextSync: world.now,
+    words: new Map(),
+  };
+}
--- /dev/null
+++ b/test/model/workers.ts
@@ -0,0 +1,264 @@
+/**
+ * Simulated workers: machines that carry out commands, run tasks and send heartbeats.
+ */
+import * as Duration from "effect/Duration";
+import { TIMINGS, STEP, QUICK_BOOT_MS, TYPES } from "./settings.js";
+import { type WorldState } from "./world-state.js";
+import { chance, pick, sendLater, whenAwake, areZonesApart } from "./network.js";
+import { deliverCopy, deliverHeartbeat } from "./heartbeats.js";
+import { onTaskEnded } from "./users.js";
+import { type MachineRecord, type Command, type Heartbeat } from "../../src/core/records.js";
+import { RangeSet } from "../../src/core/ranges.js";
+
+/** An attempt on a worker, as the worker keeps it. */
+export interface WorkerTask {
+  attempt: number;
+  job: string;
+  index: number;
+  state: "fetching" | "running" | "exited";
+  exitReason: "done" | "stopped" | "error" | "busy" | "no_room" | null;
+  left: number;
+}
+
+/** A simulated worker on its machine. */
+export class Worker {
+  session = 1;
+  seq = 0;
+  token = 0;
+  answeredSent: number;
+  gone = false;
+  goneAt = 0;
+  hungUntil = 0;
+  cutUntil = 0;
+  /** Its reports arrive, but nothing reaches it. */
+  deafUntil = 0;
+  /** Its reports reach nobody, but direct orders reach it. */
+  muteUntil = 0;
+  node = 0;
+  nextReport: number;
+  readonly tasks = new Map<string, WorkerTask>();
+  constructor(
+    readonly id: string,
+    readonly record: MachineRecord,
+    readonly rented: number,
+    readonly up: number,
+    readonly cpus: number,
+  ) {
+    this.answeredSent = up;
+    this.nextReport = up;
+  }
+}
+
+/** A machine is rented; it is up after its boot. */
+export function addMachine(world: WorldState, type: string, zone: string, spot: boolean): string {
+  const id = `n-${String(world.machines++).padStart(4, "0")}`;
+  const cpus = TYPES.find((t) => t.name === type)!.cpus;
+  const usual = 500 + world.random() * 3000;
+  const boot = world.quickBoots ? world.extra() * QUICK_BOOT_MS : usual;
+  world.workers.set(id, new Worker(id, { type, zone, spot, addr: id }, world.now, world.now + boot, cpus));
+  return id;
+}
+
+/** A machine is gone for ever, with its tasks. */
+export function killWorker(world: WorldState, worker: Worker): void {
+  worker.gone = true;
+  worker.goneAt = world.now;
+  worker.tasks.clear();
+}
+
+/** The worker's next heartbeat. */
+export function newHeartbeat(worker: Worker): Heartbeat {
+  return {
+    machine: worker.id,
+    addr: worker.id,
+    type: worker.record.type,
+    zone: worker.record.zone,
+    spot: worker.record.spot,
+    workerEpoch: worker.session,
+    sequence: ++worker.seq,
+    fencingToken: worker.token,
+    reclaimNoticeSeconds: null,
+    tasks: [...worker.tasks.values()].map((t) => ({ ...t })),
+  };
+}
+
+/** One step of a worker: its tasks go on, and it sends a heartbeat when one is due. */
+export function stepWorker(world: WorldState, worker: Worker): void {
+  if (worker.gone || world.now < worker.up) return;
+  if (world.now - worker.answeredSent > Duration.toMillis(TIMINGS.workerLease)) {
+    worker.tasks.clear();
+    worker.session++;
+    worker.answeredSent = world.now;
+  }
+  // a hanging machine goes on within its lease or not at all
+  if (world.now < worker.hungUntil) return;
+  for (const t of worker.tasks.values()) {
+    if (t.state === "exited") continue;
+    t.left -= STEP;
+    if (t.state === "fetching" && t.left <= 0) {
+      // the result is kept: what completed before exits as soon as it has its image
+      const before = world.completed.get(t.job)?.has(t.index) ?? false;
+      t.state = before ? "exited" : "running";
+      if (before) t.exitReason = "done";
+      const usual = world.allJobs.get(t.job)!.kind === "service" ? Infinity : 500 + world.random() * 6000;
+      t.left = world.lasts.get(t.job)?.[t.index] ?? usual;
+    } else if (t.left <= 0) {
+      t.state = "exited";
+      // what a script wants to last so long doesn't fail
+      t.exitReason = world.random() < 0.05 && !world.lasts.has(t.job) ? "error" : "done";
+      if (world.failing.has(t.job)) {
+        t.exitReason = "error";
+        world.count("attempts that failed");
+      }
+      if (t.exitReason === "done") {
+        const done = world.completed.get(t.job) ?? new RangeSet();
+        if (!done.has(t.index)) done.add(t.index);
+        world.completed.set(t.job, done);
+        onTaskEnded(world, t.job, done);
+      }
+    }
+  }
+  if (world.now < worker.nextReport || world.now < worker.cutUntil) return;
+  worker.nextReport = world.now + 1000;
+  const sent = world.now;
+  if (world.now < worker.muteUntil) {
+    worker.node++;
+    return;
+  }
+  const heartbeat = newHeartbeat(worker);
+  if (world.lateReports > 0 && world.extra() < world.lateReports) {
+    const lease = Duration.toMillis(TIMINGS.workerLease);
+    deliverCopy(world, worker, heartbeat, world.now + 2000 + world.extra() * (2.5 * lease - 2000), null);
+  }
+  const node = world.nodes[worker.node % world.nodes.length]!;
+  // a copy may come late, from seconds to well over a lease, and to whoever is there then
+  if (chance(world, 0.2)) {
+    const late = world.now + world.random() * 2.5 * Duration.toMillis(TIMINGS.workerLease);
+    const to = pick(world, world.nodes);
+    world.messages.push({
+      at: late,
+      run: whenAwake(world, to, () => {
+        if (to.alive) deliverHeartbeat(world, to, heartbeat);
+      }),
+    });
+  }
+  // its connection waits for an answer at a process that stands still; the next heartbeat goes elsewhere
+  if (world.now < node.frozenUntil) worker.node++;
+  if (areZonesApart(world, node.zone, worker.record.zone)) {
+    worker.node++;
+    return;
+  }
+  sendLater(
+    world,
+    whenAwake(world, node, () => {
+      if (!node.alive) {
+        worker.node++;
+        return;
+      }
+      const answer = deliverHeartbeat(world, node, heartbeat);
+      if (answer.kind === "elsewhere")
+        worker.node = world.nodes.findIndex((node) => node.name === answer.member);
+      else if (answer.kind === "unsure") worker.node++;
+      if (answer.kind !== "taken") return;
+      const { fencingToken, stopCommands } = answer;
+      const workerEpoch = heartbeat.workerEpoch;
+      sendLater(world, () => {
+        if (world.now < Math.max(worker.cutUntil, worker.deafUntil) || worker.session !== workerEpoch) return;
+        if (areZonesApart(world, node.zone, worker.record.zone)) return;
+        if (fencingToken < worker.token || world.now - sent > 4000) return;
+        executeCommands(world, worker, fencingToken, workerEpoch, stopCommands);
+        worker.answeredSent = Math.max(worker.answeredSent, sent);
+      });
+    }),
+  );
+}
+
+/** Whether the worker takes the commands: not under an old fencing token, nor for another worker epoch. */
+export function executeCommands(
+  world: WorldState,
+  worker: Worker,
+  token: number,
+  workerEpoch: number,
+  commands: readonly Command[],
+): boolean {
+  if (token < worker.token || workerEpoch !== worker.session) return false;
+  worker.token = token;
+  for (const command of commands) {
+    const key = `${command.job}/${command.index}#${command.attempt}`;
+    const task = worker.tasks.get(key);
+    if (command.op === "forget") {
+      if (task?.state === "exited") worker.tasks.delete(key);
+    } else if (command.op === "stop") {
+      if (task !== undefined && task.state !== "exited")
+        Object.assign(task, { state: "exited", exitReason: "stopped" });
+    } else if (task === undefined) startAttempt(world, worker, command, key);
+  }
+  return true;
+}
+
+/** A worker starts an attempt, if it has room; the rules about starts are checked here. */
+export function startAttempt(world: WorldState, worker: Worker, command: Command, key: string): void {
+  const live = [...worker.tasks.values()].filter((t) => t.state !== "exited");
+  const spec = world.allJobs.get(command.job)!;
+  const used = live.reduce((sum, t) => sum + world.allJobs.get(t.job)!.cpus, 0);
+  const base = { attempt: command.attempt, job: command.job, index: command.index, left: 0 };
+  if (live.some((t) => t.job === command.job && t.index === command.index)) {
+    worker.tasks.set(key, { ...base, state: "exited", exitReason: "busy" });
+    return;
+  }
+  if (used + spec.cpus > worker.cpus) {
+    worker.tasks.set(key, { ...base, state: "exited", exitReason: "no_room" });
+    return;
+  }
+  world.started++;
+  if (spec.dependsOn.some((p) => world.commits.get(p)?.outcome !== "done"))
+    world.broken.push({ rule: "too_early", text: `${command.job}/${command.index} starts at ${world.now}` });
+  const commit = world.commits.get(command.job);
+  if (commit?.outcome === "cancelled") {
+    world.count("starts after a confirmed cancellation");
+    // gone within a step perhaps, so the check after each step wouldn't see it
+    if (world.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline))
+      world.broken.push({
+        rule: "ran_cancelled",
+        text: `${command.job}/${command.index} starts at ${world.now}`,
+      });
+  }
+  const elsewhere = workersRunningTask(world, command.job, command.index).filter((x) => x !== worker);
+  if (elsewhere.length > 0)
+    world.broken.push({
+      rule: "ran_twice",
+      text: `${command.job}/${command.index} on ${worker.id} and ${elsewhere[0]!.id} at ${world.now}`,
+    });
+  const record = worker.record;
+  const zones = new Set(workersRunning(world, command.job).map((worker) => worker.record.zone));
+  if (
+    (spec.types !== null && !spec.types.includes(record.type)) ||
+    (spec.zone !== null && spec.zone !== record.zone) ||
+    (!spec.spot && record.spot) ||
+    (spec.oneZone && [...zones].some((z) => z !== record.zone))
+  )
+    world.broken.push({
+      rule: "wrong_place",
+      text: `${command.job}/${command.index} on ${worker.id} at ${world.now}`,
+    });
+  worker.tasks.set(key, { ...base, state: "fetching", exitReason: null, left: 200 });
+}
+
+/** The workers with live attempts of a job. */
+export function workersRunning(world: WorldState, job: string): Worker[] {
+  return [...world.workers.values()].filter((worker) =>
+    [...worker.tasks.values()].some((t) => t.job === job && t.state !== "exited"),
+  );
+}
+
+/** The workers with a live attempt of a task. */
+export function workersRunningTask(world: WorldState, job: string, index: number): Worker[] {
+  return [...world.workers.values()].filter((worker) =>
+    [...worker.tasks.values()].some((t) => t.job === job && t.index === index && t.state !== "exited"),
+  );
+}
+
+/** How many machines there are. */
+export function machinesUp(world: WorldState): number {
+  return [...world.workers.values()].filter((worker) => !worker.gone).length;
+}
