--- a/test/meetings-handover.test.ts
+++ b/test/concurrent-faults-handover.test.ts
@@ -1,6 +1,6 @@
 /**
- * More meetings of two troubles (docs/meetings.md): what is on its way or only half known when leaders and parts change
- * hands, as in `meetings.test.ts`.
+ * More meetings of two troubles (docs/concurrent-faults.md): what is on its way or only half known when leaders and parts change
+ * hands, as in `concurrent-faults.test.ts`.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
--- a/test/meetings-silence.test.ts
+++ b/test/concurrent-faults-silence.test.ts
@@ -1,5 +1,5 @@
 /**
- * Troubles that were on no list (docs/meetings.md): controllers that stand still for longer than every lease and wake with
+ * Troubles that were on no list (docs/concurrent-faults.md): controllers that stand still for longer than every lease and wake with
  * an old picture, and jobs that fail on every machine until their users cancel them.
  */
 import assert from "node:assert/strict";
--- a/test/meetings-users.test.ts
+++ b/test/concurrent-faults-users.test.ts
@@ -1,5 +1,5 @@
 /**
- * Meetings of two troubles as users see them (docs/meetings.md): submissions, questions and cancels of ordinary jobs go
+ * Meetings of two troubles as users see them (docs/concurrent-faults.md): submissions, questions and cancels of ordinary jobs go
  * through any node, and no node may answer anything older than what a user was told.
  */
 import * as Duration from "effect/Duration";
--- a/test/meetings.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -1,5 +1,5 @@
 /**
- * Meetings of two troubles (docs/meetings.md), each brought about in seeded runs: that both troubles really met is
+ * Meetings of two troubles (docs/concurrent-faults.md), each brought about in seeded runs: that both troubles really met is
  * counted, no rule may be broken, everything accepted is served afterwards, and where a guard is named the checker
  * has to notice that it is missing.
  */
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -13,7 +13,7 @@
 import { RangeSet } from "../../src/core/ranges.js";
 import { type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { instant, minus } from "../../src/core/time.js";
-import { type Row } from "../model-pipelines.js";
+import { type Row } from "./job-views.js";
 
 /** One step of a controller. */
 export function stepController(world: WorldState, node: Node): void {
--- a/test/model/nodes.ts
+++ b/test/model/nodes.ts
@@ -7,7 +7,7 @@
 import { WorkerPartition } from "../../src/core/members/worker-partition.js";
 import { type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { type Instant } from "../../src/core/time.js";
-import { type Row, View } from "../model-pipelines.js";
+import { type Row, View } from "./job-views.js";
 import { type Version } from "./versions.js";
 
 /** A controller: what its process knows, and what it keeps while it leads. */
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -8,7 +8,7 @@
 import { workersRunning } from "./workers.js";
 import { type JobSpec } from "../../src/core/records.js";
 import { type RangeSet } from "../../src/core/ranges.js";
-import { type Row } from "../model-pipelines.js";
+import { type Row } from "./job-views.js";
 
 /** The users of one step: some submit, some cancel. */
 export function stepUsers(world: WorldState): void {
--- a/test/model/world-state.ts
+++ b/test/model/world-state.ts
@@ -11,7 +11,8 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { type JobSpec, type MachineRecord, type Team, type TermRecord } from "../../src/core/records.js";
 import { type RangeSet } from "../../src/core/ranges.js";
-import { type Row, WaitingJobs } from "../model-pipelines.js";
+import { type Row } from "./job-views.js";
+import { WaitingJobs } from "./waiting-jobs.js";
 import { ShardMoves } from "./shards.js";
 
 /** The whole state of a simulated cluster. */
--- a/test/seeded-with-shards.test.ts
+++ b/test/seeded-with-shards.test.ts
@@ -5,10 +5,10 @@
 
 World.withShards = true;
 await import("./rules.test.js");
-await import("./meetings.test.js");
-await import("./meetings-silence.test.js");
-await import("./meetings-handover.test.js");
-await import("./meetings-users.test.js");
+await import("./concurrent-faults.test.js");
+await import("./concurrent-faults-silence.test.js");
+await import("./concurrent-faults-handover.test.js");
+await import("./concurrent-faults-users.test.js");
 
 test("shards really changed hands in seeded runs, were refused, given up, and left behind by leaders that ended", () => {
   const met = new Map<string, number>();
