--- a/test/concurrent-faults-handover.test.ts
+++ b/test/concurrent-faults-handover.test.ts
@@ -83,7 +83,7 @@
     play: (world, seed) => {
       world.wait(12_000);
       for (let i = 0; i < 3; i++) {
-        const deliver = world.holdReportsForAll();
+        const deliver = world.holdBackAllHeartbeats();
         const jobs = world.submit(4, { tasks: 4, cpus: 1 }, [20_000, 20_000, 20_000, 20_000]);
         world.until(() => world.running(jobs) >= 8, 20_000);
         // new machines, and those with tasks, can't tell the new leader at once what they have
@@ -107,12 +107,12 @@
     play: (world, seed) => {
       world.wait(10_000);
       for (let i = 0; i < 5; i++) {
-        world.lateOrders = 0.6;
+        world.lateCommands = 0.6;
         world.submit(3, { tasks: 6, cpus: 1 });
         world.wait(600);
         if ((seed + i) % 2 === 0) world.endLeader(300);
         else if (world.cutLeader(12_000, true) !== null) world.note("leaders deposed");
-        world.lateOrders = 0.2;
+        world.lateCommands = 0.2;
         led(world);
         world.wait(12_000);
       }
--- a/test/concurrent-faults-users.test.ts
+++ b/test/concurrent-faults-users.test.ts
@@ -67,11 +67,11 @@
       world.slowStateMs = 600;
       const jobs = world.submitByUsers(5, { tasks: 2, cpus: 2 }, [70_000, 70_000]);
       world.until(() => world.running(jobs) >= 6, 30_000);
-      world.callOff(jobs[0]!);
+      world.cancelThroughNode(jobs[0]!);
       world.wait(4000);
       world.slowStateMs = seed % 2 === 0 ? 0 : 300;
       const leader = world.cutLeader(9000, false);
-      for (const id of jobs.slice(1, 4)) world.callOff(id);
+      for (const id of jobs.slice(1, 4)) world.cancelThroughNode(id);
       world.wait(5000);
       if (leader !== null) world.note("leaders refused alone");
       world.outage(CANCEL + 5000).wait(CANCEL + 20_000);
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -106,7 +106,7 @@
     rough: 1.5,
     seeds: 24,
     play: (world) => {
-      world.lateReports = 0.15;
+      world.lateHeartbeats = 0.15;
       for (let i = 0; i < 5; i++) {
         world.submit(2, { tasks: 4 });
         world.wait(6000);
@@ -152,7 +152,7 @@
   {
     name: "a command or its answer is held up for seconds, and the machine then goes on",
     play: (world) => {
-      world.heldOrders = 0.4;
+      world.delayedCommands = 0.4;
       for (let i = 0; i < 6; i++) {
         world.submit(2, { tasks: 5, cpus: 1 });
         world.wait(1500);
@@ -175,7 +175,7 @@
       for (let i = 0; i < 3; i++) {
         world.submit(3, { tasks: 4, cpus: 2 });
         world.wait(2500);
-        const deliver = world.holdReports();
+        const deliver = world.holdBackHeartbeats();
         world.endLeader(8000);
         led(world);
         world.submit(2, { tasks: 4 });
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -86,7 +86,7 @@
       const sent = [pipeline(world), pipeline(world)];
       upgrade(world, seed);
       accepted(world, sent.flat());
-      world.callOff(sent[1]![seed % 5]!);
+      world.cancelThroughNode(sent[1]![seed % 5]!);
       world.wait(4000);
       world.endLeader(300);
       world.wait(8000);
@@ -116,7 +116,7 @@
       const long = Array.from({ length: 4 }, (_, i) => after(world, [first], 25_000 + i * 8000));
       accepted(world, long);
       wayBack(world, seed);
-      world.callOff(long[3]!);
+      world.cancelThroughNode(long[3]!);
       world.wait(20_000);
       const more = pipeline(world);
       upgrade(world, seed + 1);
@@ -151,7 +151,7 @@
         world.versions.usersAvoidOld = true;
         world.replace(nth(seed, i), "old");
         bothLead(world, seed);
-        world.callOff(sent[1]![(seed + i) % 5]!);
+        world.cancelThroughNode(sent[1]![(seed + i) % 5]!);
         leadBy(world, "old");
         world.wait(6000);
         world.replace(nth(seed, i), "new");
--- a/test/model/commands.ts
+++ b/test/model/commands.ts
@@ -20,9 +20,9 @@
   outcome: CommandOutcome,
   by?: HeartbeatId,
 ): void {
-  const batch = leader.pending.get(id);
+  const batch = leader.pendingCommands.get(id);
   if (batch === undefined) return;
-  leader.pending.delete(id);
+  leader.pendingCommands.delete(id);
   const told = world.without === "doubt" && outcome === "unknown" ? "unsent" : outcome;
   scheduler.commandsAnswered(batch.machine, batch.orders, batch.token, told, instant(world.now), by);
 }
@@ -38,7 +38,12 @@
   const via = world.nodes.find((node) => node.name === d.via) ?? leader;
   const worker = world.workers.get(d.machine);
   const id = term.number * 1e9 + ++leader.batches;
-  leader.pending.set(id, { machine: d.machine, orders: d.commands, token: d.fencingToken, at: world.now });
+  leader.pendingCommands.set(id, {
+    machine: d.machine,
+    orders: d.commands,
+    token: d.fencingToken,
+    at: world.now,
+  });
   if (!areConnected(world, leader, via)) return settleCommands(world, leader, scheduler, id, "unsent");
   const { incarnation } = via;
   let outcome: CommandOutcome | null = null;
@@ -66,7 +71,7 @@
           world.messages.push({ at: until + 1, run: reach });
           return;
         }
-        if (worker.token > d.fencingToken && d.commands.length > 0)
+        if (worker.fencingToken > d.fencingToken && d.commands.length > 0)
           world.count("orders of an earlier leader");
         const done = executeCommands(world, worker, d.fencingToken, d.workerEpoch, d.commands);
         const heartbeat = newHeartbeat(worker);
@@ -87,14 +92,14 @@
 
 /** How long something is held up, if it is. */
 export function drawHoldUp(world: WorldState, what: string): number {
-  if (world.heldOrders === 0 || world.extra() >= world.heldOrders) return 0;
+  if (world.delayedCommands === 0 || world.extra() >= world.delayedCommands) return 0;
   world.count(what);
   return 1000 + world.extra() * 7000;
 }
 
 /** How late a command is, if it is. */
 export function drawLateDelay(world: WorldState): number {
-  if (world.lateOrders === 0 || world.extra() >= world.lateOrders) return 0;
+  if (world.lateCommands === 0 || world.extra() >= world.lateCommands) return 0;
   world.count("late orders");
   return 2000 + world.extra() * 14_000;
 }
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -32,7 +32,7 @@
   countLeader(world, node, scheduler);
   applyJobs(world, node, scheduler);
   world.shards?.step(scheduler, node.term);
-  for (const [id, batch] of node.pending)
+  for (const [id, batch] of node.pendingCommands)
     if (world.now - batch.at > 6000) settleCommands(world, node, scheduler, id, "unknown");
   for (const decision of scheduler.step(instant(world.now))) {
     if (node.scheduler !== scheduler) return;
@@ -57,7 +57,7 @@
 export function showJob(
   world: WorldState,
   scheduler: Scheduler,
-  { spec, stamp, accepted, released }: Row,
+  { spec, revision: stamp, accepted, released }: Row,
 ): void {
   const seen = world.without === "zone" ? { ...spec, oneZone: false, zone: null, types: null } : spec;
   scheduler.jobSeen(seen, stamp, instant(accepted), instant(released));
@@ -83,8 +83,8 @@
       sendLater(
         world,
         whenAwake(world, node, () => {
-          if (node.incarnation !== incarnation || asked < (node.read ?? -1)) return;
-          node.read = asked;
+          if (node.incarnation !== incarnation || asked < (node.jobsReadAt ?? -1)) return;
+          node.jobsReadAt = asked;
           node.known = snapshot.jobs;
           node.knownUpTo = revision;
           node.view.refresh(snapshot);
@@ -102,7 +102,7 @@
     if (!(world.commits.has(id) && !scheduler.cluster.jobs.has(id))) showJob(world, scheduler, row);
   const { view } = node;
   // released by this very process a moment ago
-  for (const row of view.jobs.values()) if (row.stamp > node.knownUpTo) showJob(world, scheduler, row);
+  for (const row of view.jobs.values()) if (row.revision > node.knownUpTo) showJob(world, scheduler, row);
   for (const row of view.waiting.values())
     if (world.without === "release") showJob(world, scheduler, row);
     else scheduler.waitingSeen(row.spec, instant(row.accepted));
@@ -116,12 +116,12 @@
 export function sendMemberUpdate(world: WorldState, node: Node): void {
   node.nextSync = world.now + 200;
   const term = node.term!;
-  if (node.markToken !== term.number) {
-    node.mark = -1;
-    node.markToken = term.number;
+  if (node.leaderClockMarkTerm !== term.number) {
+    node.leaderClockMark = -1;
+    node.leaderClockMarkTerm = term.number;
   }
   const news = node.part.takeUpdate(instant(world.now));
-  const { incarnation, mark } = node;
+  const { incarnation, leaderClockMark: mark } = node;
   const to = world.nodes.find((node) => node.name === term.leader)!;
   let arrived = false;
   if (areConnected(world, node, to))
@@ -164,8 +164,8 @@
         sendLater(
           world,
           whenAwake(world, node, () => {
-            if (node.markToken === term.number && node.incarnation === incarnation)
-              node.mark = Math.max(node.mark, stamp);
+            if (node.leaderClockMarkTerm === term.number && node.incarnation === incarnation)
+              node.leaderClockMark = Math.max(node.leaderClockMark, stamp);
           }),
         );
       }),
--- a/test/model/decisions.ts
+++ b/test/model/decisions.ts
@@ -18,8 +18,8 @@
   scheduler: Scheduler,
   decision: Decision,
 ): void {
-  const ownKey = () => reachesState(world, node) && world.leader?.stamp === node.leaderStamp;
-  const { leaderStamp, version } = node;
+  const ownKey = () => reachesState(world, node) && world.leader?.stamp === node.leaderRevision;
+  const { leaderRevision: leaderStamp, version } = node;
   if (decision.kind === "commands") sendCommands(world, node, scheduler, decision);
   else if (decision.kind === "commit") {
     // a job cancelled in the meantime has its commit already
--- a/test/model/election.ts
+++ b/test/model/election.ts
@@ -32,7 +32,7 @@
 
 /** Whether its view of the jobs is fresh. */
 export function hasReadJobs(world: WorldState, node: Node): boolean {
-  return world.without === "read" || hasFreshJobView(TIMINGS, node.read, instant(world.now));
+  return world.without === "read" || hasFreshJobView(TIMINGS, node.jobsReadAt, instant(world.now));
 }
 
 /** The word of all other nodes opens the window too, for answers alone. */
@@ -40,7 +40,7 @@
   if (mayAct(world, node)) return true;
   if (!node.alive || node.term === null || !isInTerm(node) || !hasReadJobs(world, node)) return false;
   const others = world.nodes.filter((n) => n !== node).map((node) => node.name);
-  return isConfirmedByPeers(TIMINGS, others, node.words, instant(world.now));
+  return isConfirmedByPeers(TIMINGS, others, node.peerConfirmations, instant(world.now));
 }
 
 /** Asks the other members whether they know of a later term. */
@@ -57,7 +57,7 @@
           sendLater(
             world,
             whenAwake(world, node, () => {
-              if (ok && node.term === term) node.words.set(other.name, asked);
+              if (ok && node.term === term) node.peerConfirmations.set(other.name, asked);
             }),
           );
         }),
@@ -79,12 +79,12 @@
   if (!reachesState(world, node)) return;
   const answered = (): void => {
     tryLead(world, node);
-    if (world.leader?.name === node.name && world.leader.stamp === node.leaderStamp)
+    if (world.leader?.name === node.name && world.leader.stamp === node.leaderRevision)
       takeLeadership(world, node);
     if (node.term !== world.term && world.term !== null) {
       node.term = world.term;
       node.part.setTerm(world.term);
-      node.words = new Map();
+      node.peerConfirmations = new Map();
     }
     node.confirmed = sent;
   };
@@ -127,10 +127,10 @@
   );
   const { leader } = world;
   if (leader === null || leader.name !== node.name || leader.incarnation !== incarnation) return;
-  if (leader.stamp === node.leaderStamp) return;
+  if (leader.stamp === node.leaderRevision) return;
   // without the guard nobody knows of a key that was written late
   if (world.without === "adopt" && written !== true) return;
-  node.leaderStamp = leader.stamp;
+  node.leaderRevision = leader.stamp;
   node.scheduler = null;
 }
 
@@ -145,7 +145,7 @@
   if (!fresh) {
     // also a term of its own that was written late
     const { term } = world;
-    if (node.scheduler!.term !== term && term!.leaderRevision === node.leaderStamp)
+    if (node.scheduler!.term !== term && term!.leaderRevision === node.leaderRevision)
       node.scheduler!.renewTerm(term!, instant(world.now));
     return;
   }
@@ -161,7 +161,7 @@
       ...(world.shards === null ? {} : { ownership: world.shards.ownership }),
     },
     world.term!,
-    node.leaderStamp,
+    node.leaderRevision,
     instant(world.now),
   );
   for (const [id, record] of world.records) {
@@ -176,14 +176,14 @@
   }
   for (const { spec, accepted } of node.view.waiting.values()) scheduler.waitingSeen(spec, instant(accepted));
   for (const [id, rows] of world.stored) for (const set of rows.values()) scheduler.stored(id, set.ranges());
-  node.pending.clear();
+  node.pendingCommands.clear();
   node.scheduler = scheduler;
 }
 
 /** Writes the next term; without an answer the old one goes on, until the node sees what became of it. */
 export function writeTerm(world: WorldState, node: Node, members: TermRecord["members"]): boolean {
   const old = world.term;
-  const { leaderStamp } = node;
+  const { leaderRevision: leaderStamp } = node;
   const term: TermRecord = {
     number: (old?.number ?? 0) + 1,
     leaderRevision: leaderStamp,
@@ -203,7 +203,7 @@
   if (written !== true) return false;
   node.term = term;
   node.part.setTerm(term);
-  node.words = new Map();
+  node.peerConfirmations = new Map();
   node.confirmed = null;
   node.nextRenew = world.now;
   return true;
--- a/test/model/heartbeats.ts
+++ b/test/model/heartbeats.ts
@@ -21,7 +21,7 @@
   const node = to ?? world.nodes[Math.floor(world.extra() * world.nodes.length)]!;
   const run = whenAwake(world, node, () => {
     if (!node.alive) return;
-    const earlier = heartbeat.workerEpoch < worker.session;
+    const earlier = heartbeat.workerEpoch < worker.workerEpoch;
     world.count(earlier ? "copies from an earlier session" : "copies after newer ones");
     if (isOutlived(world, heartbeat)) world.count("copies with an earlier attempt");
     // without the guard the copy counts as new
@@ -30,7 +30,12 @@
       world,
       node,
       believed
-        ? { ...heartbeat, workerEpoch: worker.session, sequence: ++worker.seq, fencingToken: worker.token }
+        ? {
+            ...heartbeat,
+            workerEpoch: worker.workerEpoch,
+            sequence: ++worker.sequence,
+            fencingToken: worker.fencingToken,
+          }
         : heartbeat,
     );
   });
@@ -54,7 +59,7 @@
 export function deliverHeartbeat(world: WorldState, node: Node, heartbeat: Heartbeat): HeartbeatAnswer {
   const isOver = (job: string): boolean => {
     const commit = world.commits.get(job);
-    return world.without !== "cancel" && commit !== undefined && commit.at < (node.read ?? -1);
+    return world.without !== "cancel" && commit !== undefined && commit.at < (node.jobsReadAt ?? -1);
   };
   return node.part.handleHeartbeat(
     heartbeat,
--- a/test/model/job-releases.ts
+++ b/test/model/job-releases.ts
@@ -26,7 +26,7 @@
     all = true;
     view.lookedAtAll = host.now();
     deleteUselessSets(pipelines, node);
-    if (!host.without("join")) for (const id of view.waiting.keys()) view.changed.add(id);
+    if (!host.isWithoutGuard("join")) for (const id of view.waiting.keys()) view.changed.add(id);
   }
   const some = [...view.changed];
   view.changed.clear();
@@ -36,7 +36,7 @@
 /** Sets of jobs that are over: an earlier version left them, or whoever committed the job didn't know of them. */
 export function deleteUselessSets<N extends Process>(pipelines: WaitingJobs<N>, node: N): void {
   const { host, versions } = pipelines;
-  if (!host.reaches(node) || host.without("useless")) return;
+  if (!host.reaches(node) || host.isWithoutGuard("useless")) return;
   for (const id of node.view.fanins.keys()) {
     if (node.view.isUnfinished(id) || !pipelines.fanins.delete(id)) continue;
     if (versions.leftSets.delete(id)) host.count("sets of the earlier version deleted");
@@ -140,32 +140,32 @@
   // somebody else's add came first
   let isOther = false;
   const attempts = (): boolean =>
-    pipelines.fanins.get(id)?.stamp === set.stamp &&
-    pipelines.waiting.get(id)?.stamp === job.stamp &&
+    pipelines.fanins.get(id)?.revision === set.revision &&
+    pipelines.waiting.get(id)?.revision === job.revision &&
     !host.commits.has(id);
   pipelines.transact(
     node,
     (late) => {
-      if (host.without("filling") || attempts()) return true;
+      if (host.isWithoutGuard("filling") || attempts()) return true;
       if (late) host.count("late joins refused");
-      isOther = pipelines.fanins.get(id)?.stamp !== set.stamp;
+      isOther = pipelines.fanins.get(id)?.revision !== set.revision;
       return false;
     },
     () => {
-      stamp = host.nextStamp();
+      stamp = host.nextRevision();
       host.count("joins");
       if (all && isLost) host.count("lost joins found again");
-      pipelines.fanins.set(id, { ...next, stamp });
+      pipelines.fanins.set(id, { ...next, revision: stamp });
       if (!next.released) return;
       host.count("releases");
       if (host.commits.has(id)) host.broke("went_back", `${id}: over, then released at ${host.now()}`);
-      pipelines.release(id, { ...row, stamp });
+      pipelines.release(id, { ...row, revision: stamp });
       pipelines.waiting.delete(id);
     },
     (ok) => {
       if (ok === true) {
-        view.putFanin(id, { ...next, stamp });
-        if (next.released) view.put(id, { ...row, stamp });
+        view.putFanin(id, { ...next, revision: stamp });
+        if (next.released) view.put(id, { ...row, revision: stamp });
         return end();
       }
       if (ok === null) return end();
--- a/test/model/job-status.ts
+++ b/test/model/job-status.ts
@@ -1,7 +1,7 @@
 /**
  * Answers about jobs: what a process knows, checked against the commits in the state service.
  */
-import { type View, type Process, type Standing } from "./job-views.js";
+import { type View, type Process, type JobStatus } from "./job-views.js";
 import { type WaitingJobs } from "./waiting-jobs.js";
 
 /** The unfinished jobs before a waiting one, as far as this process knows them. */
@@ -10,7 +10,7 @@
   view: View,
   id: string,
 ): string[] {
-  if (pipelines.host.without("ancestors") || !view.waiting.has(id)) return [];
+  if (pipelines.host.isWithoutGuard("ancestors") || !view.waiting.has(id)) return [];
   return view.waiters.ancestorsOf(id, (p) => view.finals.get(p) === "done");
 }
 
@@ -19,7 +19,7 @@
   pipelines: WaitingJobs<N>,
   node: N,
   id: string,
-  then: (standing: Standing | null) => void,
+  then: (standing: JobStatus | null) => void,
 ): void {
   const { host } = pipelines;
   const { view } = node;
@@ -31,7 +31,7 @@
     node,
     () => ({
       exists:
-        (!host.without("checked") && ids.some((x) => host.commits.has(x))) ||
+        (!host.isWithoutGuard("checked") && ids.some((x) => host.commits.has(x))) ||
         (!known && (host.jobs.has(id) || (node.version === "new" && pipelines.waiting.has(id)))),
     }),
     (answer) => {
@@ -43,10 +43,10 @@
       // it ended in the meantime, or more was heard of what it waits for
       if (row === undefined) return readJob(pipelines, node, id, then);
       const isNews = (p: string): boolean =>
-        !ids.includes(p) || (!view.isUnfinished(p) && !host.without("unheard"));
+        !ids.includes(p) || (!view.isUnfinished(p) && !host.isWithoutGuard("unheard"));
       if (job === undefined && knownAncestors(pipelines, view, id).some(isNews))
         return readJob(pipelines, node, id, then);
-      then({ kind: "open", stamp: row.stamp, waiting: job === undefined });
+      then({ kind: "open", stamp: row.revision, waiting: job === undefined });
     },
   );
 }
@@ -56,7 +56,7 @@
   pipelines: WaitingJobs<N>,
   node: N,
   id: string,
-  then: (standing: Standing | null) => void,
+  then: (standing: JobStatus | null) => void,
 ): void {
   const { host } = pipelines;
   const { view } = node;
@@ -83,7 +83,7 @@
       (row) => {
         if (row === undefined || view.isOver(id)) return commit(() => then({ kind: "absent" }));
         view.put(id, row);
-        then({ kind: "open", stamp: row.stamp, waiting: false });
+        then({ kind: "open", stamp: row.revision, waiting: false });
       },
     );
   // the commit first, then what a job is in the course of its life, one request after the other
@@ -93,7 +93,7 @@
       (row) => {
         if (row === undefined || view.isOver(id)) return job();
         view.putWaiting(id, row);
-        readWaitingJob(pipelines, node, id, row.stamp, new Map(), then);
+        readWaitingJob(pipelines, node, id, row.revision, new Map(), then);
       },
     ),
   );
@@ -106,13 +106,13 @@
   id: string,
   stamp: number,
   asked: Map<string, boolean>,
-  then: (standing: Standing | null) => void,
+  then: (standing: JobStatus | null) => void,
 ): void {
   const { host } = pipelines;
   const { view } = node;
   // released or over in the meantime: what comes before it is not known here any more
   if (!view.waiting.has(id)) return readJob(pipelines, node, id, then);
-  const isNews = (p: string): boolean => !host.without("overtaken") && view.isOver(p) !== asked.get(p);
+  const isNews = (p: string): boolean => !host.isWithoutGuard("overtaken") && view.isOver(p) !== asked.get(p);
   const parent = knownAncestors(pipelines, view, id).find((p) => !asked.has(p) || isNews(p));
   if (parent === undefined) return then({ kind: "open", stamp, waiting: true });
   asked.set(parent, view.isOver(parent));
@@ -127,7 +127,8 @@
           then(ok ? { kind: "final", outcome: "cancelled" } : null),
         );
       const goOn = (): void => readWaitingJob(pipelines, node, id, stamp, asked, then);
-      if (row.commit !== undefined || view.isUnfinished(parent) || host.without("unheard")) return goOn();
+      if (row.commit !== undefined || view.isUnfinished(parent) || host.isWithoutGuard("unheard"))
+        return goOn();
       // not heard of here yet: what it waits for itself counts as well
       pipelines.request(
         node,
--- a/test/model/job-views.ts
+++ b/test/model/job-views.ts
@@ -7,14 +7,14 @@
 
 export interface Row {
   readonly spec: JobSpec;
-  readonly stamp: number;
+  readonly revision: number;
   readonly accepted: number;
   readonly released: number;
 }
 export interface Fanin {
   readonly joined: readonly string[];
   readonly released: boolean;
-  readonly stamp: number;
+  readonly revision: number;
 }
 /** What the state service has of unfinished jobs at one moment. */
 export interface Snapshot {
@@ -57,7 +57,7 @@
     if (this.leadsAs !== null) this.changed.add(id);
   }
   putFanin(id: string, set: Fanin): void {
-    if ((this.fanins.get(id)?.stamp ?? -1) < set.stamp) this.fanins.set(id, set);
+    if ((this.fanins.get(id)?.revision ?? -1) < set.revision) this.fanins.set(id, set);
   }
   private dropWaiting(id: string): void {
     if (this.waiting.delete(id)) this.waiters.remove(id);
@@ -75,10 +75,11 @@
     for (const [id, set] of fanins) this.putFanin(id, set);
     for (const [id, row] of waiting) this.putWaiting(id, row);
     for (const [id, row] of jobs) this.put(id, row);
-    for (const [id, row] of [...this.jobs]) if (!jobs.has(id) && row.stamp <= revision) this.remove(id);
-    for (const [id, row] of [...this.waiting]) if (!waiting.has(id) && row.stamp <= revision) this.remove(id);
+    for (const [id, row] of [...this.jobs]) if (!jobs.has(id) && row.revision <= revision) this.remove(id);
+    for (const [id, row] of [...this.waiting])
+      if (!waiting.has(id) && row.revision <= revision) this.remove(id);
     for (const [id, set] of [...this.fanins])
-      if (!fanins.has(id) && set.stamp <= revision) this.fanins.delete(id);
+      if (!fanins.has(id) && set.revision <= revision) this.fanins.delete(id);
   }
 }
 /** A controller, as far as it matters here; another `view` is another process. */
@@ -102,13 +103,13 @@
   on(node: N, run: () => void): () => void;
   reaches(node: N): boolean;
   transact(node: N, attempts: (late: boolean) => boolean, apply: () => void): boolean | null;
-  nextStamp(): number;
+  nextRevision(): number;
   commit(id: string, outcome: Outcome): void;
   count(what: string): void;
   broke(rule: string, text: string): void;
   /** Since when there are no more troubles. */
   calmSince(): number | null;
-  without(
+  isWithoutGuard(
     guard:
       | "checked"
       | "release"
@@ -123,7 +124,7 @@
       | "early",
   ): boolean;
 }
-export type Standing =
+export type JobStatus =
   | { readonly kind: "final"; readonly outcome: Outcome }
   | { readonly kind: "open"; readonly stamp: number; readonly waiting: boolean }
   | { readonly kind: "absent" };
--- a/test/model/nodes.ts
+++ b/test/model/nodes.ts
@@ -22,7 +22,7 @@
   part: WorkerPartition;
   confirmed: Instant | null;
   /** The unfinished jobs as last read from the state service, when that was asked for, and up to which revision. */
-  read: Instant | null;
+  jobsReadAt: Instant | null;
   known: ReadonlyMap<string, Row>;
   knownUpTo: number;
   nextRead: number;
@@ -37,15 +37,15 @@
   aloneUntil: number;
   /** Stands still while its clocks run on: what comes waits and is handled on waking, before anything else. */
   frozenUntil: number;
-  pending: Map<number, { machine: string; orders: readonly Command[]; token: number; at: number }>;
+  pendingCommands: Map<number, { machine: string; orders: readonly Command[]; token: number; at: number }>;
   batches: number;
   scheduler: Scheduler | null;
-  leaderStamp: number;
+  leaderRevision: number;
   began: number;
-  mark: number;
-  markToken: number;
+  leaderClockMark: number;
+  leaderClockMarkTerm: number;
   nextSync: number;
-  words: Map<string, Instant>;
+  peerConfirmations: Map<string, Instant>;
 }
 
 /** A new process of a member, which knows nothing. */
@@ -60,7 +60,7 @@
     incarnation: 0,
     part,
     confirmed: null,
-    read: null,
+    jobsReadAt: null,
     known: new Map(),
     knownUpTo: 0,
     nextRead: world.now,
@@ -71,14 +71,14 @@
     stateCutUntil: 0,
     aloneUntil: 0,
     frozenUntil: 0,
-    pending: new Map(),
+    pendingCommands: new Map(),
     batches: 0,
     scheduler: null,
-    leaderStamp: 0,
+    leaderRevision: 0,
     began: world.now,
-    mark: -1,
-    markToken: 0,
+    leaderClockMark: -1,
+    leaderClockMarkTerm: 0,
     nextSync: world.now,
-    words: new Map(),
+    peerConfirmations: new Map(),
   };
 }
--- a/test/model/submissions.ts
+++ b/test/model/submissions.ts
@@ -3,7 +3,7 @@
  */
 import {
   type Process,
-  type Standing,
+  type JobStatus,
   CONDITIONS,
   OWN_CONDITIONS,
   ACCEPT_TRIES,
@@ -30,7 +30,7 @@
     if (parents === null) return pipelines.ask(node, spec.id);
     if (parents.some((p) => p.kind === "absent"))
       return host.broke("went_back", `${spec.id}: awaits an accepted job, refused at ${host.now()}`);
-    const isDone = (p: Standing): boolean => p.kind === "final" && p.outcome === "done";
+    const isDone = (p: JobStatus): boolean => p.kind === "final" && p.outcome === "done";
     const joined = awaits.filter((_, i) => isDone(parents[i]!));
     const doomed = parents.some((p) => p.kind === "final" && p.outcome === "cancelled");
     const open = awaits.flatMap((id, i) => {
@@ -43,10 +43,10 @@
     const before = new Set(open.flatMap((p) => (p.waiting ? knownAncestors(pipelines, view, p.id) : [])));
     const commits = [...before].slice(0, CONDITIONS - OWN_CONDITIONS - conditions.length);
     let isNew = true;
-    const row = { spec, stamp: 0, accepted: asked, released: host.now() };
+    const row = { spec, revision: 0, accepted: asked, released: host.now() };
     const unchanged = (): boolean =>
-      conditions.every((c) => (c.waiting ? pipelines.waiting : host.jobs).get(c.id)?.stamp === c.stamp) &&
-      (host.without("before") || !commits.some((p) => host.commits.has(p)));
+      conditions.every((c) => (c.waiting ? pipelines.waiting : host.jobs).get(c.id)?.revision === c.stamp) &&
+      (host.isWithoutGuard("before") || !commits.some((p) => host.commits.has(p)));
     pipelines.transact(
       node,
       () => {
@@ -56,14 +56,14 @@
         return isNew && unchanged();
       },
       () => {
-        const stamp = host.nextStamp();
-        row.stamp = stamp;
+        const stamp = host.nextRevision();
+        row.revision = stamp;
         if (doomed) return host.commit(spec.id, "cancelled");
         if (open.length === 0) return pipelines.release(spec.id, row);
         if (open.some((p) => host.commits.has(p.id)))
           host.count("children accepted while a parent committed");
         pipelines.waiting.set(spec.id, row);
-        pipelines.fanins.set(spec.id, { joined, released: false, stamp });
+        pipelines.fanins.set(spec.id, { joined, released: false, revision: stamp });
       },
       (ok) => {
         // without an answer it may have been accepted all the same
@@ -73,15 +73,19 @@
           host.count("children of cancelled jobs accepted");
           view.finals.set(spec.id, "cancelled");
           view.remove(spec.id);
-          return pipelines.told(spec.id, { kind: "final", outcome: "cancelled" }, asked);
+          return pipelines.receiveAnswer(spec.id, { kind: "final", outcome: "cancelled" }, asked);
         }
         if (open.length === 0) view.put(spec.id, row);
         else {
-          view.putFanin(spec.id, { joined, released: false, stamp: row.stamp });
+          view.putFanin(spec.id, { joined, released: false, revision: row.revision });
           view.putWaiting(spec.id, row);
         }
         host.count(open.length === 0 ? "children of finished jobs accepted" : "waiting jobs accepted");
-        pipelines.told(spec.id, { kind: "open", stamp: row.stamp, waiting: open.length > 0 }, asked);
+        pipelines.receiveAnswer(
+          spec.id,
+          { kind: "open", stamp: row.revision, waiting: open.length > 0 },
+          asked,
+        );
       },
     );
   });
@@ -93,23 +97,23 @@
   node: N,
   awaits: readonly string[],
   stale: boolean,
-  then: (parents: Standing[] | null) => void,
+  then: (parents: JobStatus[] | null) => void,
 ): void {
   if (awaits.length === 0) return then([]);
   const { view } = node;
-  const found = new Map<string, Standing | null>();
-  const set = (id: string, standing: Standing | null): void => {
+  const found = new Map<string, JobStatus | null>();
+  const set = (id: string, standing: JobStatus | null): void => {
     found.set(id, standing);
     if (found.size < awaits.length) return;
     const all = awaits.map((p) => found.get(p) ?? null);
-    then(all.includes(null) ? null : (all as Standing[]));
+    then(all.includes(null) ? null : (all as JobStatus[]));
   };
   for (const id of awaits) {
     const outcome = view.finals.get(id);
     const isHeardOf = knownAncestors(pipelines, view, id).every((p) => view.isUnfinished(p));
     const row = stale || !isHeardOf ? undefined : (view.jobs.get(id) ?? view.waiting.get(id));
     if (outcome !== undefined) set(id, { kind: "final", outcome });
-    else if (row !== undefined) set(id, { kind: "open", stamp: row.stamp, waiting: !view.jobs.has(id) });
+    else if (row !== undefined) set(id, { kind: "open", stamp: row.revision, waiting: !view.jobs.has(id) });
     else readJob(pipelines, node, id, (standing) => set(id, standing));
   }
 }
@@ -127,12 +131,12 @@
   readJob(pipelines, node, id, (standing) => {
     if (standing?.kind === "final" && standing.outcome === "done")
       host.count("cancels that met the job's end");
-    if (standing?.kind !== "open") return pipelines.told(id, standing, asked);
+    if (standing?.kind !== "open") return pipelines.receiveAnswer(id, standing, asked);
     const { stamp, waiting } = standing;
     const { version } = node;
     pipelines.transact(
       node,
-      () => !host.commits.has(id) && (waiting ? pipelines.waiting : host.jobs).get(id)?.stamp === stamp,
+      () => !host.commits.has(id) && (waiting ? pipelines.waiting : host.jobs).get(id)?.revision === stamp,
       () => {
         host.count(waiting ? "waiting jobs called off" : "released jobs called off");
         pipelines.cancelled(id, version);
@@ -145,7 +149,7 @@
         if (ok !== true) return;
         node.view.finals.set(id, "cancelled");
         node.view.remove(id);
-        pipelines.toldOver(id, "cancelled");
+        pipelines.receiveOutcome(id, "cancelled");
       },
     );
   });
--- a/test/model/users-questions.ts
+++ b/test/model/users-questions.ts
@@ -4,7 +4,7 @@
  */
 
 /** The moments after which users look closely. */
-export type Told = "accepted" | "done" | "cancelled";
+export type AnsweredAs = "accepted" | "done" | "cancelled";
 
 /** What close looks need of the users' side of the model. */
 export interface UserRequests<N> {
@@ -27,7 +27,7 @@
 
   constructor(private readonly requests: UserRequests<N>) {}
 
-  told(id: string, what: Told): void {
+  answered(id: string, what: AnsweredAs): void {
     const { requests } = this;
     if (this.share === 0 || requests.draw() >= this.share) return;
     requests.count(`close looks after ${what}`);
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -64,7 +64,7 @@
 
 /** A new record of a job. */
 export function newRow(world: WorldState, spec: JobSpec): Row {
-  return { spec, stamp: ++world.revision, accepted: world.now, released: world.now };
+  return { spec, revision: ++world.revision, accepted: world.now, released: world.now };
 }
 
 /** A user calls a job off, and is told that it is over; says on how many machines it was. */
@@ -72,7 +72,7 @@
   if (!world.jobs.has(id) || world.now < world.stateDownUntil) return 0;
   const on = workersRunning(world, id).length;
   commitJob(world, id, "cancelled");
-  world.pipelines.toldOver(id, "cancelled", true);
+  world.pipelines.receiveOutcome(id, "cancelled", true);
   if (world.lateWrites > 0 && world.extra() < world.lateWrites)
     carryOutLate(
       world,
--- a/test/model/waiting-jobs.ts
+++ b/test/model/waiting-jobs.ts
@@ -10,7 +10,7 @@
   type View,
   type Process,
   type Host,
-  type Standing,
+  type JobStatus,
   PATIENCE_MS,
   ASK_EVERY_MS,
 } from "./job-views.js";
@@ -30,7 +30,7 @@
   /** Jobs that users have sent, those that they were told are accepted and when, and those that they called off. */
   readonly sent = new Map<string, JobSpec>();
   readonly accepted = new Map<string, number>();
-  readonly calledOff = new Set<string>();
+  readonly cancelRequested = new Set<string>();
   /** The final answers, and when the first of them came. */
   readonly answers = new Map<string, { outcome: Outcome; at: number }>();
   nextAsk = 0;
@@ -55,7 +55,7 @@
     const { host, waiting, fanins } = this;
     if (version === "new")
       return { jobs: new Map(host.jobs), waiting: new Map(waiting), fanins: new Map(fanins), revision };
-    const jobs = new Map(host.without("listed") ? [...waiting, ...host.jobs] : host.jobs);
+    const jobs = new Map(host.isWithoutGuard("listed") ? [...waiting, ...host.jobs] : host.jobs);
     return { jobs, waiting: new Map(), fanins: new Map(), revision };
   }
 
@@ -72,7 +72,7 @@
     host.after(PATIENCE_MS, () => this.send(spec));
   }
   maySend(spec: JobSpec): boolean {
-    const isOpen = this.versions.pipelinesOpen || this.host.without("early");
+    const isOpen = this.versions.pipelinesOpen || this.host.isWithoutGuard("early");
     return spec.dependsOn.every((p) => isOpen && (!this.sent.has(p) || this.accepted.has(p)));
   }
   sendOnce(spec: JobSpec): void {
@@ -152,21 +152,21 @@
   }
 
   /** A user was told that his job is over. */
-  toldOver(id: string, outcome: Outcome, byUser = false): void {
+  receiveOutcome(id: string, outcome: Outcome, byUser = false): void {
     const { host } = this;
-    if (byUser) this.calledOff.add(id);
+    if (byUser) this.cancelRequested.add(id);
     const before = this.answers.get(id);
     if (before !== undefined && before.outcome !== outcome)
       host.broke("went_back", `${id}: ${before.outcome}, then ${outcome} at ${host.now()}`);
     if (before === undefined) {
       this.answers.set(id, { outcome, at: host.now() });
-      if (this.sent.has(id)) this.closeLooks.told(id, outcome);
+      if (this.sent.has(id)) this.closeLooks.answered(id, outcome);
     }
-    if (outcome === "cancelled" && !this.calledOff.has(id) && !this.isDoomed(id))
+    if (outcome === "cancelled" && !this.cancelRequested.has(id) && !this.isDoomed(id))
       host.broke("went_back", `${id}: cancelled by nobody at ${host.now()}`);
-    if (this.sent.has(id)) this.isKnown(id);
+    if (this.sent.has(id)) this.markAccepted(id);
   }
-  toldOpen(id: string, asked: number): void {
+  receiveUnfinished(id: string, asked: number): void {
     const { host } = this;
     const before = this.answers.get(id);
     if (before !== undefined && before.at < asked)
@@ -176,22 +176,22 @@
       if (told?.outcome === "cancelled" && host.now() > told.at + host.cancelMs)
         host.broke("orphaned", `${id}, ${ancestor} was cancelled at ${told.at}, now ${host.now()}`);
     }
-    this.isKnown(id);
+    this.markAccepted(id);
   }
-  isKnown(id: string): void {
+  markAccepted(id: string): void {
     if (this.accepted.has(id)) return;
     this.accepted.set(id, this.host.now());
-    if (!this.answers.has(id)) this.closeLooks.told(id, "accepted");
+    if (!this.answers.has(id)) this.closeLooks.answered(id, "accepted");
   }
-  told(id: string, standing: Standing | null, asked: number): void {
+  receiveAnswer(id: string, standing: JobStatus | null, asked: number): void {
     const { host } = this;
     // nobody waits for it any more
     if (standing === null || host.now() > asked + PATIENCE_MS) return;
     if (standing.kind !== "absent" && !this.sent.has(id) && !host.commits.has(id) && !host.jobs.has(id))
       host.broke("invented", `${id}: nobody submitted it, at ${host.now()}`);
     this.questions.answeredNow(id, host.now());
-    if (standing.kind === "final") this.toldOver(id, standing.outcome);
-    else if (standing.kind === "open") this.toldOpen(id, asked);
+    if (standing.kind === "final") this.receiveOutcome(id, standing.outcome);
+    else if (standing.kind === "open") this.receiveUnfinished(id, asked);
     else if ((this.accepted.get(id) ?? Infinity) < asked)
       host.broke("went_back", `${id}: accepted, then unknown at ${host.now()}`);
   }
@@ -248,7 +248,7 @@
   /** A user asks about a job. */
   ask(node: N, id: string): void {
     const asked = this.host.now();
-    readStatus(this, node, id, (standing) => this.told(id, standing, asked));
+    readStatus(this, node, id, (standing) => this.receiveAnswer(id, standing, asked));
   }
   cancelled(id: string, by: Version): void {
     this.host.commit(id, "cancelled");
@@ -270,7 +270,7 @@
   /** A user calls a job off, through any node, until he is answered. */
   cancel(id: string): void {
     if (this.answers.has(id)) return;
-    this.calledOff.add(id);
+    this.cancelRequested.add(id);
     const node = this.anyNode();
     this.host.after(
       this.host.delay(),
--- a/test/model/workers.ts
+++ b/test/model/workers.ts
@@ -22,10 +22,10 @@
 
 /** A simulated worker on its machine. */
 export class Worker {
-  session = 1;
-  seq = 0;
-  token = 0;
-  answeredSent: number;
+  workerEpoch = 1;
+  sequence = 0;
+  fencingToken = 0;
+  leaseRenewedAt: number;
   gone = false;
   goneAt = 0;
   hungUntil = 0;
@@ -35,7 +35,7 @@
   /** Its reports reach nobody, but direct orders reach it. */
   muteUntil = 0;
   node = 0;
-  nextReport: number;
+  nextHeartbeatAt: number;
   readonly tasks = new Map<string, WorkerTask>();
   constructor(
     readonly id: string,
@@ -44,8 +44,8 @@
     readonly up: number,
     readonly cpus: number,
   ) {
-    this.answeredSent = up;
-    this.nextReport = up;
+    this.leaseRenewedAt = up;
+    this.nextHeartbeatAt = up;
   }
 }
 
@@ -74,9 +74,9 @@
     type: worker.record.type,
     zone: worker.record.zone,
     spot: worker.record.spot,
-    workerEpoch: worker.session,
-    sequence: ++worker.seq,
-    fencingToken: worker.token,
+    workerEpoch: worker.workerEpoch,
+    sequence: ++worker.sequence,
+    fencingToken: worker.fencingToken,
     reclaimNoticeSeconds: null,
     tasks: [...worker.tasks.values()].map((t) => ({ ...t })),
   };
@@ -85,10 +85,10 @@
 /** One step of a worker: its tasks go on, and it sends a heartbeat when one is due. */
 export function stepWorker(world: WorldState, worker: Worker): void {
   if (worker.gone || world.now < worker.up) return;
-  if (world.now - worker.answeredSent > Duration.toMillis(TIMINGS.workerLease)) {
+  if (world.now - worker.leaseRenewedAt > Duration.toMillis(TIMINGS.workerLease)) {
     worker.tasks.clear();
-    worker.session++;
-    worker.answeredSent = world.now;
+    worker.workerEpoch++;
+    worker.leaseRenewedAt = world.now;
   }
   // a hanging machine goes on within its lease or not at all
   if (world.now < worker.hungUntil) return;
@@ -118,15 +118,15 @@
       }
     }
   }
-  if (world.now < worker.nextReport || world.now < worker.cutUntil) return;
-  worker.nextReport = world.now + 1000;
+  if (world.now < worker.nextHeartbeatAt || world.now < worker.cutUntil) return;
+  worker.nextHeartbeatAt = world.now + 1000;
   const sent = world.now;
   if (world.now < worker.muteUntil) {
     worker.node++;
     return;
   }
   const heartbeat = newHeartbeat(worker);
-  if (world.lateReports > 0 && world.extra() < world.lateReports) {
+  if (world.lateHeartbeats > 0 && world.extra() < world.lateHeartbeats) {
     const lease = Duration.toMillis(TIMINGS.workerLease);
     deliverCopy(world, worker, heartbeat, world.now + 2000 + world.extra() * (2.5 * lease - 2000), null);
   }
@@ -163,11 +163,12 @@
       const { fencingToken, stopCommands } = answer;
       const workerEpoch = heartbeat.workerEpoch;
       sendLater(world, () => {
-        if (world.now < Math.max(worker.cutUntil, worker.deafUntil) || worker.session !== workerEpoch) return;
+        if (world.now < Math.max(worker.cutUntil, worker.deafUntil) || worker.workerEpoch !== workerEpoch)
+          return;
         if (areZonesApart(world, node.zone, worker.record.zone)) return;
-        if (fencingToken < worker.token || world.now - sent > 4000) return;
+        if (fencingToken < worker.fencingToken || world.now - sent > 4000) return;
         executeCommands(world, worker, fencingToken, workerEpoch, stopCommands);
-        worker.answeredSent = Math.max(worker.answeredSent, sent);
+        worker.leaseRenewedAt = Math.max(worker.leaseRenewedAt, sent);
       });
     }),
   );
@@ -181,8 +182,8 @@
   workerEpoch: number,
   commands: readonly Command[],
 ): boolean {
-  if (token < worker.token || workerEpoch !== worker.session) return false;
-  worker.token = token;
+  if (token < worker.fencingToken || workerEpoch !== worker.workerEpoch) return false;
+  worker.fencingToken = token;
   for (const command of commands) {
     const key = `${command.job}/${command.index}#${command.attempt}`;
     const task = worker.tasks.get(key);
--- a/test/model/world-state.ts
+++ b/test/model/world-state.ts
@@ -35,12 +35,12 @@
   /** Jobs that were submitted with a mistake: each of their tasks fails on every machine. */
   readonly failing = new Set<string>();
   /** Share of direct orders that are carried out 2 to 16 s late, unanswered. */
-  lateOrders = 0;
+  lateCommands = 0;
   teams: readonly Team[] = TEAMS;
   /** Share of heartbeats of which a copy arrives again, 2 s to 2.5 leases later. */
-  lateReports = 0;
+  lateHeartbeats = 0;
   /** Share of direct orders that are held up on their way, or whose answers are. */
-  heldOrders = 0;
+  delayedCommands = 0;
   /** Share of jobs that are called off at the very end of their last task. */
   cancelsAtEnd = 0;
   /** Share of commits of jobs that others wait for after which the leader ends, before it joins anything. */
@@ -133,12 +133,12 @@
       on: (node, run) => whenAwake(this, node, run),
       reaches: (node) => reachesState(this, node),
       transact: (node, attempts, apply) => transact(this, node, attempts, apply),
-      nextStamp: () => ++this.revision,
+      nextRevision: () => ++this.revision,
       commit: (id, outcome) => commitJob(this, id, outcome),
       count: (what) => this.count(what),
       broke: (rule, text) => void this.broken.push({ rule, text }),
       calmSince: () => this.calmSince,
-      without: (guard) => this.without === guard,
+      isWithoutGuard: (guard) => this.without === guard,
     });
   }
 
--- a/test/model/world.ts
+++ b/test/model/world.ts
@@ -82,7 +82,7 @@
     return spec.id;
   }
   /** A user calls a job off, or sends it once more, through any node. */
-  callOff(id: string): void {
+  cancelThroughNode(id: string): void {
     this.pipelines.cancel(id);
   }
   repeat(id: string): void {
@@ -253,7 +253,7 @@
     return sum;
   }
   /** The heartbeats that all machines with tasks send now are held back; they arrive at whoever leads when it is called. */
-  holdReports(): () => number {
+  holdBackHeartbeats(): () => number {
     const held: [Worker, Heartbeat][] = [];
     for (const worker of this.workers.values())
       if (!worker.gone && this.now >= worker.up && worker.tasks.size > 0)
@@ -266,7 +266,7 @@
     };
   }
   /** The heartbeats of all machines are held back; they arrive at every controller when it is called. */
-  holdReportsForAll(): () => number {
+  holdBackAllHeartbeats(): () => number {
     const held: [Worker, Heartbeat][] = [];
     for (const worker of this.workers.values())
       if (!worker.gone && this.now >= worker.up) held.push([worker, newHeartbeat(worker)]);
@@ -313,7 +313,7 @@
       if (!leader.known.has(id) || this.random() < 0.3) continue;
       if (workersRunning(this, id).length > 0) met++;
       commitJob(this, id, "cancelled");
-      this.pipelines.toldOver(id, "cancelled", true);
+      this.pipelines.receiveOutcome(id, "cancelled", true);
     }
     this.run(outage);
     beginOutage(this, Duration.toMillis(TIMINGS.cancelDeadline) + 5000);
@@ -327,11 +327,11 @@
     this.calmSince ??= this.now;
     this.lateWrites = 0;
     this.lostAnswers = 0;
-    this.lateOrders = 0;
+    this.lateCommands = 0;
     this.quickBoots = false;
     this.closeLooks = 0;
-    this.lateReports = 0;
-    this.heldOrders = 0;
+    this.lateHeartbeats = 0;
+    this.delayedCommands = 0;
     this.cancelsAtEnd = 0;
     this.endsAfterCommit = 0;
     this.slowLinksMs = 0;
--- a/test/pipeline-rules.test.ts
+++ b/test/pipeline-rules.test.ts
@@ -78,7 +78,7 @@
       for (let i = 0; i < 3; i++) {
         const jobs = [...chain(world, 4), ...diamond(world, 3), ...fan(world, 6)];
         world.wait(3000 + (seed % 4) * 1000);
-        for (const [n, id] of jobs.entries()) if ((n + i + seed) % 6 === 0) world.callOff(id);
+        for (const [n, id] of jobs.entries()) if ((n + i + seed) % 6 === 0) world.cancelThroughNode(id);
         world.wait(5000);
         world.endLeader(300);
         world.wait(6000);
@@ -103,7 +103,7 @@
         for (const [n, [first, last]] of (jobs as [string, string][]).entries()) {
           if (!world.until(() => world.finished([first]) >= 2, 15_000)) continue;
           world.wait(((seed + n) % 4) * 150);
-          world.callOff(last);
+          world.cancelThroughNode(last);
         }
         world.wait(2500);
       }
@@ -124,7 +124,7 @@
       for (let i = 0; i < 4; i++) {
         const jobs = Array.from({ length: 4 }, () => chain(world, 3, 1000));
         for (const [first] of jobs as [string, string][])
-          if (world.until(() => world.finished([first]) >= 2, 15_000)) world.callOff(first);
+          if (world.until(() => world.finished([first]) >= 2, 15_000)) world.cancelThroughNode(first);
         world.wait(6000);
       }
     },
@@ -150,7 +150,7 @@
         }
         world.until(() => world.outcome(first) !== null, 15_000);
         after(world, [first]);
-        world.callOff(off);
+        world.cancelThroughNode(off);
         world.until(() => world.outcome(off) !== null, 10_000);
         const child = after(world, [first, off]);
         accepted(world, [child]);
@@ -198,7 +198,7 @@
         world.wait(2000);
         // nobody is there to pass it on when the user is told
         if (seed % 3 === 0) world.endLeader(6000);
-        world.callOff(jobs[0]!);
+        world.cancelThroughNode(jobs[0]!);
         if (!world.until(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
         if (world.isWaiting(jobs[2]!)) world.note("outages before a cancel was passed on");
         world.outage(CANCEL + 2000 + (seed % 4) * 1000).wait(CANCEL + 15_000);
@@ -223,7 +223,7 @@
         accepted(world, jobs.slice(1));
         world.wait(2000);
         if (seed % 3 === 0) world.endLeader(6000);
-        world.callOff(jobs[0]!);
+        world.cancelThroughNode(jobs[0]!);
         if (!world.until(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
         world.outage(CANCEL + 2000 + (seed % 4) * 1000);
         for (let n = 0; n < 6; n++) jobs.push(after(world, [jobs[2]!]));
@@ -246,7 +246,7 @@
         world.wait(4000);
         if (i % 2 === 1) world.cutLeader(8000, seed % 2 === 0);
         else world.endLeader(seed % 2 === 0 ? 200 : 5000);
-        world.callOff(jobs[(seed + i) % jobs.length]!);
+        world.cancelThroughNode(jobs[(seed + i) % jobs.length]!);
         if (i === 2) world.outage(6000);
         world.wait(7000);
       }
