--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -4,7 +4,7 @@
 import { TaskStarter } from "../src/core/placement/task-starter.js";
 import { attemptOf, ATTEMPTS_PER_TERM } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
-import { EAST, Scene } from "./scene.js";
+import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 
 const termOf = (number: number) => ({ number: number, leaderRevision: 10, leader: "a", members: [] });
@@ -29,9 +29,9 @@
 });
 
 test("a leader whose numbers run out asks for a new term, and goes on under it", () => {
-  const scene = new Scene(EAST);
-  scene.step();
-  assert.equal(scene.s.needsNewTerm, false);
+  const fixture = new ClusterFixture(EAST);
+  fixture.step();
+  assert.equal(fixture.s.needsNewTerm, false);
   const { nextAttempt } = TaskStarter.prototype;
   const numbers: number[] = [];
   TaskStarter.prototype.nextAttempt = function (this: TaskStarter) {
@@ -41,13 +41,13 @@
     return numbers.at(-1)!;
   };
   try {
-    scene.s.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
-    scene.step();
-    assert.equal(scene.s.needsNewTerm, true);
-    scene.s.renewTerm({ ...scene.s.term, number: 2 }, instant(scene.now));
-    scene.s.jobSeen(spec({ id: "req-000002", tasks: 1 }), 21, instant(scene.now));
-    for (let i = 0; i < 4; i++) scene.step();
-    assert.equal(scene.s.needsNewTerm, false);
+    fixture.s.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
+    fixture.step();
+    assert.equal(fixture.s.needsNewTerm, true);
+    fixture.s.renewTerm({ ...fixture.s.term, number: 2 }, instant(fixture.now));
+    fixture.s.jobSeen(spec({ id: "req-000002", tasks: 1 }), 21, instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    assert.equal(fixture.s.needsNewTerm, false);
     assert.equal(numbers.at(-1), attemptOf(2, 1));
     assert.equal(new Set(numbers).size, 2);
   } finally {
--- a/test/scene.ts
+++ b/test/cluster-fixture.ts
@@ -7,7 +7,7 @@
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
 
 /** A scheduler with small machines (8 processors each) that execute and report at once. */
-export class Scene {
+export class ClusterFixture {
   now = 1000;
   readonly s: Scheduler;
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
--- /dev/null
+++ b/test/fakes/fake-server.ts
@@ -0,0 +1,53 @@
+/** What the fakes of outside systems share: an HTTP server on loopback that answers JSON. */
+import http from "node:http";
+import type { AddressInfo } from "node:net";
+
+/** A JSON object, as sent on the wire. */
+export type Json = Record<string, unknown>;
+
+/** The JSON body of a request; an empty body is an empty object. */
+export const readJson = async (request: http.IncomingMessage): Promise<Json> => {
+  const chunks: Buffer[] = [];
+  for await (const chunk of request) chunks.push(chunk as Buffer);
+  const text = Buffer.concat(chunks).toString("utf8");
+  return text === "" ? {} : (JSON.parse(text) as Json);
+};
+
+/** A request with a connection of its own; null: no answer. */
+export const post = (url: string, text: string): Promise<{ status: number; text: string } | null> =>
+  new Promise((done) => {
+    const request = http.request(url, { method: "POST", agent: false, timeout: 4000 }, (response) => {
+      const chunks: Buffer[] = [];
+      response.on("data", (chunk: Buffer) => chunks.push(chunk));
+      response.on("end", () =>
+        done({ status: response.statusCode ?? 0, text: Buffer.concat(chunks).toString() }),
+      );
+      response.on("error", () => done(null));
+    });
+    request.on("timeout", () => request.destroy());
+    request.on("error", () => done(null));
+    request.end(text);
+  });
+
+/** An outside system over real HTTP on loopback; a subclass says what each request is answered. */
+export abstract class FakeServer {
+  readonly server: http.Server;
+  addr = "";
+  constructor() {
+    this.server = http.createServer((request, response) => {
+      void this.handle(request).then(([status, value]) => {
+        const text = JSON.stringify(value);
+        response.writeHead(status, { "content-type": "application/json" }).end(text);
+      });
+    });
+  }
+  abstract handle(request: http.IncomingMessage): Promise<[number, unknown]>;
+  async start(): Promise<void> {
+    await new Promise<void>((done) => this.server.listen(0, "127.0.0.1", done));
+    this.addr = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
+  }
+  stop(): void {
+    this.server.closeAllConnections();
+    this.server.close();
+  }
+}
--- a/test/recount.ts
+++ b/test/invariant-checker.ts
@@ -1,11 +1,11 @@
-/** Checks the core's indices against a recount of the whole picture. */
+/** Checks the core's indices against a checkInvariants of the whole picture. */
 import assert from "node:assert/strict";
 import { type Cluster, type TaskAttempt, occupiesCapacity } from "../src/core/cluster/cluster.js";
 import { RANK } from "../src/core/records.js";
 
 const ids = (set: Iterable<{ id: string }>): string[] => [...set].map((m) => m.id).sort();
 
-export const recount = (c: Cluster): void => {
+export const checkInvariants = (c: Cluster): void => {
   const machines = [...c.machines.values()];
   const where = (test: (machine: (typeof machines)[number]) => boolean): string[] =>
     ids(machines.filter(test));
--- a/test/limits-service.test.ts
+++ b/test/limits-service.test.ts
@@ -3,7 +3,9 @@
 import type { ChildProcess } from "node:child_process";
 import { after, before, test } from "node:test";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn, WorkerStandIn } from "./standins.js";
+import { FakeCloud as CloudStandIn } from "./fakes/fake-cloud.js";
+import { FakeStateService as StateStandIn } from "./fakes/fake-state-service.js";
+import { FakeWorker as WorkerStandIn } from "./fakes/fake-worker.js";
 
 const LIVE = 20;
 const LATER = { valueKb: 2, txnOps: 5 };
--- a/test/loopback-cluster.ts
+++ b/test/loopback-cluster.ts
@@ -6,7 +6,8 @@
 import { join } from "node:path";
 import type { ListedShard, ShardListing } from "../src/service/shards/shard-operator.js";
 import { freePort, MAIN, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn } from "./standins.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
 /** The controllers' names. */
 export const NAMES = ["north", "south", "inland"] as const;
@@ -29,8 +30,8 @@
 
 /** The controllers, the state service, the cloud with its workers, and a user. */
 export class LoopbackCluster {
-  readonly state = new StateStandIn();
-  readonly cloud = new CloudStandIn(() =>
+  readonly state = new FakeStateService();
+  readonly cloud = new FakeCloud(() =>
     [...this.controllers].map(([name, { front }]) => `${name}=${front}`).join(","),
   );
   private readonly controllers = new Map<Name, Controller>();
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -13,7 +13,7 @@
 import { Membership } from "../src/service/members/membership.js";
 import { JobCache } from "../src/service/job-cache.js";
 import { JobStatusReader } from "../src/service/api/job-status.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService as StateStandIn } from "./fakes/fake-state-service.js";
 
 const standIn = new StateStandIn();
 const log = makeLog("error", "test");
--- a/test/crowded.test.ts
+++ b/test/overload.test.ts
@@ -8,7 +8,8 @@
 import http from "node:http";
 import { after, before, test } from "node:test";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn } from "./standins.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
 const WORKERS = 4000;
 const MAX_CONNECTIONS = 2500;
@@ -20,8 +21,8 @@
 const ATTEMPT_EVERY_MS = 100;
 const NO_CONNECTION = 0;
 
-const state = new StateStandIn();
-const cloud = new CloudStandIn(() => front);
+const state = new FakeStateService();
+const cloud = new FakeCloud(() => front);
 let front = "";
 let child: ChildProcess | null = null;
 
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -29,7 +29,8 @@
 import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
 import { fromFragments } from "../src/service/members/update-relay.js";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn } from "./standins.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
 type Json = Record<string, unknown>;
 interface Write {
@@ -262,7 +263,7 @@
 
 // --- a process of this version on what the last landing left ----------------------------------------------------
 
-class RecordingState extends StateStandIn {
+class RecordingState extends FakeStateService {
   readonly transactions: Write[][] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
     const before = this.ledger;
@@ -300,7 +301,7 @@
 test("this version goes on from waiting jobs, sets and released jobs of the last landing", async () => {
   const state = new RecordingState();
   let front = "";
-  const cloud = new CloudStandIn(() => front);
+  const cloud = new FakeCloud(() => front);
   await state.start();
   await cloud.start();
   stops.push(
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Guard, World } from "./model.js";
-import { recount } from "./recount.js";
+import { checkInvariants as recount } from "./invariant-checker.js";
 
 const SEEDS = Array.from({ length: 24 }, (_, i) => 1000 + i);
 
--- a/test/scheduler.test.ts
+++ b/test/scheduler.test.ts
@@ -10,48 +10,48 @@
 import { instant } from "../src/core/time.js";
 import { ZoneWatch } from "../src/core/leases/zones.js";
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
-import { recount } from "./recount.js";
-import { EAST, Scene } from "./scene.js";
+import { checkInvariants } from "./invariant-checker.js";
+import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 
 test("a gang starts whole, with one attempt, and after a loss is taken down whole before the next", () => {
-  const scene = new Scene(EAST);
+  const fixture = new ClusterFixture(EAST);
   const gang = spec({ kind: "gang", tasks: 4, save: Duration.seconds(5), checkpoint: Duration.seconds(10) });
-  scene.s.jobSeen(gang, 20, instant(0));
-  scene.step();
-  const first = new Set(scene.live().map((task) => task.attempt));
-  assert.equal(scene.live().length, 4);
+  fixture.s.jobSeen(gang, 20, instant(0));
+  fixture.step();
+  const first = new Set(fixture.live().map((task) => task.attempt));
+  assert.equal(fixture.live().length, 4);
   assert.equal(first.size, 1);
   // one machine is gone for certain: its tasks with it
-  const lost = scene.sent[0]!.machine;
-  scene.tasks.get(lost)!.clear();
-  scene.s.releaseAnswered([lost], true, instant(scene.now));
-  scene.step();
-  assert.ok(scene.ops("stop") > 0);
-  assert.ok(scene.sent.filter((x) => x.order.op === "stop").every((x) => x.order.gracePeriodSeconds >= 5));
-  for (let i = 0; i < 4; i++) scene.step();
-  const second = new Set(scene.live().map((task) => task.attempt));
-  assert.equal(scene.live().length, 4);
+  const lost = fixture.sent[0]!.machine;
+  fixture.tasks.get(lost)!.clear();
+  fixture.s.releaseAnswered([lost], true, instant(fixture.now));
+  fixture.step();
+  assert.ok(fixture.ops("stop") > 0);
+  assert.ok(fixture.sent.filter((x) => x.order.op === "stop").every((x) => x.order.gracePeriodSeconds >= 5));
+  for (let i = 0; i < 4; i++) fixture.step();
+  const second = new Set(fixture.live().map((task) => task.attempt));
+  assert.equal(fixture.live().length, 4);
   assert.equal(second.size, 1);
   assert.notDeepEqual(first, second);
 });
 
 test("a gang that doesn't fit takes no place, and is not starved by smaller jobs", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ id: "req-000001", tasks: 6, image: "x" }), 20, instant(0));
-  scene.step();
-  assert.equal(scene.live().length, 6);
-  scene.s.jobSeen(spec({ id: "req-000002", kind: "gang", tasks: 6 }), 21, instant(scene.now));
-  for (let i = 0; i < 40; i++) scene.step();
-  scene.s.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(scene.now));
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ id: "req-000001", tasks: 6, image: "x" }), 20, instant(0));
+  fixture.step();
+  assert.equal(fixture.live().length, 6);
+  fixture.s.jobSeen(spec({ id: "req-000002", kind: "gang", tasks: 6 }), 21, instant(fixture.now));
+  for (let i = 0; i < 40; i++) fixture.step();
+  fixture.s.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
   for (const { id } of EAST) {
-    scene.end(id, "done");
-    scene.step();
-    scene.s.stored("req-000001", [[0, 6]]);
-    scene.step();
+    fixture.end(id, "done");
+    fixture.step();
+    fixture.s.stored("req-000001", [[0, 6]]);
+    fixture.step();
   }
-  scene.step();
-  const starts = scene.sent.filter((x) => x.order.op === "start").map((x) => x.order.job);
+  fixture.step();
+  const starts = fixture.sent.filter((x) => x.order.op === "start").map((x) => x.order.job);
   assert.deepEqual(new Set(starts.slice(0, 6)), new Set(["req-000001"]));
   assert.deepEqual(new Set(starts.slice(6, 12)), new Set(["req-000002"]));
 });
@@ -59,15 +59,15 @@
 test("together keeps a job in one zone, apart puts at most half of it into one", () => {
   const both = [...EAST, { id: "n-4", zone: "west" }, { id: "n-5", zone: "west" }];
   const zoneOf = new Map(both.map((m) => [m.id, m.zone]));
-  const zones = (scene: Scene, job: string): string[] =>
-    scene.sent
+  const zones = (fixture: ClusterFixture, job: string): string[] =>
+    fixture.sent
       .filter((x) => x.order.job === job && x.order.op === "start")
       .map((x) => zoneOf.get(x.machine)!);
-  const one = new Scene(both);
+  const one = new ClusterFixture(both);
   one.s.jobSeen(spec({ oneZone: true, tasks: 9 }), 20, instant(0));
   for (let i = 0; i < 5; i++) one.step();
   assert.equal(new Set(zones(one, "req-000001")).size, 1);
-  const two = new Scene(both);
+  const two = new ClusterFixture(both);
   two.s.jobSeen(spec({ spread: true, tasks: 5, cpus: 1 }), 20, instant(0));
   for (let i = 0; i < 5; i++) two.step();
   const started = zones(two, "req-000001");
@@ -76,37 +76,37 @@
 });
 
 test("an unanswered start is neither repeated elsewhere nor reaped until a higher token settles it", () => {
-  const scene = new Scene([{ id: "n-1", zone: "east" }]);
-  scene.s.jobSeen(spec({}), 20, instant(0));
-  scene.step(["n-1"]);
-  scene.s.recorded("n-2", { type: "small", zone: "east", spot: false, addr: "n-2" }, instant(scene.now));
-  scene.tasks.set("n-2", new Map());
-  for (let i = 0; i < 6; i++) scene.step(["n-1"]);
-  assert.equal(scene.ops("start"), 1);
+  const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
+  fixture.s.jobSeen(spec({}), 20, instant(0));
+  fixture.step(["n-1"]);
+  fixture.s.recorded("n-2", { type: "small", zone: "east", spot: false, addr: "n-2" }, instant(fixture.now));
+  fixture.tasks.set("n-2", new Map());
+  for (let i = 0; i < 6; i++) fixture.step(["n-1"]);
+  assert.equal(fixture.ops("start"), 1);
   // asked under a token of its own that is higher than the start's, it answers without the task
-  const asked = scene.questions("n-1").at(-1)!;
-  assert.ok(asked.fencingToken > scene.sent[0]!.token);
+  const asked = fixture.questions("n-1").at(-1)!;
+  assert.ok(asked.fencingToken > fixture.sent[0]!.token);
   assert.equal(termNumberOf(asked.fencingToken), 1, "nobody else has to hear of it");
-  scene.step();
-  scene.step();
-  assert.equal(scene.ops("start"), 2);
-  assert.equal(scene.live().length, 1);
+  fixture.step();
+  fixture.step();
+  assert.equal(fixture.ops("start"), 2);
+  assert.equal(fixture.live().length, 1);
 });
 
 test("a machine that fails every task is set aside; a job that fails everywhere sets none aside", () => {
-  const sick = new Scene(EAST);
+  const sick = new ClusterFixture(EAST);
   sick.s.jobSeen(spec({ tasks: 6 }), 20, instant(0));
   sick.step();
   sick.end("n-1", "error");
   sick.step();
   for (let i = 0; i < 3; i++) sick.step();
-  const aside = (scene: Scene): string[] =>
-    [...scene.s.cluster.machines.values()]
+  const aside = (fixture: ClusterFixture): string[] =>
+    [...fixture.s.cluster.machines.values()]
       .filter((machine) => machine.cordonedAt !== null)
       .map((machine) => machine.id);
   assert.deepEqual(aside(sick), ["n-1"]);
 
-  const faulty = new Scene(EAST);
+  const faulty = new ClusterFixture(EAST);
   faulty.s.jobSeen(spec({ tasks: 6 }), 20, instant(0));
   for (let i = 0; i < 200; i++) {
     faulty.step();
@@ -119,34 +119,34 @@
 });
 
 test("production work stops the youngest idle work, and no more of it than needed", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ priority: "low", tasks: 6 }), 20, instant(0));
-  scene.step();
-  assert.equal(scene.live().length, 6);
-  scene.s.jobSeen(
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ priority: "low", tasks: 6 }), 20, instant(0));
+  fixture.step();
+  assert.equal(fixture.live().length, 6);
+  fixture.s.jobSeen(
     spec({ id: "req-000002", kind: "service", priority: "production", spot: false }),
     21,
-    instant(scene.now),
+    instant(fixture.now),
   );
-  for (let i = 0; i < 6; i++) scene.step();
-  assert.equal(scene.ops("stop"), 1);
-  assert.equal(scene.live().filter((task) => task.job === "req-000002").length, 1);
-  assert.equal(scene.live().filter((task) => task.job === "req-000001").length, 5);
+  for (let i = 0; i < 6; i++) fixture.step();
+  assert.equal(fixture.ops("stop"), 1);
+  assert.equal(fixture.live().filter((task) => task.job === "req-000002").length, 1);
+  assert.equal(fixture.live().filter((task) => task.job === "req-000001").length, 5);
 });
 
 test("a machine that will be taken saves what can be saved and moves its replica", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ checkpoint: Duration.seconds(10), save: Duration.seconds(3) }), 20, instant(0));
-  scene.s.jobSeen(
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ checkpoint: Duration.seconds(10), save: Duration.seconds(3) }), 20, instant(0));
+  fixture.s.jobSeen(
     spec({ id: "req-000002", kind: "service", priority: "production", image: "other" }),
     21,
     instant(0),
   );
-  scene.step();
-  for (const { machine } of [...scene.sent]) scene.report(machine, "east", { reclaimNoticeSeconds: 10 });
-  scene.now += 10;
-  const commands = scene.s
-    .step(instant(scene.now))
+  fixture.step();
+  for (const { machine } of [...fixture.sent]) fixture.report(machine, "east", { reclaimNoticeSeconds: 10 });
+  fixture.now += 10;
+  const commands = fixture.s
+    .step(instant(fixture.now))
     .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []));
   assert.ok(
     commands.some(
@@ -156,7 +156,7 @@
 });
 
 test("after a take-over an old memory of a machine is not taken for the machine", () => {
-  const scene = new Scene([]);
+  const fixture = new ClusterFixture([]);
   const old = {
     machine: "n-9",
     addr: "x",
@@ -169,164 +169,177 @@
   };
   const r = { ...old, reclaimNoticeSeconds: null, tasks: [] };
   // released by the leader before, so without a record: nobody is there
-  scene.s.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
-  assert.equal(scene.s.cluster.machines.size, 0);
-  scene.s.recorded("n-9", { type: "small", zone: "east", spot: false, addr: "x" }, instant(50_000));
-  scene.s.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
-  scene.s.jobSeen(spec({}), 20, instant(50_000));
-  const commands = scene.s
+  fixture.s.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
+  assert.equal(fixture.s.cluster.machines.size, 0);
+  fixture.s.recorded("n-9", { type: "small", zone: "east", spot: false, addr: "x" }, instant(50_000));
+  fixture.s.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
+  fixture.s.jobSeen(spec({}), 20, instant(50_000));
+  const commands = fixture.s
     .step(instant(50_000))
     .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []));
   assert.deepEqual(commands, []);
-  scene.s.heartbeatReceived({ ...r, sequence: 6 }, "a", instant(50_100), instant(50_090));
-  const starts = scene.s
+  fixture.s.heartbeatReceived({ ...r, sequence: 6 }, "a", instant(50_100), instant(50_090));
+  const starts = fixture.s
     .step(instant(50_200))
     .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []));
   assert.ok(starts.length <= 1);
 });
 
 test("replicas don't gather on the largest machine: losing it would cost most of them", () => {
-  const scene = new Scene([...EAST, { id: "n-4", zone: "east", type: "large" }]);
+  const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east", type: "large" }]);
   // the image is cached on all of them: a cached image comes first
-  scene.s.jobSeen(spec({ id: "req-000100", tasks: 10 }), 11, instant(0));
-  for (let i = 0; i < 3; i++) scene.step();
-  assert.equal(scene.live().length, 10);
-  for (const machine of scene.tasks.keys()) scene.end(machine, "done");
-  scene.step();
-  scene.s.stored("req-000100", [[0, 10]]);
-  scene.step();
-  scene.s.jobOver("req-000100");
-  scene.step();
+  fixture.s.jobSeen(spec({ id: "req-000100", tasks: 10 }), 11, instant(0));
+  for (let i = 0; i < 3; i++) fixture.step();
+  assert.equal(fixture.live().length, 10);
+  for (const machine of fixture.tasks.keys()) fixture.end(machine, "done");
+  fixture.step();
+  fixture.s.stored("req-000100", [[0, 10]]);
+  fixture.step();
+  fixture.s.jobOver("req-000100");
+  fixture.step();
   for (let i = 0; i < 8; i++) {
     const id = `req-0000${10 + i}`;
-    scene.s.jobSeen(
+    fixture.s.jobSeen(
       spec({ id, kind: "service", priority: "production", cpus: 1, memoryGb: 1 }),
       20 + i,
       instant(0),
     );
-    scene.step();
-    scene.step();
+    fixture.step();
+    fixture.step();
   }
-  assert.equal(scene.live().length, 8);
-  for (const [machine, tasks] of scene.tasks) assert.ok(tasks.size <= 2, `${tasks.size} on ${machine}`);
+  assert.equal(fixture.live().length, 8);
+  for (const [machine, tasks] of fixture.tasks) assert.ok(tasks.size <= 2, `${tasks.size} on ${machine}`);
 });
 
 test("a machine that hears nothing gets no new work, troubles no other, and is returned", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
   let why = "";
   for (let i = 0; i < 60 && why === ""; i++) {
     // its heartbeats go on, but orders and answers don't reach it
-    scene.step(["n-2"]);
-    for (const { id } of EAST) if (id !== "n-2") scene.end(id, "done");
-    for (const decision of scene.s.stepFleet(instant(scene.now)))
+    fixture.step(["n-2"]);
+    for (const { id } of EAST) if (id !== "n-2") fixture.end(id, "done");
+    for (const decision of fixture.s.stepFleet(instant(fixture.now)))
       if (decision.kind === "release" && decision.machines.includes("n-2")) why = decision.reason;
   }
   assert.equal(why, "doesn't hear");
-  const starts = scene.sent.filter((x) => x.order.op === "start" && x.machine === "n-2");
+  const starts = fixture.sent.filter((x) => x.order.op === "start" && x.machine === "n-2");
   assert.ok(starts.length <= 4, `${starts.length} starts sent to a machine that hears nothing`);
-  assert.ok(scene.ops("start") > 20, "the others work on");
+  assert.ok(fixture.ops("start") > 20, "the others work on");
   // what it may hold starts elsewhere only once it is gone
   const held = new Set(starts.map((x) => x.order.index));
   const elsewhere = (): number =>
-    scene.sent.filter((x) => x.machine !== "n-2" && held.has(x.order.index) && x.order.op === "start").length;
+    fixture.sent.filter((x) => x.machine !== "n-2" && held.has(x.order.index) && x.order.op === "start")
+      .length;
   assert.equal(elsewhere(), 0);
-  scene.tasks.delete("n-2");
-  scene.s.releaseAnswered(["n-2"], true, instant(scene.now));
+  fixture.tasks.delete("n-2");
+  fixture.s.releaseAnswered(["n-2"], true, instant(fixture.now));
   for (let i = 0; i < 20; i++) {
-    scene.step();
-    for (const { id } of EAST) if (id !== "n-2") scene.end(id, "done");
+    fixture.step();
+    for (const { id } of EAST) if (id !== "n-2") fixture.end(id, "done");
   }
   assert.equal(elsewhere(), held.size);
 });
 
 test("a machine whose heartbeats reach nobody, though it answers orders, gets no new work and goes before its lease ends", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
   const renewedAll = (but: string): void => {
     const answered = EAST.filter(({ id }) => id !== but).map(({ id }) => ({
       machine: id,
-      at: instant(scene.now),
+      at: instant(fixture.now),
     }));
-    scene.s.leasesAcknowledged("a", 1, scene.s.term.number, instant(scene.now), answered, instant(scene.now));
+    fixture.s.leasesAcknowledged(
+      "a",
+      1,
+      fixture.s.term.number,
+      instant(fixture.now),
+      answered,
+      instant(fixture.now),
+    );
   };
   let why = "";
   let startsLate = 0;
   for (let i = 0; i < 80 && why === ""; i++) {
-    // Scene's machines report by whatever way; only answers to reports of their own renew their leases
+    // ClusterFixture's machines report by whatever way; only answers to reports of their own renew their leases
     renewedAll(i < 4 ? "" : "n-2");
-    const before = scene.sent.length;
-    scene.step();
-    if (scene.now > 14_000)
-      startsLate += scene.sent
+    const before = fixture.sent.length;
+    fixture.step();
+    if (fixture.now > 14_000)
+      startsLate += fixture.sent
         .slice(before)
         .filter((x) => x.machine === "n-2" && x.order.op === "start").length;
-    for (const { id } of EAST) scene.end(id, "done");
-    for (const decision of scene.s.stepFleet(instant(scene.now)))
+    for (const { id } of EAST) fixture.end(id, "done");
+    for (const decision of fixture.s.stepFleet(instant(fixture.now)))
       if (decision.kind === "release" && decision.machines.includes("n-2")) why = decision.reason;
   }
   assert.equal(why, "reaches no controller");
   assert.equal(startsLate, 0);
   const lease = Duration.toMillis(TIMINGS.workerLease);
-  assert.ok(scene.now < 2000 + lease, `released at ${scene.now}`);
-  assert.ok(scene.now > 2000 + lease / 2, `released at ${scene.now}: too soon for what runs there`);
+  assert.ok(fixture.now < 2000 + lease, `released at ${fixture.now}`);
+  assert.ok(fixture.now > 2000 + lease / 2, `released at ${fixture.now}: too soon for what runs there`);
 });
 
 test("a large job of low priority begins in bounded time under a steady stream of others", () => {
-  const scene = new Scene(EAST);
+  const fixture = new ClusterFixture(EAST);
   let n = 0;
   const arrive = (): void =>
-    scene.s.jobSeen(
+    fixture.s.jobSeen(
       spec({ id: `req-1${String(n).padStart(5, "0")}`, tasks: 6 }),
       100 + n++,
-      instant(scene.now),
+      instant(fixture.now),
     );
   arrive();
   arrive();
-  scene.step();
-  scene.s.jobSeen(spec({ id: "req-000009", priority: "low", tasks: 500, cpus: 8 }), 99, instant(scene.now));
-  const began = scene.now;
-  for (let i = 0; i < 480 && !scene.sent.some((x) => x.order.job === "req-000009"); i++) {
+  fixture.step();
+  fixture.s.jobSeen(
+    spec({ id: "req-000009", priority: "low", tasks: 500, cpus: 8 }),
+    99,
+    instant(fixture.now),
+  );
+  const began = fixture.now;
+  for (let i = 0; i < 480 && !fixture.sent.some((x) => x.order.job === "req-000009"); i++) {
     // more than fits, all the time
     if (i % 4 === 0) arrive();
-    if (i % 6 === 0) for (const { id } of EAST) scene.end(id, "done");
-    scene.step();
+    if (i % 6 === 0) for (const { id } of EAST) fixture.end(id, "done");
+    fixture.step();
   }
   assert.ok(
-    scene.sent.some((x) => x.order.job === "req-000009"),
+    fixture.sent.some((x) => x.order.job === "req-000009"),
     "it never began",
   );
-  assert.ok(scene.now - began < 240_000);
+  assert.ok(fixture.now - began < 240_000);
 });
 
 test("work without a guarantee begins within four minutes under a steady stream of guaranteed jobs", () => {
-  const scene = new Scene([{ id: "n-1", zone: "east" }]);
+  const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
   const guest = spec({ id: "req-000009", priority: "low", tasks: 500 });
-  scene.s.jobSeen(guest, 10, instant(scene.now));
-  const began = scene.now;
-  const isStarted = (): boolean => scene.sent.some(({ order: command }) => command.job === guest.id);
+  fixture.s.jobSeen(guest, 10, instant(fixture.now));
+  const began = fixture.now;
+  const isStarted = (): boolean => fixture.sent.some(({ order: command }) => command.job === guest.id);
   for (let n = 0; n < 600 && !isStarted(); n++) {
     // two tasks take the whole machine, and all of their team's guarantee
     const job = spec({ id: `req-1${String(n).padStart(5, "0")}`, team: "red", priority: "high", tasks: 2 });
-    scene.s.jobSeen(job, 100 + n, instant(scene.now));
-    scene.step();
-    scene.end("n-1", "done");
+    fixture.s.jobSeen(job, 100 + n, instant(fixture.now));
+    fixture.step();
+    fixture.end("n-1", "done");
   }
   assert.ok(isStarted(), "it never began");
-  assert.ok(scene.now - began > 60_000, "guaranteed work goes first");
-  assert.ok(scene.now - began < 240_000);
+  assert.ok(fixture.now - began > 60_000, "guaranteed work goes first");
+  assert.ok(fixture.now - began < 240_000);
   // one task of it was enough
-  scene.step();
+  fixture.step();
   assert.ok(
-    scene.sent.filter(({ order: command }) => command.job === guest.id && command.op === "start").length <= 2,
+    fixture.sent.filter(({ order: command }) => command.job === guest.id && command.op === "start").length <=
+      2,
   );
 });
 
 test("a stranger in a late heartbeat is no machine, until it knows the present token", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
-  scene.step();
-  const started = scene.sent[0]!;
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
+  fixture.step();
+  const started = fixture.sent[0]!;
   const copy: Heartbeat = {
     machine: "n-77",
     addr: "x",
@@ -339,88 +352,90 @@
     reclaimNoticeSeconds: null,
     tasks: [{ job: "req-000001", index: 0, attempt: 1, state: "running", exitReason: null }],
   };
-  scene.s.heartbeatReceived(copy, "a", instant(scene.now));
-  assert.equal(scene.s.cluster.machines.has("n-77"), false);
-  for (let i = 0; i < 4; i++) scene.step(["n-9"]);
+  fixture.s.heartbeatReceived(copy, "a", instant(fixture.now));
+  assert.equal(fixture.s.cluster.machines.has("n-77"), false);
+  for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
   // nor does a machine speak for the present that is recorded, but has not reported under this term
   const before = { type: "small", zone: "east", spot: false, addr: "n-9" };
-  scene.s.recorded("n-9", before, instant(scene.now));
-  scene.s.heartbeatReceived({ ...copy, machine: "n-9" }, "a", instant(scene.now));
-  for (let i = 0; i < 4; i++) scene.step(["n-9"]);
+  fixture.s.recorded("n-9", before, instant(fixture.now));
+  fixture.s.heartbeatReceived({ ...copy, machine: "n-9" }, "a", instant(fixture.now));
+  for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
   // the lower attempt in the copies doesn't get the real task stopped
-  assert.equal(scene.ops("stop"), 0);
+  assert.equal(fixture.ops("stop"), 0);
   assert.deepEqual(
-    scene.live().map((task) => task.attempt),
+    fixture.live().map((task) => task.attempt),
     [started.order.attempt],
   );
-  scene.s.heartbeatReceived(
+  fixture.s.heartbeatReceived(
     { ...copy, sequence: 901, fencingToken: fencingTokenOf(1), tasks: [] },
     "a",
-    instant(scene.now),
+    instant(fixture.now),
   );
-  assert.equal(scene.s.cluster.machines.has("n-77"), true);
+  assert.equal(fixture.s.cluster.machines.has("n-77"), true);
 });
 
 test("a start whose outcome comes before its heartbeat is waited for, not repeated", () => {
-  const scene = new Scene([{ id: "n-1", zone: "east" }]);
-  scene.s.jobSeen(spec({}), 20, instant(0));
-  const commands = scene.s.step(instant(scene.now)).filter((decision) => decision.kind === "commands");
+  const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
+  fixture.s.jobSeen(spec({}), 20, instant(0));
+  const commands = fixture.s.step(instant(fixture.now)).filter((decision) => decision.kind === "commands");
   assert.equal(commands.length, 1);
   const d = commands[0]!;
-  scene.s.commandsAnswered("n-1", d.commands, d.fencingToken, "done", instant(scene.now), {
+  fixture.s.commandsAnswered("n-1", d.commands, d.fencingToken, "done", instant(fixture.now), {
     workerEpoch: 1,
     sequence: 50,
   });
   const again = (): number =>
-    scene.s
-      .step(instant((scene.now += 600)))
+    fixture.s
+      .step(instant((fixture.now += 600)))
       .filter((decision) => decision.kind === "commands" && decision.commands.length > 0).length;
   assert.equal(again(), 0);
-  scene.report("n-1", "east", { sequence: 49 });
+  fixture.report("n-1", "east", { sequence: 49 });
   assert.equal(again(), 0, "older than the answer");
-  scene.report("n-1", "east", { sequence: 51 });
+  fixture.report("n-1", "east", { sequence: 51 });
   assert.equal(again(), 1, "the worker doesn't have it");
 });
 
 test("a machine much slower than others at the same job is set aside, and its tasks start anew once", () => {
-  const scene = new Scene([...EAST, { id: "n-4", zone: "east" }]);
-  scene.s.jobSeen(spec({ tasks: 40 }), 20, instant(0));
+  const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }]);
+  fixture.s.jobSeen(spec({ tasks: 40 }), 20, instant(0));
   for (let i = 0; i < 60; i++) {
     // tasks take 5 s, but on n-2 they don't end
-    if (i % 10 === 9) for (const id of ["n-1", "n-3", "n-4"]) scene.end(id, "done");
-    scene.step();
+    if (i % 10 === 9) for (const id of ["n-1", "n-3", "n-4"]) fixture.end(id, "done");
+    fixture.step();
   }
-  const aside = [...scene.s.cluster.machines.values()]
+  const aside = [...fixture.s.cluster.machines.values()]
     .filter((machine) => machine.cordonedAsSlow)
     .map((machine) => machine.id);
   assert.deepEqual(aside, ["n-2"]);
   const on = (machine: string, op: Command["op"]): Command[] =>
-    scene.sent.filter((x) => x.machine === machine && x.order.op === op).map((x) => x.order);
+    fixture.sent.filter((x) => x.machine === machine && x.order.op === op).map((x) => x.order);
   assert.equal(on("n-2", "start").length, 2, "no new work");
   assert.equal(on("n-2", "stop").length, 2);
   for (const { index } of on("n-2", "stop"))
-    assert.equal(scene.sent.filter((x) => x.order.op === "start" && x.order.index === index).length, 2);
-  const released = scene.s.stepFleet(instant(scene.now)).filter((decision) => decision.kind === "release");
+    assert.equal(fixture.sent.filter((x) => x.order.op === "start" && x.order.index === index).length, 2);
+  const released = fixture.s
+    .stepFleet(instant(fixture.now))
+    .filter((decision) => decision.kind === "release");
   assert.ok(released.some((d) => d.machines.includes("n-2") && d.reason === "slow"));
 });
 
 test("after a take-over nobody passes for slow: when its tasks began isn't known", () => {
-  const scene = new Scene([...EAST, { id: "n-4", zone: "east" }]);
+  const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }]);
   const running = (index: number): TaskStatus => {
     return { job: "req-000001", index, attempt: 7, state: "running", exitReason: null };
   };
   for (const [i, id] of ["n-1", "n-2", "n-3", "n-4"].entries())
-    for (const index of [2 * i, 2 * i + 1]) scene.tasks.get(id)!.set(`${index}`, running(index));
-  for (const id of scene.tasks.keys()) scene.report(id);
-  scene.s.jobSeen(spec({ tasks: 8 }), 20, instant(0));
-  scene.step();
-  for (const id of ["n-1", "n-2", "n-3"]) scene.end(id, "done");
-  for (let i = 0; i < 40; i++) scene.step();
+    for (const index of [2 * i, 2 * i + 1]) fixture.tasks.get(id)!.set(`${index}`, running(index));
+  for (const id of fixture.tasks.keys()) fixture.report(id);
+  fixture.s.jobSeen(spec({ tasks: 8 }), 20, instant(0));
+  fixture.step();
+  for (const id of ["n-1", "n-2", "n-3"]) fixture.end(id, "done");
+  for (let i = 0; i < 40; i++) fixture.step();
   assert.deepEqual(
-    [...scene.s.cluster.machines.values()].filter((machine) => machine.cordonedAsSlow),
+    [...fixture.s.cluster.machines.values()].filter((machine) => machine.cordonedAsSlow),
     [],
   );
-  assert.equal(scene.ops("stop"), 0);
+  assert.equal(fixture.ops("stop"), 0);
 });
 
 test("behind a cut machines are kept until just before their leases end, also by a leader that never heard them", () => {
@@ -464,8 +479,8 @@
 
 test("idle work with a deadline goes first when it is about to miss it, and a new leader knows its age", () => {
   const firstStarted = (accepted: number): string => {
-    const scene = new Scene(EAST);
-    scene.now = 200_000;
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
     const late = spec({
       id: "req-000001",
       priority: "low",
@@ -473,11 +488,11 @@
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     });
-    scene.s.jobSeen(late, 20, instant(accepted));
-    scene.s.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
-    for (const id of ["n-1", "n-2", "n-3"]) scene.report(id);
-    scene.step();
-    return scene.sent.find((x) => x.order.op === "start")!.order.job;
+    fixture.s.jobSeen(late, 20, instant(accepted));
+    fixture.s.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((x) => x.order.op === "start")!.order.job;
   };
   assert.equal(firstStarted(195_000), "req-000002");
   assert.equal(firstStarted(150_000), "req-000001");
@@ -553,14 +568,14 @@
 
 test("an idle first stage of an urgent pipeline goes before plain normal work, as long as the pipeline stands", () => {
   const firstStarted = (submit: (scheduler: Scheduler) => void): string => {
-    const scene = new Scene(EAST);
-    scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
-    scene.s.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 21, instant(0));
-    submit(scene.s);
-    scene.step();
-    recount(scene.s.cluster);
-    assert.equal(scene.live().length, 6);
-    return scene.sent.find((x) => x.order.op === "start")!.order.job;
+    const fixture = new ClusterFixture(EAST);
+    fixture.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+    fixture.s.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 21, instant(0));
+    submit(fixture.s);
+    fixture.step();
+    checkInvariants(fixture.s.cluster);
+    assert.equal(fixture.live().length, 6);
+    return fixture.sent.find((x) => x.order.op === "start")!.order.job;
   };
   const end = spec(PIPELINE_END);
   assert.equal(
@@ -591,19 +606,19 @@
 });
 
 test("a stage of an urgent pipeline isn't stopped for normal or urgent work, but for production, and once it is plain", () => {
-  const running = (): Scene => {
-    const scene = new Scene(EAST);
-    scene.s.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
-    scene.step();
-    assert.equal(scene.live().length, 6);
-    scene.s.waitingSeen(spec(PIPELINE_END), instant(scene.now));
-    return scene;
+  const running = (): ClusterFixture => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.s.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
+    fixture.step();
+    assert.equal(fixture.live().length, 6);
+    fixture.s.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    return fixture;
   };
-  const stopped = (scene: Scene, more: Partial<JobSpec>): number => {
-    scene.s.jobSeen(spec({ id: "req-000003", ...more }), 21, instant(scene.now));
-    for (let i = 0; i < 4; i++) scene.step();
-    recount(scene.s.cluster);
-    return scene.ops("stop");
+  const stopped = (fixture: ClusterFixture, more: Partial<JobSpec>): number => {
+    fixture.s.jobSeen(spec({ id: "req-000003", ...more }), 21, instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    checkInvariants(fixture.s.cluster);
+    return fixture.ops("stop");
   };
   assert.equal(stopped(running(), { priority: "normal" }), 0);
   assert.equal(stopped(running(), { priority: "high" }), 0);
@@ -617,13 +632,13 @@
 
 test("a stage of an urgent pipeline makes room for itself among normal work", () => {
   const stops = (urgent: boolean): number => {
-    const scene = new Scene(EAST);
-    scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
-    scene.step();
-    scene.s.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(scene.now));
-    if (urgent) scene.s.waitingSeen(spec(PIPELINE_END), instant(scene.now));
-    for (let i = 0; i < 4; i++) scene.step();
-    return scene.ops("stop");
+    const fixture = new ClusterFixture(EAST);
+    fixture.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+    fixture.step();
+    fixture.s.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+    if (urgent) fixture.s.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    return fixture.ops("stop");
   };
   assert.equal(stops(false), 0);
   assert.equal(stops(true), 1);
@@ -631,15 +646,15 @@
 
 test("a deadline counts from the submission, a long wait from the release", () => {
   const firstStarted = (accepted: number, released: number, more: Partial<JobSpec>): string => {
-    const scene = new Scene(EAST);
-    scene.now = 200_000;
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
     const estimate = Duration.seconds(20);
     const job = spec({ id: "req-000001", priority: "low", tasks: 6, estimate, ...more });
-    scene.s.jobSeen(job, 20, instant(accepted), instant(released));
-    scene.s.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
-    for (const id of ["n-1", "n-2", "n-3"]) scene.report(id);
-    scene.step();
-    return scene.sent.find((x) => x.order.op === "start")!.order.job;
+    fixture.s.jobSeen(job, 20, instant(accepted), instant(released));
+    fixture.s.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((x) => x.order.op === "start")!.order.job;
   };
   const due = { deadline: Duration.seconds(90) };
   assert.equal(firstStarted(150_000, 199_000, due), "req-000001");
@@ -650,16 +665,16 @@
 
 test("a gang held up by smaller jobs is patient from its release on", () => {
   const held = (released: number): boolean => {
-    const scene = new Scene(EAST);
-    scene.now = 50_000;
-    for (const id of ["n-1", "n-2", "n-3"]) scene.report(id);
-    scene.s.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(scene.now));
-    scene.step();
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 50_000;
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.s.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
+    fixture.step();
     const gang = spec({ id: "req-000002", kind: "gang", tasks: 6 });
-    scene.s.jobSeen(gang, 21, instant(1000), instant(released));
-    scene.s.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(scene.now));
-    scene.step();
-    return scene.live().length === 1;
+    fixture.s.jobSeen(gang, 21, instant(1000), instant(released));
+    fixture.s.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
+    fixture.step();
+    return fixture.live().length === 1;
   };
   assert.equal(held(1000), true);
   assert.equal(held(50_000), false);
@@ -667,21 +682,21 @@
 
 test("a stage hurries when the jobs after it would otherwise miss their deadline", () => {
   const firstStarted = (deadline: number): string => {
-    const scene = new Scene(EAST);
-    scene.now = 200_000;
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
     const estimate = Duration.seconds(20);
-    scene.s.jobSeen(
+    fixture.s.jobSeen(
       spec({ id: "req-000002", priority: "low", tasks: 6, estimate }),
       20,
       instant(190_000),
       instant(199_000),
     );
-    scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
+    fixture.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
     const end = spec({ ...PIPELINE_END, priority: "low", estimate, deadline: Duration.seconds(deadline) });
-    scene.s.waitingSeen(end, instant(190_000));
-    for (const id of ["n-1", "n-2", "n-3"]) scene.report(id);
-    scene.step();
-    return scene.sent.find((x) => x.order.op === "start")!.order.job;
+    fixture.s.waitingSeen(end, instant(190_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((x) => x.order.op === "start")!.order.job;
   };
   // each of the two takes 45 s at most
   assert.equal(firstStarted(120), "req-000001");
@@ -690,7 +705,7 @@
 
 test("a waiting job holds nothing, and its release keeps what flows back through it", () => {
   for (const releasedFirst of [true, false]) {
-    const { s: scheduler } = new Scene(EAST);
+    const { s: scheduler } = new ClusterFixture(EAST);
     const job = (id: string) => scheduler.cluster.jobs.get(id);
     const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
     const due = Duration.seconds(300);
@@ -735,70 +750,70 @@
 
 test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
   const stopped = (urgent: boolean): string[] => {
-    const scene = new Scene([{ id: "n-1", zone: "east" }]);
-    scene.s.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
-    scene.step();
-    scene.s.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(scene.now));
-    scene.step();
-    assert.equal(scene.live().length, 2);
-    if (urgent) scene.s.waitingSeen(spec(PIPELINE_END), instant(scene.now));
+    const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
+    fixture.s.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
+    fixture.step();
+    fixture.s.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+    fixture.step();
+    assert.equal(fixture.live().length, 2);
+    if (urgent) fixture.s.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
     const service = spec({ id: "req-000003", kind: "service", priority: "production", spot: false });
-    scene.s.jobSeen(service, 22, instant(scene.now));
-    for (let i = 0; i < 4; i++) scene.step();
-    return scene.sent.filter((x) => x.order.op === "stop").map((x) => x.order.job);
+    fixture.s.jobSeen(service, 22, instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    return fixture.sent.filter((x) => x.order.op === "stop").map((x) => x.order.job);
   };
   assert.deepEqual(stopped(false), ["req-000002"]);
   assert.deepEqual(stopped(true), ["req-000001"]);
 });
 
 test("a last job submitted later counts at once, without other news", () => {
-  const scene = new Scene(EAST);
-  scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
-  scene.step();
-  scene.s.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(scene.now));
-  scene.step();
+  const fixture = new ClusterFixture(EAST);
+  fixture.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+  fixture.step();
+  fixture.s.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+  fixture.step();
   const stops = (): number =>
-    scene.s
-      .step(instant(scene.now + 10))
+    fixture.s
+      .step(instant(fixture.now + 10))
       .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []))
       .filter((command) => command.op === "stop").length;
   assert.equal(stops(), 0);
-  scene.s.waitingSeen(spec(PIPELINE_END), instant(scene.now));
+  fixture.s.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
   assert.equal(stops(), 1);
 });
 
 test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
   const firstStarted = (urgent: boolean): string => {
-    const scene = new Scene(EAST);
-    scene.now = 200_000;
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
     const late = {
       priority: "low",
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     } as const;
-    scene.s.jobSeen(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
-    scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
+    fixture.s.jobSeen(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
+    fixture.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
     // there is no machine for it
-    scene.s.jobSeen(spec({ id: "req-000002", priority: "low", zone: "west" }), 22, instant(150_000));
-    if (urgent) scene.s.waitingSeen(spec(PIPELINE_END), instant(199_000));
-    for (const id of ["n-1", "n-2", "n-3"]) scene.report(id);
-    scene.step();
-    return scene.sent.find((x) => x.order.op === "start")!.order.job;
+    fixture.s.jobSeen(spec({ id: "req-000002", priority: "low", zone: "west" }), 22, instant(150_000));
+    if (urgent) fixture.s.waitingSeen(spec(PIPELINE_END), instant(199_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((x) => x.order.op === "start")!.order.job;
   };
   assert.equal(firstStarted(false), "req-000003");
   assert.equal(firstStarted(true), "req-000001");
 
   const started = (urgent: boolean): number => {
-    const scene = new Scene(EAST);
-    scene.now = 50_000;
-    for (const id of ["n-1", "n-2", "n-3"]) scene.report(id);
-    scene.s.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(scene.now));
-    scene.step();
-    scene.s.jobSeen(spec({ id: "req-000002", kind: "gang", tasks: 6, priority: "low" }), 21, instant(1000));
-    if (urgent) scene.s.waitingSeen(spec(PIPELINE_END), instant(scene.now));
-    scene.s.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(scene.now));
-    scene.step();
-    return scene.live().length;
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 50_000;
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.s.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
+    fixture.step();
+    fixture.s.jobSeen(spec({ id: "req-000002", kind: "gang", tasks: 6, priority: "low" }), 21, instant(1000));
+    if (urgent) fixture.s.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    fixture.s.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
+    fixture.step();
+    return fixture.live().length;
   };
   assert.equal(started(false), 6);
   assert.equal(started(true), 1);
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -5,10 +5,11 @@
 import { connect } from "node:net";
 import { after, before, test } from "node:test";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn } from "./standins.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
-const state = new StateStandIn();
-const cloud = new CloudStandIn(() => front);
+const state = new FakeStateService();
+const cloud = new FakeCloud(() => front);
 let front = "";
 let config = "";
 let child: ChildProcess | null = null;
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -4,7 +4,7 @@
 import type { Machine } from "../src/core/cluster/cluster.js";
 import type { TaskState } from "../src/core/records.js";
 import { instant } from "../src/core/time.js";
-import { EAST, Scene } from "./scene.js";
+import { ClusterFixture as Scene, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 
 const GANG = "req-000002";
--- a/test/state-client.test.ts
+++ b/test/state-client.test.ts
@@ -3,7 +3,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { StateClient } from "../src/io/state-client.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService as StateStandIn } from "./fakes/fake-state-service.js";
 
 const standIn = new StateStandIn();
 let client: StateClient;
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -46,7 +46,8 @@
 import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn } from "./standins.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
 
 type Json = Record<string, unknown>;
@@ -349,7 +350,7 @@
 });
 
 /** Writes down what is written, by whomever. */
-class RecordingState extends StateStandIn {
+class RecordingState extends FakeStateService {
   readonly puts: { key: string; value: unknown }[] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
     const before = this.ledger;
@@ -363,7 +364,7 @@
 test("this version serves under a leader of production, and goes on from its records", async () => {
   const state = new RecordingState();
   let front = "";
-  const cloud = new CloudStandIn(() => front);
+  const cloud = new FakeCloud(() => front);
   const heard: { type: MessageType; value: Json }[] = [];
   // the leader of production
   const south = http.createServer((request, response) => {
--- a/test/user-writes.test.ts
+++ b/test/user-writes.test.ts
@@ -7,7 +7,7 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { isOverTheRate, StateClient } from "../src/io/state-client.js";
 import { commitForUser, MAX_RETRIES } from "../src/service/api/user-writes.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService as StateStandIn } from "./fakes/fake-state-service.js";
 
 const SEEDS = 12;
 const MOST_REFUSALS = 2 * MAX_RETRIES;
