--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -31,7 +31,7 @@
 test("a leader whose numbers run out asks for a new term, and goes on under it", () => {
   const fixture = new ClusterFixture(EAST);
   fixture.step();
-  assert.equal(fixture.s.needsNewTerm, false);
+  assert.equal(fixture.scheduler.needsNewTerm, false);
   const { nextAttempt } = TaskStarter.prototype;
   const numbers: number[] = [];
   TaskStarter.prototype.nextAttempt = function (this: TaskStarter) {
@@ -41,13 +41,13 @@
     return numbers.at(-1)!;
   };
   try {
-    fixture.s.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
     fixture.step();
-    assert.equal(fixture.s.needsNewTerm, true);
-    fixture.s.renewTerm({ ...fixture.s.term, number: 2 }, instant(fixture.now));
-    fixture.s.jobSeen(spec({ id: "req-000002", tasks: 1 }), 21, instant(fixture.now));
+    assert.equal(fixture.scheduler.needsNewTerm, true);
+    fixture.scheduler.renewTerm({ ...fixture.scheduler.term, number: 2 }, instant(fixture.now));
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 1 }), 21, instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
-    assert.equal(fixture.s.needsNewTerm, false);
+    assert.equal(fixture.scheduler.needsNewTerm, false);
     assert.equal(numbers.at(-1), attemptOf(2, 1));
     assert.equal(new Set(numbers).size, 2);
   } finally {
--- a/test/cluster-fixture.ts
+++ b/test/cluster-fixture.ts
@@ -1,4 +1,4 @@
-/** A leader's scheduler among machines that execute and report at once, for scenarios played step by step. */
+/** A leader's scheduler among machines that execute and send a heartbeat at once, for scenarios played step by step. */
 import * as Duration from "effect/Duration";
 import type { Command, TaskStatus, Heartbeat } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler/scheduler.js";
@@ -6,16 +6,18 @@
 import { instant } from "../src/core/time.js";
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
 
-/** A scheduler with small machines (8 processors each) that execute and report at once. */
+/** A scheduler with small machines (8 processors each) that execute and send a heartbeat at once. */
 export class ClusterFixture {
   now = 1000;
-  readonly s: Scheduler;
+  readonly scheduler: Scheduler;
+  /** By machine, the tasks on it. */
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
-  readonly sent: { machine: string; order: Command; token: number }[] = [];
+  /** All commands, in the order they were sent, with their machine and fencing token. */
+  readonly sent: { machine: string; command: Command; fencingToken: number }[] = [];
   private readonly asked: Extract<Decision, { kind: "commands" }>[] = [];
-  private seq = 0;
+  private sequence = 0;
   /** The token that the machines know. */
-  private token = fencingTokenOf(1);
+  private knownToken = fencingTokenOf(1);
 
   /** Machines that get no commands, their shard being handed over. */
   readonly paused = new Set<string>();
@@ -27,7 +29,7 @@
       leader: "a",
       members: [{ name: "a", incarnation: 1, zone: "east" }],
     };
-    this.s = new Scheduler(
+    this.scheduler = new Scheduler(
       {
         timings: TIMINGS,
         teams: new Map(TEAMS.map((team) => [team.name, team])),
@@ -39,43 +41,48 @@
       10,
       instant(0),
     );
-    this.s.setTypes(TYPES);
+    this.scheduler.setTypes(TYPES);
     for (const { id, zone, type = "small" } of machines) {
-      this.s.recorded(id, { type, zone, spot: false, addr: id }, instant(0));
+      this.scheduler.recorded(id, { type, zone, spot: false, addr: id }, instant(0));
       this.tasks.set(id, new Map());
       this.report(id, zone);
     }
   }
 
-  report(id: string, zone = this.s.cluster.machines.get(id)!.zone, more: Partial<Heartbeat> = {}): void {
+  /** A machine sends a heartbeat with the tasks that it has. */
+  report(
+    id: string,
+    zone = this.scheduler.cluster.machines.get(id)!.zone,
+    more: Partial<Heartbeat> = {},
+  ): void {
     const heartbeat: Heartbeat = {
       machine: id,
       addr: id,
-      type: this.s.cluster.machines.get(id)!.type,
+      type: this.scheduler.cluster.machines.get(id)!.type,
       zone,
       spot: false,
       workerEpoch: 1,
-      sequence: ++this.seq,
-      fencingToken: this.token,
+      sequence: ++this.sequence,
+      fencingToken: this.knownToken,
       reclaimNoticeSeconds: null,
       tasks: [...this.tasks.get(id)!.values()],
       ...more,
     };
-    this.s.heartbeatReceived(heartbeat, "a", instant(this.now));
+    this.scheduler.heartbeatReceived(heartbeat, "a", instant(this.now));
   }
 
-  /** Everything reports, and the decisions are carried out; `late` machines don't answer orders. */
+  /** All machines send a heartbeat, and the decisions are carried out; `late` machines don't answer commands. */
   step(late: readonly string[] = []): Decision[] {
     this.now += 500;
-    for (const id of this.tasks.keys()) if (this.s.cluster.machines.has(id)) this.report(id);
-    const decisions = this.s.step(instant(this.now));
+    for (const id of this.tasks.keys()) if (this.scheduler.cluster.machines.has(id)) this.report(id);
+    const decisions = this.scheduler.step(instant(this.now));
     for (const decision of decisions) {
       if (decision.kind !== "commands") continue;
       if (decision.commands.length === 0) this.asked.push(decision);
       for (const command of decision.commands)
-        this.sent.push({ machine: decision.machine, order: command, token: decision.fencingToken });
+        this.sent.push({ machine: decision.machine, command, fencingToken: decision.fencingToken });
       if (late.includes(decision.machine)) {
-        this.s.commandsAnswered(
+        this.scheduler.commandsAnswered(
           decision.machine,
           decision.commands,
           decision.fencingToken,
@@ -86,8 +93,8 @@
       }
       for (const command of decision.commands) this.execute(decision.machine, command);
       this.report(decision.machine);
-      this.token = Math.max(this.token, decision.fencingToken);
-      this.s.commandsAnswered(
+      this.knownToken = Math.max(this.knownToken, decision.fencingToken);
+      this.scheduler.commandsAnswered(
         decision.machine,
         decision.commands,
         decision.fencingToken,
@@ -98,6 +105,11 @@
     return decisions;
   }
 
+  /** The scheduler by the short name that the tests of shard drains use. */
+  get s(): Scheduler {
+    return this.scheduler;
+  }
+
   private execute(machine: string, command: Command): void {
     const tasks = this.tasks.get(machine)!;
     const key = `${command.job}/${command.index}#${command.attempt}`;
@@ -107,19 +119,29 @@
     else tasks.set(key, { ...base, state: "running", exitReason: null });
   }
 
-  end(machine: string, exitReason: "done" | "error"): void {
+  /** All tasks on the machine end with this reason. */
+  endTasks(machine: string, exitReason: "done" | "error"): void {
     for (const [key, task] of this.tasks.get(machine)!)
       this.tasks.get(machine)!.set(key, { ...task, state: "exited", exitReason });
   }
+
+  /** Tasks that have not exited, on all machines. */
   live(): TaskStatus[] {
-    return [...this.tasks.values()].flatMap((m) => [...m.values()]).filter((task) => task.state !== "exited");
+    return [...this.tasks.values()]
+      .flatMap((tasks) => [...tasks.values()])
+      .filter((task) => task.state !== "exited");
   }
+
+  /** Batches without commands that were sent to the machine: they ask for a heartbeat under their token. */
   questions(machine: string): { fencingToken: number }[] {
-    return this.asked.filter((d) => d.machine === machine);
+    return this.asked.filter((batch) => batch.machine === machine);
   }
+
+  /** How many commands of this kind were sent. */
   ops(op: Command["op"]): number {
-    return this.sent.filter((x) => x.order.op === op).length;
+    return this.sent.filter((sent) => sent.command.op === op).length;
   }
 }
-/** Three of them in one zone. */
+
+/** Three machines in one zone. */
 export const EAST = ["n-1", "n-2", "n-3"].map((id) => ({ id, zone: "east" }));
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -21,19 +21,19 @@
 
 const starts = (fixture: ClusterFixture): Command[] =>
   fixture.sent
-    .filter(({ order: command }) => command.op === "start" && command.job === BROKEN)
-    .map(({ order: command }) => command);
+    .filter(({ command }) => command.op === "start" && command.job === BROKEN)
+    .map(({ command }) => command);
 
 const rented = (fixture: ClusterFixture): number =>
-  fixture.s
+  fixture.scheduler
     .stepFleet(instant(fixture.now))
     .reduce((count, decision) => count + (decision.kind === "rent" ? decision.rent.count : 0), 0);
 
 /** A fixture in which the broken job was started everywhere and is known to fail wherever it runs. */
 const sceneWithBroken = (): ClusterFixture => {
   const fixture = new ClusterFixture(EAST);
-  fixture.s.listed([], instant(fixture.now));
-  fixture.s.jobSeen(spec({ id: BROKEN, tasks: 200 }), 20, instant(fixture.now));
+  fixture.scheduler.listed([], instant(fixture.now));
+  fixture.scheduler.jobSeen(spec({ id: BROKEN, tasks: 200 }), 20, instant(fixture.now));
   failFor(fixture, 6);
   return fixture;
 };
@@ -55,7 +55,7 @@
   assert.equal(rented(fixture), 0);
   failFor(fixture, 40);
   assert.equal(rented(fixture), 0);
-  assert.ok([...fixture.s.cluster.machines.values()].every((machine) => machine.cordonedAt === null));
+  assert.ok([...fixture.scheduler.cluster.machines.values()].every((machine) => machine.cordonedAt === null));
 });
 
 test("machines are drained although a job that fails everywhere has tasks to start", () => {
@@ -63,12 +63,13 @@
     const fixture = broken ? sceneWithBroken() : new ClusterFixture(EAST);
     // one replica a machine, on half of it: two of them fit on one
     const replicas = { kind: "service", priority: "production", spot: false, tasks: 3 } as const;
-    fixture.s.jobSeen(spec({ id: "req-000002", image: "x", ...replicas }), 21, instant(fixture.now));
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", image: "x", ...replicas }), 21, instant(fixture.now));
     failFor(fixture, 60);
     // between two tries of the broken job
-    while ((fixture.s.cluster.jobs.get(BROKEN)?.retryAt ?? Infinity) <= fixture.now) failFor(fixture, 0.5);
-    fixture.s.stepFleet(instant(fixture.now));
-    return [...fixture.s.cluster.machines.values()].some((machine) => machine.draining);
+    while ((fixture.scheduler.cluster.jobs.get(BROKEN)?.retryAt ?? Infinity) <= fixture.now)
+      failFor(fixture, 0.5);
+    fixture.scheduler.stepFleet(instant(fixture.now));
+    return [...fixture.scheduler.cluster.machines.values()].some((machine) => machine.draining);
   };
   assert.equal(isDraining(false), true);
   assert.equal(isDraining(true), true);
@@ -76,36 +77,36 @@
 
 test("a job of which some task runs for long is not taken for one that fails everywhere", () => {
   const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }, { id: "n-5", zone: "east" }]);
-  fixture.s.jobSeen(spec({ id: BROKEN, tasks: 60 }), 20, instant(fixture.now));
+  fixture.scheduler.jobSeen(spec({ id: BROKEN, tasks: 60 }), 20, instant(fixture.now));
   fixture.step();
   // three of five machines fail what they start
-  for (const id of ["n-1", "n-2", "n-3"]) fixture.end(id, "error");
+  for (const id of ["n-1", "n-2", "n-3"]) fixture.endTasks(id, "error");
   fixture.step();
   const before = starts(fixture).length;
   for (let i = 0; i < 24; i++) fixture.step();
-  fixture.end("n-4", "error");
+  fixture.endTasks("n-4", "error");
   fixture.step();
   assert.ok(starts(fixture).length > before, "the others are tried again");
-  assert.ok(rented(fixture) > 0 || fixture.s.cluster.jobs.get(BROKEN)!.pending.size > 1);
+  assert.ok(rented(fixture) > 0 || fixture.scheduler.cluster.jobs.get(BROKEN)!.pending.size > 1);
 });
 
 test("a job that fails everywhere goes before no other, however long it waits", () => {
   const fixture = sceneWithBroken();
   failFor(fixture, 110);
-  fixture.s.jobSeen(spec({ id: "req-000003", tasks: 6, image: "y" }), 22, instant(fixture.now));
+  fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6, image: "y" }), 22, instant(fixture.now));
   const before = fixture.sent.length;
   fixture.step();
-  const started = fixture.sent.slice(before).filter(({ order: command }) => command.op === "start");
-  assert.equal(started.filter(({ order: command }) => command.job === "req-000003").length, 6);
+  const started = fixture.sent.slice(before).filter(({ command }) => command.op === "start");
+  assert.equal(started.filter(({ command }) => command.job === "req-000003").length, 6);
 });
 
 test("a new leader rents nothing in place of machines that have yet to report to it", () => {
   const rents = (seconds: number): number => {
     const fixture = new ClusterFixture([]);
     for (const { id, zone } of EAST)
-      fixture.s.recorded(id, { type: "small", zone, spot: false, addr: id }, instant(0));
-    fixture.s.listed([], instant(0));
-    fixture.s.jobSeen(spec({ id: "req-000004", tasks: 6 }), 5, instant(0));
+      fixture.scheduler.recorded(id, { type: "small", zone, spot: false, addr: id }, instant(0));
+    fixture.scheduler.listed([], instant(0));
+    fixture.scheduler.jobSeen(spec({ id: "req-000004", tasks: 6 }), 5, instant(0));
     fixture.now = seconds * 1000;
     return rented(fixture);
   };
--- /dev/null
+++ b/test/pipeline-priority.test.ts
@@ -0,0 +1,258 @@
+/** Pipelines: what a stage inherits from the jobs after it, and what that changes in order and preemption. */
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import * as Duration from "effect/Duration";
+import { addJob, newCluster } from "../src/core/cluster/cluster.js";
+import { Autoscaler } from "../src/core/autoscaling/autoscaler.js";
+import { type JobSpec, RANK } from "../src/core/records.js";
+import { Scheduler } from "../src/core/scheduler/scheduler.js";
+import { instant } from "../src/core/time.js";
+import { checkInvariants } from "./invariant-checker.js";
+import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { jobSpec as spec } from "./specs.js";
+
+const PIPELINE_END = { id: "req-000009", dependsOn: ["req-000002"], priority: "high" } as const;
+
+test("an idle first stage of an urgent pipeline goes before plain normal work, as long as the pipeline stands", () => {
+  const firstStarted = (submit: (scheduler: Scheduler) => void): string => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 21, instant(0));
+    submit(fixture.scheduler);
+    fixture.step();
+    checkInvariants(fixture.scheduler.cluster);
+    assert.equal(fixture.live().length, 6);
+    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+  };
+  const end = spec(PIPELINE_END);
+  assert.equal(
+    firstStarted(() => undefined),
+    "req-000001",
+  );
+  assert.equal(
+    firstStarted((scheduler) => scheduler.waitingSeen(end, instant(500))),
+    "req-000002",
+  );
+  assert.equal(
+    firstStarted((scheduler) => {
+      scheduler.waitingSeen(spec({ ...PIPELINE_END, dependsOn: ["req-000005"] }), instant(500));
+      scheduler.waitingSeen(
+        spec({ id: "req-000005", dependsOn: ["req-000002"], priority: "low" }),
+        instant(500),
+      );
+    }),
+    "req-000002",
+  );
+  assert.equal(
+    firstStarted((scheduler) => {
+      scheduler.waitingSeen(end, instant(500));
+      scheduler.waitingOver(end.id);
+    }),
+    "req-000001",
+  );
+});
+
+test("a stage of an urgent pipeline isn't stopped for normal or urgent work, but for production, and once it is plain", () => {
+  const running = (): ClusterFixture => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
+    fixture.step();
+    assert.equal(fixture.live().length, 6);
+    fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    return fixture;
+  };
+  const stopped = (fixture: ClusterFixture, more: Partial<JobSpec>): number => {
+    fixture.scheduler.jobSeen(spec({ id: "req-000003", ...more }), 21, instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    checkInvariants(fixture.scheduler.cluster);
+    return fixture.ops("stop");
+  };
+  assert.equal(stopped(running(), { priority: "normal" }), 0);
+  assert.equal(stopped(running(), { priority: "high" }), 0);
+  assert.equal(stopped(running(), { kind: "service", priority: "production", spot: false }), 1);
+  const lowered = running();
+  assert.equal(stopped(lowered, { priority: "normal" }), 0);
+  lowered.scheduler.waitingOver(PIPELINE_END.id);
+  for (let i = 0; i < 4; i++) lowered.step();
+  assert.equal(lowered.ops("stop"), 1);
+});
+
+test("a stage of an urgent pipeline makes room for itself among normal work", () => {
+  const stops = (urgent: boolean): number => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+    fixture.step();
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    return fixture.ops("stop");
+  };
+  assert.equal(stops(false), 0);
+  assert.equal(stops(true), 1);
+});
+
+test("a deadline counts from the submission, a long wait from the release", () => {
+  const firstStarted = (accepted: number, released: number, more: Partial<JobSpec>): string => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
+    const estimate = Duration.seconds(20);
+    const job = spec({ id: "req-000001", priority: "low", tasks: 6, estimate, ...more });
+    fixture.scheduler.jobSeen(job, 20, instant(accepted), instant(released));
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+  };
+  const due = { deadline: Duration.seconds(90) };
+  assert.equal(firstStarted(150_000, 199_000, due), "req-000001");
+  assert.equal(firstStarted(195_000, 199_000, due), "req-000002");
+  assert.equal(firstStarted(90_000, 90_000, {}), "req-000001");
+  assert.equal(firstStarted(90_000, 199_000, {}), "req-000002");
+});
+
+test("a stage hurries when the jobs after it would otherwise miss their deadline", () => {
+  const firstStarted = (deadline: number): string => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
+    const estimate = Duration.seconds(20);
+    fixture.scheduler.jobSeen(
+      spec({ id: "req-000002", priority: "low", tasks: 6, estimate }),
+      20,
+      instant(190_000),
+      instant(199_000),
+    );
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
+    const end = spec({ ...PIPELINE_END, priority: "low", estimate, deadline: Duration.seconds(deadline) });
+    fixture.scheduler.waitingSeen(end, instant(190_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+  };
+  // each of the two takes 45 s at most
+  assert.equal(firstStarted(120), "req-000001");
+  assert.equal(firstStarted(95), "req-000002");
+});
+
+test("a waiting job holds nothing, and its release keeps what flows back through it", () => {
+  for (const releasedFirst of [true, false]) {
+    const { scheduler } = new ClusterFixture(EAST);
+    const job = (id: string) => scheduler.cluster.jobs.get(id);
+    const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
+    const due = Duration.seconds(300);
+    scheduler.jobSeen(spec({ id: "req-000001", priority: "low" }), 20, instant(0));
+    scheduler.waitingSeen(stage, instant(0));
+    scheduler.waitingSeen(spec({ ...PIPELINE_END, deadline: due }), instant(10_000));
+    assert.deepEqual([...scheduler.awaitingJobs], ["req-000002", "req-000009"]);
+    assert.deepEqual([...scheduler.cluster.jobs.keys()], ["req-000001"]);
+    assert.equal(job("req-000001")!.rank, RANK.high);
+    // two later stages of 60 s at most
+    assert.equal(job("req-000001")!.deadlineAt, 310_000 - 2 * 60_000);
+
+    scheduler.jobOver("req-000001");
+    if (!releasedFirst) scheduler.waitingOver(stage.id);
+    scheduler.jobSeen(stage, 30, instant(0), instant(50_000));
+    if (releasedFirst) scheduler.waitingOver(stage.id);
+    // late word that it waits
+    scheduler.waitingSeen(stage, instant(0));
+    assert.deepEqual([...scheduler.awaitingJobs], ["req-000009"]);
+    assert.equal(job(stage.id)!.rank, RANK.high);
+    assert.equal(job(stage.id)!.deadlineAt, 310_000 - 60_000);
+    assert.equal(job(stage.id)!.acceptedAt, 0);
+    assert.equal(job(stage.id)!.releasedAt, 50_000);
+    // the last one is cancelled
+    scheduler.waitingOver("req-000009");
+    assert.equal(job(stage.id)!.rank, RANK.low);
+    assert.equal(job(stage.id)!.deadlineAt, null);
+  }
+});
+
+test("room is kept for the stages of urgent pipelines that are likely to arrive, and for no other idle work", () => {
+  const options = { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(45) };
+  const fleet = new Autoscaler(options);
+  const job = addJob(newCluster(), spec({ priority: "low", tasks: 3 }), 20, instant(0), instant(100_000));
+  fleet.arrived(job);
+  const at = instant(110_000);
+  assert.equal(fleet.expectedCpus(at), 0);
+  job.rank = RANK.high;
+  assert.equal(fleet.expectedCpus(at), 12);
+  assert.equal(fleet.expectedCpus(instant(150_000)), 0);
+});
+
+test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
+  const stopped = (urgent: boolean): string[] => {
+    const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
+    fixture.scheduler.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
+    fixture.step();
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+    fixture.step();
+    assert.equal(fixture.live().length, 2);
+    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    const service = spec({ id: "req-000003", kind: "service", priority: "production", spot: false });
+    fixture.scheduler.jobSeen(service, 22, instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    return fixture.sent.filter((sent) => sent.command.op === "stop").map((sent) => sent.command.job);
+  };
+  assert.deepEqual(stopped(false), ["req-000002"]);
+  assert.deepEqual(stopped(true), ["req-000001"]);
+});
+
+test("a last job submitted later counts at once, without other news", () => {
+  const fixture = new ClusterFixture(EAST);
+  fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+  fixture.step();
+  fixture.scheduler.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+  fixture.step();
+  const stops = (): number =>
+    fixture.scheduler
+      .step(instant(fixture.now + 10))
+      .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []))
+      .filter((command) => command.op === "stop").length;
+  assert.equal(stops(), 0);
+  fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+  assert.equal(stops(), 1);
+});
+
+test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
+  const firstStarted = (urgent: boolean): string => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 200_000;
+    const late = {
+      priority: "low",
+      estimate: Duration.seconds(20),
+      deadline: Duration.seconds(90),
+    } as const;
+    fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
+    // there is no machine for it
+    fixture.scheduler.jobSeen(
+      spec({ id: "req-000002", priority: "low", zone: "west" }),
+      22,
+      instant(150_000),
+    );
+    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(199_000));
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.step();
+    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+  };
+  assert.equal(firstStarted(false), "req-000003");
+  assert.equal(firstStarted(true), "req-000001");
+
+  const started = (urgent: boolean): number => {
+    const fixture = new ClusterFixture(EAST);
+    fixture.now = 50_000;
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
+    fixture.step();
+    fixture.scheduler.jobSeen(
+      spec({ id: "req-000002", kind: "gang", tasks: 6, priority: "low" }),
+      21,
+      instant(1000),
+    );
+    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
+    fixture.step();
+    return fixture.live().length;
+  };
+  assert.equal(started(false), 6);
+  assert.equal(started(true), 1);
+});
