--- /dev/null
+++ b/test/codecs.test.ts
@@ -0,0 +1,125 @@
+/** What is read from users, workers and other controllers: submissions, heartbeats and messages. */
+import assert from "node:assert/strict";
+import { test } from "node:test";
+import * as Duration from "effect/Duration";
+import { unschedulableReason } from "../src/core/placement/admission.js";
+import { parseHeartbeat, parseSubmission, readJob } from "../src/io/codec.js";
+import { deliveryReceiptCodec, syncRequestCodec } from "../src/io/peer-codec.js";
+import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
+import { TEAMS, TYPES } from "./model.js";
+import { heartbeatWith } from "./term-fixture.js";
+
+const submission = {
+  ref: "req-000412",
+  roster: "train",
+  crew: "red",
+  shape: "ensemble",
+  urgency: "urgent",
+  chores: 4,
+  vcpus: 2,
+  gpus: 0,
+  mem_gb: 4,
+  bundle: "img",
+  image_gb: 1,
+  district: null,
+  together: false,
+  apart: true,
+  loaners: false,
+  expected_s: 20,
+  bookmark_s: 0,
+  stash_s: 0,
+  due_s: 90,
+};
+
+const without = (...names: string[]): object =>
+  Object.fromEntries(Object.entries(submission).filter(([name]) => !names.includes(name)));
+
+test("a submission that lacks a field is malformed; a record that an earlier version accepted so is read", () => {
+  const optional = ["builds", "district", "due_s"];
+  for (const name of Object.keys(submission)) {
+    const rest = without(name);
+    const isFine = typeof parseSubmission(JSON.stringify(rest)) !== "string";
+    assert.equal(isFine, optional.includes(name), name);
+    const isNull = typeof parseSubmission(JSON.stringify({ ...rest, [name]: null })) !== "string";
+    assert.equal(isNull, optional.includes(name), `${name}: null`);
+  }
+  const old = without("gpus", "loaners", "stash_s");
+  assert.equal(readJob("req-000412", old)?.gpus, 0);
+  assert.equal(readJob("req-000413", old), null);
+});
+
+test("submissions: null and omitted are the same, and the limits of teams and machines decide", () => {
+  const parsed = parseSubmission(JSON.stringify(submission));
+  assert.ok(typeof parsed !== "string");
+  assert.equal(parsed.spec.kind, "gang");
+  assert.equal(parsed.spec.gpus, 0);
+  assert.equal(Duration.toSeconds(parsed.spec.deadline!), 90);
+  const teams = new Map(TEAMS.map((team) => [team.name, team]));
+  const why = (more: object) => unschedulableReason({ ...parsed.spec, ...more }, teams, TYPES);
+  assert.equal(why({}), null);
+  assert.match(why({ team: "green" })!, /no such team/);
+  assert.match(why({ cpus: 17 })!, /no allowed machine/);
+  assert.match(why({ cpus: 10, types: ["small"] })!, /no allowed machine/);
+  assert.match(why({ tasks: 13 })!, /limit/);
+  assert.equal(why({ tasks: 13, kind: "array" }), null);
+  assert.equal(why({ tasks: 13, team: "blue" }), null);
+});
+
+test("reports that are no reports are refused, and never end a process", () => {
+  const good = {
+    hearth: "n",
+    endpoint: "10.0.0.1:9",
+    build: "b",
+    district: "d",
+    shift: 1,
+    tally: 1,
+    baton: 0,
+  };
+  const task = { chore: "req-1/2", try: 3, status: "running" };
+  assert.equal(parseHeartbeat({ ...good, chores: [task] })?.tasks[0]?.index, 2);
+  for (const bad of [
+    null,
+    3,
+    {},
+    { ...good, shift: 1.5 },
+    { ...good, tally: -1 },
+    { ...good, endpoint: "x" },
+    { ...good, endpoint: "10.0.0.1:99999999" },
+    { ...good, hearth: "n".repeat(1000) },
+    { ...good, chores: {} },
+    { ...good, chores: [null] },
+    { ...good, chores: [{ ...task, chore: 7 }] },
+    { ...good, chores: [{ ...task, chore: "req-1/x" }] },
+    { ...good, chores: [{ ...task, try: "3" }] },
+    { ...good, chores: [{ ...task, status: "dancing" }] },
+  ])
+    assert.equal(parseHeartbeat(bad), null, JSON.stringify(bad).slice(0, 100));
+});
+
+test("what controllers tell one another survives the wire", () => {
+  const heartbeat = heartbeatWith({
+    reclaimNoticeSeconds: 3.5,
+    tasks: [{ job: "req-1", index: 99_999, attempt: 4_000_000_001, state: "exited", exitReason: "done" }],
+  });
+  const sync = {
+    termNumber: 2 ** 40,
+    member: "a",
+    incarnation: 12,
+    leaderClockMark: -1,
+    progressVersion: 7,
+    reachesStateService: true,
+    contacts: [{ machine: "n-1", answerAgeMs: 12.5, heartbeatAgeMs: -1 }],
+    commandResults: [{ id: 3_000_000_000_001, outcome: "unknown" as const, workerEpoch: 1, sequence: 2 }],
+    heartbeats: [{ heartbeat, ageMs: 7 }],
+    storedFinishes: [{ job: "req-1", ranges: [[0, 7] as const] }],
+  };
+  assert.deepEqual(
+    JSON.parse(JSON.stringify(syncRequestCodec.decode(syncRequestCodec.encode(sync)))),
+    JSON.parse(JSON.stringify(sync)),
+  );
+  assert.equal(deliveryReceiptCodec.decode(deliveryReceiptCodec.encode({ accepted: true })).accepted, true);
+  const pieces = toFragments(sync, fragmentLimits(16, 16))!;
+  assert.deepEqual(JSON.parse(JSON.stringify(fromFragments(pieces))), JSON.parse(JSON.stringify(sync)));
+  assert.equal(fromFragments([{ of: 2, data: pieces[0]!.data }]), null);
+  assert.equal(fromFragments([{ of: 1, data: "????" }]), null);
+});
