--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,15 +1,15 @@
 /**
  * One controller alone with 4,000 workers, each of which keeps its connection while it may. Its sockets are fewer than
- * the workers: they have to take turns, and none may be left unheard. Bounded in count; no verdict depends on the clock.
+ * the workers: they have to take turns, and no heartbeat may be left unanswered. Bounded in count; no verdict depends on the clock.
  */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
 import { readFileSync } from "node:fs";
 import http from "node:http";
 import { after, before, test } from "node:test";
-import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { FakeCloud } from "./fakes/fake-cloud.js";
+import { startController, until, writeSettings } from "./controller-process.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
+import { ServiceFixture } from "./service-fixture.js";
 
 const WORKERS = 4000;
 const MAX_CONNECTIONS = 2500;
@@ -21,58 +21,42 @@
 const ATTEMPT_EVERY_MS = 100;
 const NO_CONNECTION = 0;
 
-const state = new FakeStateService();
-const cloud = new FakeCloud(() => front);
-let front = "";
+const service = new ServiceFixture(new FakeStateService());
 let child: ChildProcess | null = null;
 
 before(async () => {
-  await state.start();
-  await cloud.start();
-  front = `127.0.0.1:${await freePort()}`;
-  const settings = writeSettings({
-    member: "one",
-    domain: "east",
-    front,
-    peer_bind: `127.0.0.1:${await freePort()}`,
-    seeds: [],
-    external: { cloud: cloud.addr, state: state.addr },
-    params: {
-      zones: ["east"],
-      teams: [{ name: "red", cpus: 100, cpus_max: 0, gpus: 0, gpus_max: 0 }],
-      workers: { report_s: 30, lease_s: 300, cancel_s: 600 },
-      state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16 },
-      cloud: { rps: 50, list_lag_s: 1 },
-      machine_limits: { max_connections: MAX_CONNECTIONS },
-    },
+  await service.start();
+  const settings = service.settings("one", {
+    teams: [{ name: "red", cpus: 100, cpus_max: 0, gpus: 0, gpus_max: 0 }],
+    workers: { report_s: 30, lease_s: 300, cancel_s: 600 },
+    machine_limits: { max_connections: MAX_CONNECTIONS },
   });
-  child = startController(settings);
-  await until("the node is up", async () => (await fetch(`http://${front}/up`)).status === 200);
+  child = startController(writeSettings(settings));
+  await until("the node is up", async () => (await fetch(`http://${service.front}/up`)).status === 200);
 });
 after(() => {
   child?.kill("SIGKILL");
-  cloud.stop();
-  state.stop();
+  service.stop();
 });
 
 /** A worker without tasks, with at most one connection of its own. */
 class IdleWorker {
   readonly agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
-  private seq = 0;
+  private sequence = 0;
 
   constructor(private readonly id: string) {}
 
-  /** Reports until it is answered or finds no connection. */
-  async reportUntilAnswered(): Promise<number> {
+  /** Sends a heartbeat until it is answered or finds no connection. */
+  async heartbeatUntilAnswered(): Promise<number> {
     let status = 503;
     for (let attempt = 0; attempt < ATTEMPTS && status === 503; attempt++) {
       if (attempt > 0) await new Promise((resolve) => setTimeout(resolve, ATTEMPT_EVERY_MS));
-      status = await this.report();
+      status = await this.sendHeartbeat();
     }
     return status;
   }
 
-  private report(): Promise<number> {
+  private sendHeartbeat(): Promise<number> {
     const body = JSON.stringify({
       hearth: this.id,
       endpoint: "127.0.0.1:9",
@@ -80,12 +64,12 @@
       district: "east",
       loaners: false,
       shift: 1,
-      tally: ++this.seq,
+      tally: ++this.sequence,
       baton: 0,
       recall_s: null,
       chores: [],
     });
-    const [host, port] = front.split(":");
+    const [host, port] = service.front.split(":");
     return new Promise((resolve) => {
       const request = http.request({ host, port, method: "POST", path: "/agent/beat", agent: this.agent });
       request.setTimeout(20_000, () => request.destroy());
@@ -107,14 +91,14 @@
   for (let round = 0; round < ROUNDS; round++) {
     for (let at = 0; at < WORKERS; at += AT_ONCE) {
       const some = workers.slice(at, at + AT_ONCE);
-      const answers = await Promise.all(some.map((worker) => worker.reportUntilAnswered()));
+      const answers = await Promise.all(some.map((worker) => worker.heartbeatUntilAnswered()));
       failed += answers.filter((status) => status !== 200).length;
     }
   }
   assert.equal(failed, 0);
   // users find room beside them
   const answers = await Promise.all(
-    Array.from({ length: 50 }, (_, n) => fetch(`http://${front}/v2/runs/req-${n}`)),
+    Array.from({ length: 50 }, (_, n) => fetch(`http://${service.front}/v2/runs/req-${n}`)),
   );
   assert.ok(answers.every(({ status }) => status === 404));
   const status = readFileSync(`/proc/${child?.pid}/status`, "utf8");
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -28,9 +28,9 @@
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
 import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
 import { fromFragments } from "../src/service/members/update-relay.js";
-import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { FakeCloud } from "./fakes/fake-cloud.js";
+import { startController, until, writeSettings } from "./controller-process.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
+import { ServiceFixture } from "./service-fixture.js";
 
 type Json = Record<string, unknown>;
 interface Write {
@@ -299,16 +299,10 @@
 };
 
 test("this version goes on from waiting jobs, sets and released jobs of the last landing", async () => {
-  const state = new RecordingState();
-  let front = "";
-  const cloud = new FakeCloud(() => front);
-  await state.start();
-  await cloud.start();
-  stops.push(
-    () => state.stop(),
-    () => cloud.stop(),
-  );
-  front = `127.0.0.1:${await freePort()}`;
+  const service = new ServiceFixture(new RecordingState());
+  const { state, cloud } = service;
+  await service.start();
+  stops.push(() => service.stop());
   const first = (key: string, fits: (value: Json) => boolean = () => true): void => {
     const found = last.records.find((r) => r.key === key && fits(r.value));
     assert.ok(found !== undefined, key);
@@ -338,27 +332,16 @@
   first("commit/req-000005");
   first("job-fanin/req-000005", joined(1));
 
-  const config = writeSettings({
-    member: "north",
-    domain: "east",
-    front,
-    peer_bind: `127.0.0.1:${await freePort()}`,
-    seeds: [],
-    external: { cloud: cloud.addr, state: state.addr },
-    params: {
-      zones: ["east"],
+  const config = writeSettings(
+    service.settings("north", {
       teams: [{ name: "red", cpus: 100, cpus_max: 200, gpus: 0, gpus_max: 0 }],
       workers: { report_s: 0.2, lease_s: 10, gang_wait_s: 10, gang_peer_s: 2, cancel_s: 30 },
       state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16, next: { value_kb: 1, txn_ops: 6 } },
-      cloud: { rps: 50, list_lag_s: 1 },
       machine_limits: { max_connections: 1000 },
-    },
-  });
+    }),
+  );
   child = startController(config);
-  const statusOf = async (id: string) => {
-    const response = await fetch(`http://${front}/v2/runs/${id}`);
-    return ((await response.json()) as Json)["status"];
-  };
+  const statusOf = async (id: string) => (await service.ask("GET", `/v2/runs/${id}`)).json["status"];
   for (const id of ["02", "03", "30", "31"])
     await until(`${id} is done`, async () => (await statusOf(`req-0000${id}`)) === "done");
   for (const id of ["10", "11"])
--- /dev/null
+++ b/test/service-fixture.ts
@@ -0,0 +1,70 @@
+/** What tests of whole controllers share: the fakes round them, their settings, and requests to them. */
+import { freePort } from "./controller-process.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
+
+/** The status and the JSON body of an answer. */
+export interface Answer {
+  readonly status: number;
+  readonly json: Record<string, unknown>;
+}
+
+/** Sends a request to a controller; a body that is text is sent as it is. */
+export const request = async (
+  address: string,
+  method: string,
+  path: string,
+  body?: unknown,
+): Promise<Answer> => {
+  const response = await fetch(`http://${address}${path}`, {
+    method,
+    ...(body === undefined ? {} : { body: typeof body === "string" ? body : JSON.stringify(body) }),
+  });
+  return { status: response.status, json: (await response.json()) as Record<string, unknown> };
+};
+
+/** The outside systems of one controller, and the addresses that it listens on. */
+export class ServiceFixture<State extends FakeStateService = FakeStateService> {
+  /** Where the controller answers users and workers. */
+  front = "";
+  /** Where it answers other controllers. */
+  peer = "";
+  readonly cloud = new FakeCloud(() => this.front);
+
+  constructor(readonly state: State) {}
+
+  async start(): Promise<void> {
+    await this.state.start();
+    await this.cloud.start();
+    this.front = `127.0.0.1:${await freePort()}`;
+    this.peer = `127.0.0.1:${await freePort()}`;
+  }
+
+  stop(): void {
+    this.cloud.stop();
+    this.state.stop();
+  }
+
+  /** The platform's settings for the controller; `params` are added to the zones and the limits of cloud and state service. */
+  settings(member: string, params: object, seeds: readonly object[] = []): object {
+    return {
+      member,
+      domain: "east",
+      front: this.front,
+      peer_bind: this.peer,
+      seeds,
+      external: { cloud: this.cloud.addr, state: this.state.addr },
+      params: {
+        zones: ["east"],
+        state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16 },
+        cloud: { rps: 50, list_lag_s: 1 },
+        ...params,
+      },
+    };
+  }
+
+  /** Sends a request to the controller. */
+  ask(method: string, path: string, body?: unknown): Promise<Answer> {
+    return request(this.front, method, path, body);
+  }
+}
--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -4,30 +4,19 @@
 import { readFileSync } from "node:fs";
 import { connect } from "node:net";
 import { after, before, test } from "node:test";
-import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { FakeCloud } from "./fakes/fake-cloud.js";
+import { startController, until, writeSettings } from "./controller-process.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
+import { ServiceFixture } from "./service-fixture.js";
 
-const state = new FakeStateService();
-const cloud = new FakeCloud(() => front);
-let front = "";
+const service = new ServiceFixture(new FakeStateService());
+const { state, cloud } = service;
 let config = "";
 let child: ChildProcess | null = null;
 
 const start = (): void => {
   child = startController(config);
 };
-const ask = async (
-  method: string,
-  path: string,
-  body?: unknown,
-): Promise<{ status: number; json: Record<string, unknown> }> => {
-  const response = await fetch(`http://${front}${path}`, {
-    method,
-    ...(body === undefined ? {} : { body: typeof body === "string" ? body : JSON.stringify(body) }),
-  });
-  return { status: response.status, json: (await response.json()) as Record<string, unknown> };
-};
+const ask = (method: string, path: string, body?: unknown) => service.ask(method, path, body);
 const job = (ref: string, more: object = {}): object => ({
   ref,
   roster: "maps",
@@ -51,27 +40,16 @@
 });
 
 before(async () => {
-  await state.start();
-  await cloud.start();
-  front = `127.0.0.1:${await freePort()}`;
-  config = writeSettings({
-    member: "one",
-    domain: "east",
-    front,
-    peer_bind: `127.0.0.1:${await freePort()}`,
-    seeds: [],
-    external: { cloud: cloud.addr, state: state.addr },
-    params: {
+  await service.start();
+  config = writeSettings(
+    service.settings("one", {
       initial_size: 1,
-      zones: ["east"],
       teams: [{ name: "red", cpus: 4, cpus_max: 8, gpus: 0, gpus_max: 0 }],
       objectives: [],
       workers: { report_s: 0.2, lease_s: 10, cancel_s: 30 },
-      state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16 },
-      cloud: { rps: 50, list_lag_s: 1 },
       machine_limits: { core_share: 1, ram_mb: 200, max_connections: 1000 },
-    },
-  });
+    }),
+  );
   start();
   await until("the node is up", async () => (await ask("GET", "/up")).status === 200);
   // 503 until the machine types are known
@@ -82,8 +60,7 @@
 });
 after(() => {
   child?.kill("SIGKILL");
-  cloud.stop();
-  state.stop();
+  service.stop();
 });
 
 const done = (ref: string) =>
@@ -268,7 +245,7 @@
   const post = (addr: string, path: string, body: string) =>
     fetch(`http://${addr}${path}`, { method: "POST", body });
   for (const body of ["", "{", "null", '{"hearth":"n-1"}', "x".repeat(100_000)])
-    assert.equal((await post(front, "/agent/beat", body)).status, 400);
+    assert.equal((await post(service.front, "/agent/beat", body)).status, 400);
   const { peer_bind } = JSON.parse(readFileSync(config, "utf8")) as { peer_bind: string };
   for (const path of ["/sync", "/deliver", "/word"])
     assert.equal((await post(peer_bind, path, "\u0000\u0001nonsense")).status, 400);
@@ -281,7 +258,7 @@
 });
 
 test("more requests than can be under way are answered 503 at once, with a time to come back", async () => {
-  const [host, port] = front.split(":") as [string, string];
+  const [host, port] = service.front.split(":") as [string, string];
   const slow = Array.from({ length: 400 }, () => {
     const socket = connect(Number(port), host);
     socket.on("error", () => undefined);
@@ -292,7 +269,7 @@
   try {
     let answer: Response | null = null;
     await until("it is full", async () => {
-      answer = await fetch(`http://${front}/v2/runs/req-000001`);
+      answer = await fetch(`http://${service.front}/v2/runs/req-000001`);
       await answer.text();
       return answer.status === 503;
     });
--- a/test/upgrade-failover.test.ts
+++ b/test/upgrade-failover.test.ts
@@ -6,10 +6,8 @@
 import { after, test } from "node:test";
 import { keys, type MachinesRecord } from "../src/core/records.js";
 import { decodeTerm } from "../src/io/record-codec.js";
-import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { FakeCloud } from "./fakes/fake-cloud.js";
+import { startController, until, writeSettings } from "./controller-process.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
-import type { MessageType } from "./wire-names.js";
 import {
   type Json,
   misreadByProduction,
@@ -18,6 +16,8 @@
   records,
   recordsUnder,
 } from "./production-release.js";
+import { ServiceFixture } from "./service-fixture.js";
+import type { MessageType } from "./wire-names.js";
 
 let child: ChildProcess | null = null;
 const stops: (() => void)[] = [];
@@ -27,7 +27,8 @@
 });
 
 /** Writes down what is written, by whomever. */
-class RecordingState extends FakeStateService {
+class RecordingStateService extends FakeStateService {
+  /** All keys that were written, with their values. */
   readonly puts: { key: string; value: unknown }[] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
     const before = this.ledger;
@@ -38,15 +39,12 @@
   }
 }
 
-test("this version serves under a leader of production, and goes on from its records", async () => {
-  const state = new RecordingState();
-  let front = "";
-  const cloud = new FakeCloud(() => front);
-  const heard: { type: MessageType; value: Json }[] = [];
-  // the leader of production
-  const south = http.createServer((request, response) => {
+/** The leader of production: it accepts updates, and no commands. */
+class ProductionLeader {
+  readonly received: { type: MessageType; value: Json }[] = [];
+  private readonly server = http.createServer((request, response) => {
     const chunks: Buffer[] = [];
-    request.on("data", (c: Buffer) => chunks.push(c));
+    request.on("data", (chunk: Buffer) => chunks.push(chunk));
     request.on("end", () => {
       const [type, answerType] = {
         "/sync": ["Sync", "SyncAnswer"] as const,
@@ -54,12 +52,12 @@
         "/word": ["Word", "WordAnswer"] as const,
       }[request.url ?? ""]!;
       const value = plain(productionTypes[type].fromBuffer(Buffer.concat(chunks))) as Json;
-      heard.push({ type, value });
+      this.received.push({ type, value });
       const answer = {
         SyncAnswer: {
           token: value["token"],
           ok: true,
-          mark: 1000 + heard.length,
+          mark: 1000 + this.received.length,
           version: 1,
           stateOk: true,
           progress: [],
@@ -70,27 +68,80 @@
       response.end(productionTypes[answerType].toBuffer(answer));
     });
   });
-  await state.start();
-  await cloud.start();
-  await new Promise<void>((done) => south.listen(0, "127.0.0.1", done));
-  stops.push(
-    () => state.stop(),
-    () => cloud.stop(),
-    () => {
-      south.closeAllConnections();
-      south.close();
-    },
-  );
-  front = `127.0.0.1:${await freePort()}`;
-  const peer = `127.0.0.1:${await freePort()}`;
-
-  // what production left: the last write of each key; its machines have names that the cloud here doesn't give,
-  // and nobody answers at their addresses
-  const nowhere = (value: MachinesRecord): MachinesRecord => ({
-    machines: Object.fromEntries(
-      Object.entries(value.machines).map(([id, record]) => [`old-${id}`, { ...record, addr: "127.0.0.1:1" }]),
-    ),
-  });
+
+  async start(): Promise<void> {
+    await new Promise<void>((done) => this.server.listen(0, "127.0.0.1", done));
+  }
+  get addr(): string {
+    return `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
+  }
+  stop(): void {
+    this.server.closeAllConnections();
+    this.server.close();
+  }
+}
+
+/** The term as production stores it. */
+interface StoredTerm {
+  readonly token: number;
+  readonly key: number;
+  readonly leader: string;
+  readonly members: readonly { name: string; incarnation: number; zone: string }[];
+}
+
+/** A process of this version, the leader of production and everything round them. */
+class UpgradeFixture extends ServiceFixture<RecordingStateService> {
+  readonly leader = new ProductionLeader();
+  term: StoredTerm = { token: 4, key: 0, leader: "south", members: [] };
+
+  constructor() {
+    super(new RecordingStateService());
+  }
+  override async start(): Promise<void> {
+    await super.start();
+    await this.leader.start();
+  }
+  override stop(): void {
+    super.stop();
+    this.leader.stop();
+  }
+
+  async statusOf(ref: string): Promise<unknown> {
+    return (await this.ask("GET", `/v2/runs/${ref}`)).json["status"];
+  }
+  /** What the process sent to the leader of production under the term with both. */
+  syncs(): Json[] {
+    return this.leader.received
+      .filter(({ type, value }) => type === "Sync" && value["token"] === 5)
+      .map(({ value }) => value);
+  }
+  /** Sends a message of production to the process. */
+  async send(type: MessageType, answer: MessageType, path: string, value: object): Promise<Json> {
+    const response = await fetch(`http://${this.peer}${path}`, {
+      method: "POST",
+      body: new Uint8Array(productionTypes[type].toBuffer(value)),
+    });
+    assert.equal(response.status, 200);
+    return productionTypes[answer].fromBuffer(Buffer.from(await response.arrayBuffer())) as Json;
+  }
+}
+
+/** Machines have names that the cloud here doesn't give, and nobody answers at their addresses. */
+const nowhere = (value: MachinesRecord): MachinesRecord => ({
+  machines: Object.fromEntries(
+    Object.entries(value.machines).map(([id, record]) => [`old-${id}`, { ...record, addr: "127.0.0.1:1" }]),
+  ),
+});
+
+/** A job that production accepted, as a user submitted it. */
+const newSubmission = (): Json => {
+  const submission = { ...recordsUnder<Json>(keys.job("req-000001"))[0]!.value };
+  delete submission["accepted_ms"];
+  return submission;
+};
+
+/** What production left: the last write of each key. */
+const putRecords = (state: FakeStateService): void => {
   for (const { key, value } of records) {
     if (key.startsWith(keys.cluster)) continue;
     // as it was while two of the jobs were unfinished
@@ -103,117 +154,115 @@
   state.put(keys.job("req-000050"), { ...unfinished!.value, ref: "req-000050", shape: "array", chores: 40 });
   state.put(keys.rangesOf("req-000050", "south.3.1", 0), { ranges: [[0, 30]] });
   state.put(keys.rangesOf("req-000050", "west.4", 0), { ranges: [[28, 35]] });
+};
+
+/** Makes the controller of production the leader. */
+const putTerm = (upgrade: UpgradeFixture): void => {
+  const { state } = upgrade;
   state.put(keys.member("south"), { zone: "east", permit: 1 });
   const incarnation = state.ledger;
   state.put(keys.leader, { member: "south", permit: 1 });
-  const term = { token: 4, key: state.ledger, leader: "south" };
-  state.put(keys.term, { ...term, members: [{ name: "south", incarnation, zone: "east" }] });
-
-  const config = writeSettings({
-    member: "north",
-    domain: "east",
-    front,
-    peer_bind: peer,
-    seeds: [{ member: "south", domain: "east", addr: `127.0.0.1:${(south.address() as AddressInfo).port}` }],
-    external: { cloud: cloud.addr, state: state.addr },
-    params: {
-      zones: ["east"],
+  upgrade.term = {
+    ...upgrade.term,
+    key: state.ledger,
+    members: [{ name: "south", incarnation, zone: "east" }],
+  };
+  state.put(keys.term, upgrade.term);
+};
+
+const settingsOf = (upgrade: UpgradeFixture): object =>
+  upgrade.settings(
+    "north",
+    {
       teams: [{ name: "red", cpus: 100, cpus_max: 200, gpus: 0, gpus_max: 0 }],
       workers: { report_s: 0.2, lease_s: 10, cancel_s: 30 },
       state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16, next: { value_kb: 2, txn_ops: 5 } },
-      cloud: { rps: 50, list_lag_s: 1 },
       machine_limits: { max_connections: 1000 },
     },
-  });
-  const mine = state.puts;
-  child = startController(config);
-  const ask = async (method: string, path: string, body?: object) => {
-    const response = await fetch(`http://${front}${path}`, {
-      method,
-      ...(body === undefined ? {} : { body: JSON.stringify(body) }),
-    });
-    return { status: response.status, json: (await response.json()) as Json };
+    [{ member: "south", domain: "east", addr: upgrade.leader.addr }],
+  );
+
+const assertServesUnderProduction = async (upgrade: UpgradeFixture): Promise<void> => {
+  await until("it joined", () => upgrade.state.rows.has(keys.member("north")));
+  const joined = upgrade.state.rows.get(keys.member("north"))!.stamp;
+  upgrade.term = {
+    ...upgrade.term,
+    token: 5,
+    members: [{ name: "north", incarnation: joined, zone: "east" }, ...upgrade.term.members],
   };
-  const statusOf = async (ref: string) => (await ask("GET", `/v2/runs/${ref}`)).json["status"];
-
-  // a member under the leader of production
-  await until("it joined", () => state.rows.has(keys.member("north")));
-  const joined = state.rows.get(keys.member("north"))!.stamp;
-  const members = [
-    { name: "north", incarnation: joined, zone: "east" },
-    { name: "south", incarnation, zone: "east" },
-  ];
-  state.put(keys.term, { ...term, token: 5, members });
-  const syncs = () => heard.filter((h) => h.type === "Sync" && h.value["token"] === 5).map((h) => h.value);
-  await until("it tells its news and echoes the mark", () =>
-    syncs().some((s) => (s["mark"] as number) > 1000),
+  upgrade.state.put(keys.term, upgrade.term);
+  await until("it sends its updates and echoes the mark", () =>
+    upgrade.syncs().some((s) => (s["mark"] as number) > 1000),
   );
-  await until("users are answered", async () => (await statusOf("req-000050")) === "queued");
-  const submission = { ...recordsUnder<Json>(keys.job("req-000001"))[0]!.value };
-  delete submission["accepted_ms"];
-  const accept = await ask("POST", "/v2/runs", { ...submission, ref: "req-000051" });
+  await until("users are answered", async () => (await upgrade.statusOf("req-000050")) === "queued");
+  const submission = newSubmission();
+  const accept = await upgrade.ask("POST", "/v2/runs", { ...submission, ref: "req-000051" });
   assert.equal(accept.status, 201);
-  const record = state.rows.get(keys.job("req-000051"))!.value as Json;
+  const record = upgrade.state.rows.get(keys.job("req-000051"))!.value as Json;
   assert.deepEqual({ ...submission, ref: "req-000051", accepted_ms: record["accepted_ms"] }, record);
-  const tell = async (type: MessageType, answer: MessageType, path: string, value: object) => {
-    const response = await fetch(`http://${peer}${path}`, {
-      method: "POST",
-      body: new Uint8Array(productionTypes[type].toBuffer(value)),
-    });
-    assert.equal(response.status, 200);
-    return productionTypes[answer].fromBuffer(Buffer.from(await response.arrayBuffer())) as Json;
-  };
-  assert.equal((await tell("Word", "WordAnswer", "/word", { token: 5 }))["noneNewer"], true);
-  assert.equal((await tell("Word", "WordAnswer", "/word", { token: 4 }))["noneNewer"], false);
-  // orders of that leader go out; that nobody answers there is news
+  assert.equal((await upgrade.send("Word", "WordAnswer", "/word", { token: 5 }))["noneNewer"], true);
+  assert.equal((await upgrade.send("Word", "WordAnswer", "/word", { token: 4 }))["noneNewer"], false);
+};
+
+const assertDeliversForProduction = async (upgrade: UpgradeFixture): Promise<void> => {
+  // commands of that leader go out; that nobody answers there is told to it
   const item = { id: 71, machine: "n-000001", addr: "127.0.0.1:1", session: 1, token: 5_000_000, orders: [] };
-  const deliver = { term: { ...term, token: 5, members }, items: [item] };
+  const deliver = { term: upgrade.term, items: [item] };
   await until(
     "it delivers",
-    async () => (await tell("Deliver", "Delivered", "/deliver", deliver))["accepted"] === true,
+    async () => (await upgrade.send("Deliver", "Delivered", "/deliver", deliver))["accepted"] === true,
   );
-  await until("the outcome is told", () =>
-    syncs().some((s) => (s["outcomes"] as Json[]).some((o) => o["id"] === 71 && o["outcome"] === "unsent")),
+  await until("the outcome is sent", () =>
+    upgrade
+      .syncs()
+      .some((s) => (s["outcomes"] as Json[]).some((o) => o["id"] === 71 && o["outcome"] === "unsent")),
   );
+};
 
+const assertGoesOnFromRecords = async (upgrade: UpgradeFixture): Promise<void> => {
   // that leader ends; all that it accepted and left goes on
-  state.remove(keys.leader);
-  state.remove(keys.member("south"));
+  upgrade.state.remove(keys.leader);
+  upgrade.state.remove(keys.member("south"));
   for (const ref of ["req-000001", "req-000003", "req-000050", "req-000051"])
-    await until(`${ref} done`, async () => (await statusOf(ref)) === "done");
+    await until(`${ref} done`, async () => (await upgrade.statusOf(ref)) === "done");
   // it asks for two zones and there is one
   await until(
     "half of the service runs",
-    async () => (await ask("GET", "/v2/runs/req-000019")).json["running"] === 1,
+    async () => (await upgrade.ask("GET", "/v2/runs/req-000019")).json["running"] === 1,
   );
-  const ran = cloud.events.filter((e) => e.startsWith("start req-000050/"));
+  const ran = upgrade.cloud.events.filter((event) => event.startsWith("start req-000050/"));
   assert.deepEqual(
     ran.sort(),
-    [35, 36, 37, 38, 39].map((i) => `start req-000050/${i}`),
+    [35, 36, 37, 38, 39].map((index) => `start req-000050/${index}`),
   );
   for (const [ref, outcome] of [
     ["req-000002", "done"],
     ["req-000029", "aborted"],
   ])
-    assert.equal(await statusOf(ref!), outcome);
+    assert.equal(await upgrade.statusOf(ref!), outcome);
   await until(
     "ranges that production left of jobs that were over are swept",
-    () => ![...state.rows.keys()].some((key) => /^ranges\/req-00000[24]\//.test(key)),
+    () => ![...upgrade.state.rows.keys()].some((key) => /^ranges\/req-00000[24]\//.test(key)),
+  );
+  const more = { ...newSubmission(), ref: "req-000052", chores: 3, vcpus: 4 };
+  assert.equal((await upgrade.ask("POST", "/v2/runs", more)).status, 201);
+  await until("it rents", async () => (await upgrade.statusOf("req-000052")) === "done");
+  assert.equal(decodeTerm(upgrade.state.rows.get(keys.term)!.value).number > 5, true);
+};
+
+const assertLeadsProduction = async (upgrade: UpgradeFixture): Promise<void> => {
+  // production comes back as a member: it is sent messages that it knows
+  const before = upgrade.leader.received.length;
+  upgrade.state.put(keys.member("south"), { zone: "east", permit: 2 });
+  await until(
+    "a term with both",
+    () => decodeTerm(upgrade.state.rows.get(keys.term)!.value).members.length === 2,
   );
-  const more = { ...submission, ref: "req-000052", chores: 3, vcpus: 4 };
-  assert.equal((await ask("POST", "/v2/runs", more)).status, 201);
-  await until("it rents", async () => (await statusOf("req-000052")) === "done");
-  assert.equal(decodeTerm(state.rows.get(keys.term)!.value).number > 5, true);
-
-  // production comes back as a member: it is told in a way that it knows
-  const before = heard.length;
-  state.put(keys.member("south"), { zone: "east", permit: 2 });
-  await until("a term with both", () => decodeTerm(state.rows.get(keys.term)!.value).members.length === 2);
-  const now = decodeTerm(state.rows.get(keys.term)!.value);
-  const told = await tell("Sync", "SyncAnswer", "/sync", {
-    token: now.number,
+  const both = decodeTerm(upgrade.state.rows.get(keys.term)!.value);
+  const answer = await upgrade.send("Sync", "SyncAnswer", "/sync", {
+    token: both.number,
     member: "south",
-    incarnation: now.members.find((member) => member.name === "south")!.incarnation,
+    incarnation: both.members.find((member) => member.name === "south")!.incarnation,
     mark: -1,
     version: -1,
     stateOk: true,
@@ -222,16 +271,31 @@
     stored: [],
     outcomes: [],
   });
-  assert.equal(told["token"], now.number);
-  for (const { type } of heard.slice(before))
+  assert.equal(answer["token"], both.number);
+  for (const { type } of upgrade.leader.received.slice(before))
     assert.ok(type === "Deliver" || type === "Sync" || type === "Word");
+};
 
-  // and all that was written by this version is what production reads
-  assert.ok(mine.length > 10);
-  for (const { key, value } of mine) assert.equal(misreadByProduction(key, value), null);
+const assertReadByProduction = (written: readonly { key: string; value: unknown }[]): void => {
+  assert.ok(written.length > 10);
+  for (const { key, value } of written) assert.equal(misreadByProduction(key, value), null);
   for (const prefix of ["cluster/", "commit/", "machines/", "rental/", "job/"])
     assert.ok(
-      mine.some(({ key }) => key.startsWith(prefix)),
+      written.some(({ key }) => key.startsWith(prefix)),
       prefix,
     );
+};
+
+test("this version serves under a leader of production, and goes on from its records", async () => {
+  const upgrade = new UpgradeFixture();
+  await upgrade.start();
+  stops.push(() => upgrade.stop());
+  putRecords(upgrade.state);
+  putTerm(upgrade);
+  child = startController(writeSettings(settingsOf(upgrade)));
+  await assertServesUnderProduction(upgrade);
+  await assertDeliversForProduction(upgrade);
+  await assertGoesOnFromRecords(upgrade);
+  await assertLeadsProduction(upgrade);
+  assertReadByProduction(upgrade.state.puts);
 });
