--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -6,6 +6,7 @@
 import { instant } from "../src/core/time.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 const termOf = (number: number) => ({ number: number, leaderRevision: 10, leader: "a", members: [] });
 
@@ -38,7 +39,7 @@
     // as after so many starts
     if (numbers.length === 0) for (let i = 0; i < 950_000; i++) nextAttempt.call(this);
     numbers.push(nextAttempt.call(this));
-    return numbers.at(-1)!;
+    return present(numbers.at(-1));
   };
   try {
     fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
--- a/test/cluster-fixture.ts
+++ b/test/cluster-fixture.ts
@@ -5,6 +5,7 @@
 import { fencingTokenOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
+import { present } from "./present.js";
 
 /** A scheduler with small machines (8 processors each) that execute and send a heartbeat at once. */
 export class ClusterFixture {
@@ -52,20 +53,20 @@
   /** A machine sends a heartbeat with the tasks that it has. */
   report(
     id: string,
-    zone = this.scheduler.cluster.machines.get(id)!.zone,
+    zone = present(this.scheduler.cluster.machines.get(id)).zone,
     more: Partial<Heartbeat> = {},
   ): void {
     const heartbeat: Heartbeat = {
       machine: id,
       addr: id,
-      type: this.scheduler.cluster.machines.get(id)!.type,
+      type: present(this.scheduler.cluster.machines.get(id)).type,
       zone,
       spot: false,
       workerEpoch: 1,
       sequence: ++this.sequence,
       fencingToken: this.knownToken,
       reclaimNoticeSeconds: null,
-      tasks: [...this.tasks.get(id)!.values()],
+      tasks: [...present(this.tasks.get(id)).values()],
       ...more,
     };
     this.scheduler.heartbeatReceived(heartbeat, "a", instant(this.now));
@@ -111,7 +112,7 @@
   }
 
   private execute(machine: string, command: Command): void {
-    const tasks = this.tasks.get(machine)!;
+    const tasks = present(this.tasks.get(machine));
     const key = `${command.job}/${command.index}#${command.attempt}`;
     const base = { job: command.job, index: command.index, attempt: command.attempt };
     if (command.op === "forget") tasks.delete(key);
@@ -121,8 +122,8 @@
 
   /** All tasks on the machine end with this reason. */
   endTasks(machine: string, exitReason: "done" | "error"): void {
-    for (const [key, task] of this.tasks.get(machine)!)
-      this.tasks.get(machine)!.set(key, { ...task, state: "exited", exitReason });
+    for (const [key, task] of present(this.tasks.get(machine)))
+      present(this.tasks.get(machine)).set(key, { ...task, state: "exited", exitReason });
   }
 
   /** Tasks that have not exited, on all machines. */
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -8,6 +8,7 @@
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
 import { TEAMS, TYPES } from "./model.js";
 import { heartbeatWith } from "./term-fixture.js";
+import { present } from "./present.js";
 
 const submission = {
   ref: "req-000412",
@@ -53,14 +54,14 @@
   assert.ok(typeof parsed !== "string");
   assert.equal(parsed.spec.kind, "gang");
   assert.equal(parsed.spec.gpus, 0);
-  assert.equal(Duration.toSeconds(parsed.spec.deadline!), 90);
+  assert.equal(Duration.toSeconds(present(parsed.spec.deadline)), 90);
   const teams = new Map(TEAMS.map((team) => [team.name, team]));
   const why = (more: object) => unschedulableReason({ ...parsed.spec, ...more }, teams, TYPES);
   assert.equal(why({}), null);
-  assert.match(why({ team: "green" })!, /no such team/);
-  assert.match(why({ cpus: 17 })!, /no allowed machine/);
-  assert.match(why({ cpus: 10, types: ["small"] })!, /no allowed machine/);
-  assert.match(why({ tasks: 13 })!, /limit/);
+  assert.match(present(why({ team: "green" })), /no such team/);
+  assert.match(present(why({ cpus: 17 })), /no allowed machine/);
+  assert.match(present(why({ cpus: 10, types: ["small"] })), /no allowed machine/);
+  assert.match(present(why({ tasks: 13 })), /limit/);
   assert.equal(why({ tasks: 13, kind: "array" }), null);
   assert.equal(why({ tasks: 13, team: "blue" }), null);
 });
@@ -118,8 +119,8 @@
     JSON.parse(JSON.stringify(sync)),
   );
   assert.equal(deliveryReceiptCodec.decode(deliveryReceiptCodec.encode({ accepted: true })).accepted, true);
-  const pieces = toFragments(sync, fragmentLimits(16, 16))!;
+  const pieces = present(toFragments(sync, fragmentLimits(16, 16)));
   assert.deepEqual(JSON.parse(JSON.stringify(fromFragments(pieces))), JSON.parse(JSON.stringify(sync)));
-  assert.equal(fromFragments([{ of: 2, data: pieces[0]!.data }]), null);
+  assert.equal(fromFragments([{ of: 2, data: present(pieces[0]).data }]), null);
   assert.equal(fromFragments([{ of: 1, data: "????" }]), null);
 });
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -5,6 +5,7 @@
 import { instant } from "../src/core/time.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 const BROKEN = "req-000001";
 
@@ -15,7 +16,7 @@
     for (const [machine, tasks] of fixture.tasks)
       for (const [key, task] of tasks)
         if (task.job === BROKEN && task.state === "running")
-          fixture.tasks.get(machine)!.set(key, { ...task, state: "exited", exitReason: "error" });
+          present(fixture.tasks.get(machine)).set(key, { ...task, state: "exited", exitReason: "error" });
   }
 };
 
@@ -87,7 +88,7 @@
   fixture.endTasks("n-4", "error");
   fixture.step();
   assert.ok(starts(fixture).length > before, "the others are tried again");
-  assert.ok(rented(fixture) > 0 || fixture.scheduler.cluster.jobs.get(BROKEN)!.pending.size > 1);
+  assert.ok(rented(fixture) > 0 || present(fixture.scheduler.cluster.jobs.get(BROKEN)).pending.size > 1);
 });
 
 test("a job that fails everywhere goes before no other, however long it waits", () => {
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -5,6 +5,7 @@
 import { instant } from "../src/core/time.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 test("a gang starts whole, with one attempt, and after a loss is taken down whole before the next", () => {
   const fixture = new ClusterFixture(EAST);
@@ -15,8 +16,8 @@
   assert.equal(fixture.live().length, 4);
   assert.equal(first.size, 1);
   // one machine is gone for certain: its tasks with it
-  const lost = fixture.sent[0]!.machine;
-  fixture.tasks.get(lost)!.clear();
+  const lost = present(fixture.sent[0]).machine;
+  present(fixture.tasks.get(lost)).clear();
   fixture.scheduler.releaseAnswered([lost], true, instant(fixture.now));
   fixture.step();
   assert.ok(fixture.ops("stop") > 0);
--- a/test/leases-and-terms.test.ts
+++ b/test/leases-and-terms.test.ts
@@ -12,6 +12,7 @@
 } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
 import { TERM } from "./term-fixture.js";
+import { present } from "./present.js";
 
 test("lease timings: fencing window < lease, and fencing window + lease_s < cancel_s", () => {
   for (const [leaseS, cancelS] of [
@@ -40,13 +41,13 @@
   const without = { ...TERM, members: TERM.members.filter((member) => member.name !== "c") };
   const owners = new Map<string, number>();
   for (const machine of machines) {
-    const owner = ownerOf(TERM, machine, "east")!.name;
+    const owner = present(ownerOf(TERM, machine, "east")).name;
     owners.set(owner, (owners.get(owner) ?? 0) + 1);
     assert.notEqual(owner, "b");
-    if (owner !== "c") assert.equal(ownerOf(without, machine, "east")!.name, owner);
+    if (owner !== "c") assert.equal(present(ownerOf(without, machine, "east")).name, owner);
     assert.notEqual(ownerOf(TERM, machine, "north"), null);
   }
-  assert.ok(Math.min(owners.get("a")!, owners.get("c")!) > 50);
+  assert.ok(Math.min(present(owners.get("a")), present(owners.get("c"))) > 50);
 });
 
 test("the word of all other nodes, and of no fewer, keeps a node answering", () => {
--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -10,6 +10,7 @@
 import { checkInvariants } from "./invariant-checker.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 const PIPELINE_END = { id: "req-000009", dependsOn: ["req-000002"], priority: "high" } as const;
 
@@ -22,7 +23,7 @@
     fixture.step();
     checkInvariants(fixture.scheduler.cluster);
     assert.equal(fixture.live().length, 6);
-    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
   };
   const end = spec(PIPELINE_END);
   assert.equal(
@@ -101,7 +102,7 @@
     fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
-    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
   };
   const due = { deadline: Duration.seconds(90) };
   assert.equal(firstStarted(150_000, 199_000, due), "req-000001");
@@ -126,7 +127,7 @@
     fixture.scheduler.waitingSeen(end, instant(190_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
-    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
   };
   // each of the two takes 45 s at most
   assert.equal(firstStarted(120), "req-000001");
@@ -144,9 +145,9 @@
     scheduler.waitingSeen(spec({ ...PIPELINE_END, deadline: due }), instant(10_000));
     assert.deepEqual([...scheduler.awaitingJobs], ["req-000002", "req-000009"]);
     assert.deepEqual([...scheduler.cluster.jobs.keys()], ["req-000001"]);
-    assert.equal(job("req-000001")!.rank, RANK.high);
+    assert.equal(present(job("req-000001")).rank, RANK.high);
     // two later stages of 60 s at most
-    assert.equal(job("req-000001")!.deadlineAt, 310_000 - 2 * 60_000);
+    assert.equal(present(job("req-000001")).deadlineAt, 310_000 - 2 * 60_000);
 
     scheduler.jobOver("req-000001");
     if (!releasedFirst) scheduler.waitingOver(stage.id);
@@ -155,14 +156,14 @@
     // late word that it waits
     scheduler.waitingSeen(stage, instant(0));
     assert.deepEqual([...scheduler.awaitingJobs], ["req-000009"]);
-    assert.equal(job(stage.id)!.rank, RANK.high);
-    assert.equal(job(stage.id)!.deadlineAt, 310_000 - 60_000);
-    assert.equal(job(stage.id)!.acceptedAt, 0);
-    assert.equal(job(stage.id)!.releasedAt, 50_000);
+    assert.equal(present(job(stage.id)).rank, RANK.high);
+    assert.equal(present(job(stage.id)).deadlineAt, 310_000 - 60_000);
+    assert.equal(present(job(stage.id)).acceptedAt, 0);
+    assert.equal(present(job(stage.id)).releasedAt, 50_000);
     // the last one is cancelled
     scheduler.waitingOver("req-000009");
-    assert.equal(job(stage.id)!.rank, RANK.low);
-    assert.equal(job(stage.id)!.deadlineAt, null);
+    assert.equal(present(job(stage.id)).rank, RANK.low);
+    assert.equal(present(job(stage.id)).deadlineAt, null);
   }
 });
 
@@ -232,7 +233,7 @@
     if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(199_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
-    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
   };
   assert.equal(firstStarted(false), "req-000003");
   assert.equal(firstStarted(true), "req-000001");
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -5,6 +5,7 @@
 import { instant } from "../src/core/time.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 test("together keeps a job in one zone, apart puts at most half of it into one", () => {
   const both = [...EAST, { id: "n-4", zone: "west" }, { id: "n-5", zone: "west" }];
@@ -12,7 +13,7 @@
   const zones = (fixture: ClusterFixture, job: string): string[] =>
     fixture.sent
       .filter((sent) => sent.command.job === job && sent.command.op === "start")
-      .map((sent) => zoneOf.get(sent.machine)!);
+      .map((sent) => present(zoneOf.get(sent.machine)));
   const one = new ClusterFixture(both);
   one.scheduler.jobSeen(spec({ oneZone: true, tasks: 9 }), 20, instant(0));
   for (let i = 0; i < 5; i++) one.step();
@@ -136,7 +137,7 @@
     fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
-    return fixture.sent.find((sent) => sent.command.op === "start")!.command.job;
+    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
   };
   assert.equal(firstStarted(195_000), "req-000002");
   assert.equal(firstStarted(150_000), "req-000001");
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -6,6 +6,7 @@
 import { instant } from "../src/core/time.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 test("an unanswered start is neither repeated elsewhere nor reaped until a higher token settles it", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
@@ -20,8 +21,8 @@
   for (let i = 0; i < 6; i++) fixture.step(["n-1"]);
   assert.equal(fixture.ops("start"), 1);
   // asked under a token of its own that is higher than the start's, it answers without the task
-  const asked = fixture.questions("n-1").at(-1)!;
-  assert.ok(asked.fencingToken > fixture.sent[0]!.fencingToken);
+  const asked = present(fixture.questions("n-1").at(-1));
+  assert.ok(asked.fencingToken > present(fixture.sent[0]).fencingToken);
   assert.equal(termNumberOf(asked.fencingToken), 1, "nobody else has to hear of it");
   fixture.step();
   fixture.step();
@@ -63,7 +64,7 @@
   const fixture = new ClusterFixture(EAST);
   fixture.scheduler.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
   fixture.step();
-  const started = fixture.sent[0]!;
+  const started = present(fixture.sent[0]);
   const copy: Heartbeat = {
     machine: "n-77",
     addr: "x",
@@ -105,7 +106,7 @@
     .step(instant(fixture.now))
     .filter((decision) => decision.kind === "commands");
   assert.equal(commands.length, 1);
-  const d = commands[0]!;
+  const d = present(commands[0]);
   fixture.scheduler.commandsAnswered("n-1", d.commands, d.fencingToken, "done", instant(fixture.now), {
     workerEpoch: 1,
     sequence: 50,
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -31,6 +31,7 @@
 import { startController, until, writeSettings } from "./controller-process.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
 import { ServiceFixture } from "./service-fixture.js";
+import { present } from "./present.js";
 
 type Json = Record<string, unknown>;
 interface Write {
@@ -100,7 +101,7 @@
 };
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 const of = (prefix: string) => last.records.filter((r) => r.key.startsWith(prefix));
-const idOf = (key: string): string => key.split("/")[1]!;
+const idOf = (key: string): string => present(key.split("/")[1]);
 
 // --- names ----------------------------------------------------------------------------------------------------
 
@@ -177,11 +178,11 @@
       name,
       Duration.isDuration(x) ? Duration.toMillis(x) : x,
     ]);
-    const { awaits, ...same } = meaning!;
+    const { awaits, ...same } = present(meaning);
     assert.deepEqual(
       {
         ...Object.fromEntries(read),
-        acceptedMs: acceptedOf(value)!.getTime(),
+        acceptedMs: present(acceptedOf(value)).getTime(),
         releasedMs: releasedOf(value)?.getTime() ?? null,
       },
       { ...same, dependsOn: awaits },
@@ -202,7 +203,7 @@
 test("sets, commits, ranges and machines of the last landing are read as they were meant", () => {
   for (const { key, value, meaning } of of("job-fanin/"))
     assert.deepEqual(readFanin(value), meaning, `${key} as it was read there`);
-  const released = of("job-fanin/").filter(({ meaning }) => meaning!["released"] === true);
+  const released = of("job-fanin/").filter(({ meaning }) => present(meaning)["released"] === true);
   assert.ok(released.length >= 2 && released.length < of("job-fanin/").length);
   const outcomes = of("commit/").map(({ value }) => value["outcome"]);
   for (const outcome of ["done", "cancelled"]) assert.ok(outcomes.includes(outcome), outcome);
@@ -215,9 +216,9 @@
     const [first, ...rest] = Object.keys(machines);
     const blocks = new MachineRecordStore();
     blocks.add(key, machines);
-    blocks.remove(first!);
-    const left = rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, machines[id]!]));
-    assert.deepEqual(blocks.changed(1)[0]!.machines, left);
+    blocks.remove(present(first));
+    const left = rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, present(machines[id])]));
+    assert.deepEqual(present(blocks.changed(1)[0]).machines, left);
   }
 });
 
@@ -294,8 +295,8 @@
     .map(({ key, value }) => `${value === undefined ? "delete" : "write"} ${key.split("/")[0]}`)
     .sort();
 const keptShape = (what: string): string[] => {
-  const { writes } = last.transactions.find((t) => t.what === what)!;
-  return shapeOf(writes, idOf(writes[0]!.key));
+  const { writes } = present(last.transactions.find((t) => t.what === what));
+  return shapeOf(writes, idOf(present(writes[0]).key));
 };
 
 test("this version goes on from waiting jobs, sets and released jobs of the last landing", async () => {
--- a/test/unhealthy-machines.test.ts
+++ b/test/unhealthy-machines.test.ts
@@ -10,6 +10,7 @@
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 test("a machine that fails every task is set aside; a job that fails everywhere sets none aside", () => {
   const sick = new ClusterFixture(EAST);
@@ -141,7 +142,7 @@
     return { job: "req-000001", index, attempt: 7, state: "running", exitReason: null };
   };
   for (const [i, id] of ["n-1", "n-2", "n-3", "n-4"].entries())
-    for (const index of [2 * i, 2 * i + 1]) fixture.tasks.get(id)!.set(`${index}`, running(index));
+    for (const index of [2 * i, 2 * i + 1]) present(fixture.tasks.get(id)).set(`${index}`, running(index));
   for (const id of fixture.tasks.keys()) fixture.report(id);
   fixture.scheduler.jobSeen(spec({ tasks: 8 }), 20, instant(0));
   fixture.step();
--- a/test/upgrade-failover.test.ts
+++ b/test/upgrade-failover.test.ts
@@ -18,6 +18,7 @@
 } from "./production-release.js";
 import { ServiceFixture } from "./service-fixture.js";
 import type { MessageType } from "./wire-names.js";
+import { present } from "./present.js";
 
 let child: ChildProcess | null = null;
 const stops: (() => void)[] = [];
@@ -46,11 +47,13 @@
     const chunks: Buffer[] = [];
     request.on("data", (chunk: Buffer) => chunks.push(chunk));
     request.on("end", () => {
-      const [type, answerType] = {
-        "/sync": ["Sync", "SyncAnswer"] as const,
-        "/deliver": ["Deliver", "Delivered"] as const,
-        "/word": ["Word", "WordAnswer"] as const,
-      }[request.url ?? ""]!;
+      const [type, answerType] = present(
+        {
+          "/sync": ["Sync", "SyncAnswer"] as const,
+          "/deliver": ["Deliver", "Delivered"] as const,
+          "/word": ["Word", "WordAnswer"] as const,
+        }[request.url ?? ""],
+      );
       const value = plain(productionTypes[type].fromBuffer(Buffer.concat(chunks))) as Json;
       this.received.push({ type, value });
       const answer = {
@@ -135,7 +138,7 @@
 
 /** A job that production accepted, as a user submitted it. */
 const newSubmission = (): Json => {
-  const submission = { ...recordsUnder<Json>(keys.job("req-000001"))[0]!.value };
+  const submission = { ...present(recordsUnder<Json>(keys.job("req-000001"))[0]).value };
   delete submission["accepted_ms"];
   return submission;
 };
@@ -146,12 +149,17 @@
     if (key.startsWith(keys.cluster)) continue;
     // as it was while two of the jobs were unfinished
     const [kind, id] = key.split("/");
-    const open = ["req-000001", "req-000003", "req-000019"].includes(id!);
+    const open = id !== undefined && ["req-000001", "req-000003", "req-000019"].includes(id);
     if (kind === (open ? "commit" : "job")) continue;
     state.put(key, key.startsWith(keys.machines) ? nowhere(value as MachinesRecord) : value);
   }
   const [unfinished] = recordsUnder<Json>(keys.job("req-000003"));
-  state.put(keys.job("req-000050"), { ...unfinished!.value, ref: "req-000050", shape: "array", chores: 40 });
+  state.put(keys.job("req-000050"), {
+    ...present(unfinished).value,
+    ref: "req-000050",
+    shape: "array",
+    chores: 40,
+  });
   state.put(keys.rangesOf("req-000050", "south.3.1", 0), { ranges: [[0, 30]] });
   state.put(keys.rangesOf("req-000050", "west.4", 0), { ranges: [[28, 35]] });
 };
@@ -184,7 +192,7 @@
 
 const assertServesUnderProduction = async (upgrade: UpgradeFixture): Promise<void> => {
   await until("it joined", () => upgrade.state.rows.has(keys.member("north")));
-  const joined = upgrade.state.rows.get(keys.member("north"))!.stamp;
+  const joined = present(upgrade.state.rows.get(keys.member("north"))).stamp;
   upgrade.term = {
     ...upgrade.term,
     token: 5,
@@ -198,7 +206,7 @@
   const submission = newSubmission();
   const accept = await upgrade.ask("POST", "/v2/runs", { ...submission, ref: "req-000051" });
   assert.equal(accept.status, 201);
-  const record = upgrade.state.rows.get(keys.job("req-000051"))!.value as Json;
+  const record = present(upgrade.state.rows.get(keys.job("req-000051"))).value as Json;
   assert.deepEqual({ ...submission, ref: "req-000051", accepted_ms: record["accepted_ms"] }, record);
   assert.equal((await upgrade.send("Word", "WordAnswer", "/word", { token: 5 }))["noneNewer"], true);
   assert.equal((await upgrade.send("Word", "WordAnswer", "/word", { token: 4 }))["noneNewer"], false);
@@ -239,7 +247,7 @@
     ["req-000002", "done"],
     ["req-000029", "aborted"],
   ])
-    assert.equal(await upgrade.statusOf(ref!), outcome);
+    assert.equal(await upgrade.statusOf(present(ref)), outcome);
   await until(
     "ranges that production left of jobs that were over are swept",
     () => ![...upgrade.state.rows.keys()].some((key) => /^ranges\/req-00000[24]\//.test(key)),
@@ -247,7 +255,7 @@
   const more = { ...newSubmission(), ref: "req-000052", chores: 3, vcpus: 4 };
   assert.equal((await upgrade.ask("POST", "/v2/runs", more)).status, 201);
   await until("it rents", async () => (await upgrade.statusOf("req-000052")) === "done");
-  assert.equal(decodeTerm(upgrade.state.rows.get(keys.term)!.value).number > 5, true);
+  assert.equal(decodeTerm(present(upgrade.state.rows.get(keys.term)).value).number > 5, true);
 };
 
 const assertLeadsProduction = async (upgrade: UpgradeFixture): Promise<void> => {
@@ -256,13 +264,13 @@
   upgrade.state.put(keys.member("south"), { zone: "east", permit: 2 });
   await until(
     "a term with both",
-    () => decodeTerm(upgrade.state.rows.get(keys.term)!.value).members.length === 2,
+    () => decodeTerm(present(upgrade.state.rows.get(keys.term)).value).members.length === 2,
   );
-  const both = decodeTerm(upgrade.state.rows.get(keys.term)!.value);
+  const both = decodeTerm(present(upgrade.state.rows.get(keys.term)).value);
   const answer = await upgrade.send("Sync", "SyncAnswer", "/sync", {
     token: both.number,
     member: "south",
-    incarnation: both.members.find((member) => member.name === "south")!.incarnation,
+    incarnation: present(both.members.find((member) => member.name === "south")).incarnation,
     mark: -1,
     version: -1,
     stateOk: true,
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -47,6 +47,7 @@
   records,
   recordsUnder,
 } from "./production-release.js";
+import { present } from "./present.js";
 
 test("what is kept comes from the version that deploy/service.toml names", () => {
   const deployed = readFileSync(new URL("../../../deploy/service.toml", import.meta.url), "utf8");
@@ -71,7 +72,7 @@
       Duration.isDuration(x) ? Duration.toMillis(x) : x,
     ]);
     assert.deepEqual(Object.fromEntries(read), { ...meaning, dependsOn: [] });
-    assert.equal(acceptedOf(value)!.getTime(), value["accepted_ms"]);
+    assert.equal(present(acceptedOf(value)).getTime(), value["accepted_ms"]);
     assert.equal(releasedOf(value), null);
     // and are what this version would have written, field by field
     const { accepted_ms: accepted, ...submission } = value;
@@ -85,18 +86,18 @@
   }
   for (const { key, value } of recordsUnder<RangesRecord>(keys.ranges)) {
     const [, id, writer, window] = key.split("/");
-    assert.equal(keys.rangesOf(id!, writer!, Number(window)), key);
+    assert.equal(keys.rangesOf(present(id), present(writer), Number(window)), key);
     assert.deepEqual(RangeSet.of(value.ranges).ranges(), value.ranges);
   }
   for (const { key, value } of recordsUnder<MachinesRecord>(keys.machines)) {
     const blocks = new MachineRecordStore();
     blocks.add(key, value.machines);
     const [first, ...rest] = Object.keys(value.machines);
-    blocks.remove(first!);
-    const left = Object.fromEntries(rest.map((id) => [id, value.machines[id]!]));
+    blocks.remove(present(first));
+    const left = Object.fromEntries(rest.map((id) => [id, present(value.machines[id])]));
     const [rewrite] = blocks.changed(1);
-    assert.deepEqual(rewrite!.machines, rest.length === 0 ? null : left);
-    assert.equal(rewrite!.key, key);
+    assert.deepEqual(present(rewrite).machines, rest.length === 0 ? null : left);
+    assert.equal(present(rewrite).key, key);
   }
   for (const { key, value } of recordsUnder<RentalRecord>(keys.rentals))
     assert.equal(keys.rental(key.slice(keys.rentals.length)), key, JSON.stringify(value));
@@ -166,14 +167,14 @@
     assert.deepEqual(plain(productionTypes[type].fromBuffer(bytes)), meaning, type);
   }
   // a member that couldn't name all workers it answered vouches for nobody; -1 has meant that before
-  const sync = messages.find((m) => m.type === "Sync" && (m.meaning["mark"] as number) >= 0)!.meaning;
+  const sync = present(messages.find((m) => m.type === "Sync" && (m.meaning["mark"] as number) >= 0)).meaning;
   const cut = productionTypes.Sync.fromBuffer(
     syncRequestCodec.encode(toCodeNames("Sync", { ...sync, mark: -1 }) as never),
   ) as Json;
   assert.equal(cut["mark"], -1);
   // production puts pieces together in order, whatever their size
   for (const limits of [fragmentLimits(16, 16), fragmentLimits(2, 16)]) {
-    const pieces = toFragments(toCodeNames("Sync", sync) as never, limits)!;
+    const pieces = present(toFragments(toCodeNames("Sync", sync) as never, limits));
     const whole = Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64")));
     for (const [i, p] of pieces.entries()) {
       assert.equal(misreadByProduction(keys.memberUpdate("north", i), p), null);
@@ -223,23 +224,24 @@
   const [largest] = recordsUnder<MachinesRecord>(keys.machines).sort(
     (a, b) => Object.keys(b.value.machines).length - Object.keys(a.value.machines).length,
   );
-  const { machines } = largest!.value;
+  const { machines } = present(largest).value;
   const blocks = new MachineRecordStore();
-  blocks.add(largest!.key, machines);
+  blocks.add(present(largest).key, machines);
   const [gone, ...ids] = Object.keys(machines);
-  blocks.remove(gone!);
+  blocks.remove(present(gone));
   let n = 0;
   const [split] = blocks.changed(6, {
     valueBytes: 900,
     txnBytes: 50_000,
     newKey: () => keys.machinesOf(`5-${++n}`),
   });
-  assert.equal(split!.machines, null);
-  assert.ok(split!.pieces.length > 1);
-  for (const p of split!.pieces) assert.equal(misreadByProduction(p.key, { machines: p.machines }), null);
+  assert.equal(present(split).machines, null);
+  assert.ok(present(split).pieces.length > 1);
+  for (const p of present(split).pieces)
+    assert.equal(misreadByProduction(p.key, { machines: p.machines }), null);
   // production adds up all records of machines that it lists
   assert.deepEqual(
-    Object.assign({}, ...split!.pieces.map((p) => p.machines)),
+    Object.assign({}, ...present(split).pieces.map((p) => p.machines)),
     Object.fromEntries(ids.map((id) => [id, machines[id]])),
   );
 });
@@ -277,5 +279,6 @@
     typeof x === "string" ? x : (x as (...args: unknown[]) => string)("req-000001", "north.7", 0),
   );
   const known = [...fresh, ...shared].map((key) => key.split("/")[0]);
-  for (const name of names) assert.ok(known.includes(name.split("/")[0]!) || name === keys.unfinished, name);
+  for (const name of names)
+    assert.ok(known.includes(present(name.split("/")[0])) || name === keys.unfinished, name);
 });
--- a/test/worker-partition.test.ts
+++ b/test/worker-partition.test.ts
@@ -7,6 +7,7 @@
 import { fencingTokenOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
 import { TERM, heartbeatWith } from "./term-fixture.js";
+import { present } from "./present.js";
 
 const newPart = (member: string): WorkerPartition => {
   const part = new WorkerPartition(member, 1000, Duration.seconds(4));
@@ -121,7 +122,7 @@
   );
   const [writing] = part.finishes.toStore("b.2", 8, instant(5000), open);
   assert.deepEqual(
-    writing!.puts.map((p) => [p.key, p.ranges]),
+    present(writing).puts.map((p) => [p.key, p.ranges]),
     [["ranges/req-1/b.2/0", [[3, 4]]]],
   );
   assert.deepEqual(
@@ -129,10 +130,10 @@
     [],
     "a write under way is not repeated",
   );
-  part.finishes.storeAnswered(writing!, "failed", instant(5000));
+  part.finishes.storeAnswered(present(writing), "failed", instant(5000));
   assert.deepEqual(told(), []);
   part.finishes.storeAnswered(
-    part.finishes.toStore("b.2", 8, instant(5000), open)[0]!,
+    present(part.finishes.toStore("b.2", 8, instant(5000), open)[0]),
     "stored",
     instant(5000),
   );
@@ -153,7 +154,7 @@
       }),
       instant(now),
     );
-  const write = (now: number) => part.finishes.toStore("b.2", 8, instant(now), () => true)[0]!;
+  const write = (now: number) => present(part.finishes.toStore("b.2", 8, instant(now), () => true)[0]);
   const apply = (w: ReturnType<typeof write>): void => w.puts.forEach((p) => stored.set(p.key, p.ranges));
   finish(3, 10);
   const late = write(5000);
