--- a/test/invariant-checker.ts
+++ b/test/invariant-checker.ts
@@ -5,6 +5,7 @@
 
 const ids = (set: Iterable<{ id: string }>): string[] => [...set].map((m) => m.id).sort();
 
+/** Fails where an index of the cluster differs from what its machines, attempts and jobs say. */
 export const checkInvariants = (c: Cluster): void => {
   const machines = [...c.machines.values()];
   const where = (test: (machine: (typeof machines)[number]) => boolean): string[] =>
--- a/test/loopback-cluster.ts
+++ b/test/loopback-cluster.ts
@@ -11,6 +11,7 @@
 
 /** The controllers' names. */
 export const NAMES = ["north", "south", "inland"] as const;
+/** The name of one controller. */
 export type Name = (typeof NAMES)[number];
 
 interface Controller {
--- a/test/specs.ts
+++ b/test/specs.ts
@@ -2,6 +2,7 @@
 import * as Duration from "effect/Duration";
 import type { JobSpec } from "../src/core/records.js";
 
+/** A job of one task, with the given fields in place of the defaults. */
 export const jobSpec = (more: Partial<JobSpec>): JobSpec => ({
   id: "req-000001",
   className: "maps",
--- a/test/unhealthy-machines.test.ts
+++ b/test/unhealthy-machines.test.ts
@@ -12,7 +12,7 @@
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
-test("a machine that fails every task is set aside; a job that fails everywhere sets none aside", () => {
+test("a machine that fails every task is cordoned; a job that fails everywhere cordons none", () => {
   const sick = new ClusterFixture(EAST);
   sick.scheduler.jobSeen(spec({ tasks: 6 }), 20, instant(0));
   sick.step();
@@ -68,7 +68,7 @@
   assert.equal(elsewhere(), held.size);
 });
 
-test("a machine whose heartbeats reach nobody, though it answers orders, gets no new work and goes before its lease ends", () => {
+test("a machine whose heartbeats reach nobody, though it answers commands, gets no new work and goes before its lease ends", () => {
   const fixture = new ClusterFixture(EAST);
   fixture.scheduler.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
   const renewedAll = (but: string): void => {
@@ -107,7 +107,7 @@
   assert.ok(fixture.now > 2000 + lease / 2, `released at ${fixture.now}: too soon for what runs there`);
 });
 
-test("a machine much slower than others at the same job is set aside, and its tasks start anew once", () => {
+test("a machine much slower than others at the same job is cordoned, and its tasks start anew once", () => {
   const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }]);
   fixture.scheduler.jobSeen(spec({ tasks: 40 }), 20, instant(0));
   for (let i = 0; i < 60; i++) {
@@ -136,7 +136,7 @@
   assert.ok(released.some((d) => d.machines.includes("n-2") && d.reason === "slow"));
 });
 
-test("after a take-over nobody passes for slow: when its tasks began isn't known", () => {
+test("after a failover no machine is judged slow: when its tasks began isn't known", () => {
   const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }]);
   const running = (index: number): TaskStatus => {
     return { job: "req-000001", index, attempt: 7, state: "running", exitReason: null };
--- a/test/wire-names.ts
+++ b/test/wire-names.ts
@@ -3,6 +3,7 @@
  * beside `src/io/peer-codec.ts`: kept messages of other versions are read and compared with these names.
  */
 
+/** The messages between controllers, by their Avro names. */
 export type MessageType = "Sync" | "SyncAnswer" | "Deliver" | "Delivered" | "Word" | "WordAnswer";
 
 /** By Avro name: the name in the code, and the names within the record or list that the field holds. */
--- a/test/worker-partition.test.ts
+++ b/test/worker-partition.test.ts
@@ -15,7 +15,7 @@
   return part;
 };
 
-test("a worker is sent to its part's member once, and taken in when it comes back", () => {
+test("a worker is sent to its partition's member once, and taken in when it comes back", () => {
   const part = newPart("a");
   const at = (ms: number, entitledNow: boolean) =>
     part.handleHeartbeat(heartbeatWith({ sequence: ms }), entitledNow, 1, instant(ms));
@@ -72,7 +72,7 @@
   ]);
 });
 
-test("news are changes alone, and all of it again for another leader", () => {
+test("updates hold changes alone, and everything again for another leader", () => {
   const part = newPart("b");
   const handleReport = (sequence: number, ms: number) =>
     part.handleHeartbeat(heartbeatWith({ sequence }), true, 2, instant(ms));
