--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -4,8 +4,9 @@
 import { TaskStarter } from "../src/core/placement/task-starter.js";
 import { attemptOf, ATTEMPTS_PER_TERM } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
-import { EAST, Scene } from "./scene.js";
+import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
+import { present } from "./present.js";
 
 const termOf = (number: number) => ({ number: number, leaderRevision: 10, leader: "a", members: [] });
 
@@ -29,25 +30,25 @@
 });
 
 test("a leader whose numbers run out asks for a new term, and goes on under it", () => {
-  const scene = new Scene(EAST);
-  scene.step();
-  assert.equal(scene.s.needsNewTerm, false);
+  const fixture = new ClusterFixture(EAST);
+  fixture.step();
+  assert.equal(fixture.scheduler.needsNewTerm, false);
   const { nextAttempt } = TaskStarter.prototype;
   const numbers: number[] = [];
   TaskStarter.prototype.nextAttempt = function (this: TaskStarter) {
     // as after so many starts
     if (numbers.length === 0) for (let i = 0; i < 950_000; i++) nextAttempt.call(this);
     numbers.push(nextAttempt.call(this));
-    return numbers.at(-1)!;
+    return present(numbers.at(-1));
   };
   try {
-    scene.s.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
-    scene.step();
-    assert.equal(scene.s.needsNewTerm, true);
-    scene.s.renewTerm({ ...scene.s.term, number: 2 }, instant(scene.now));
-    scene.s.jobSeen(spec({ id: "req-000002", tasks: 1 }), 21, instant(scene.now));
-    for (let i = 0; i < 4; i++) scene.step();
-    assert.equal(scene.s.needsNewTerm, false);
+    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
+    fixture.step();
+    assert.equal(fixture.scheduler.needsNewTerm, true);
+    fixture.scheduler.renewTerm({ ...fixture.scheduler.term, number: 2 }, instant(fixture.now));
+    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 1 }), 21, instant(fixture.now));
+    for (let i = 0; i < 4; i++) fixture.step();
+    assert.equal(fixture.scheduler.needsNewTerm, false);
     assert.equal(numbers.at(-1), attemptOf(2, 1));
     assert.equal(new Set(numbers).size, 2);
   } finally {
--- a/test/limits-service.test.ts
+++ b/test/limits-service.test.ts
@@ -3,19 +3,21 @@
 import type { ChildProcess } from "node:child_process";
 import { after, before, test } from "node:test";
 import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn, WorkerStandIn } from "./standins.js";
+import { FakeCloud } from "./fakes/fake-cloud.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
+import { FakeWorker as WorkerStandIn } from "./fakes/fake-worker.js";
 
 const LIVE = 20;
 const LATER = { valueKb: 2, txnOps: 5 };
 /** What an earlier version wrote: twice as many machines as live, and more than a value will hold. */
 const OLD_BLOCK = "machines/0-1";
 
-const state = new StateStandIn();
-const cloud = new CloudStandIn(() => front);
+const state = new FakeStateService();
+const cloud = new FakeCloud(() => front);
 let front = "";
 const children: ChildProcess[] = [];
 
-const platform = async (member: string, on: StateStandIn, from: CloudStandIn) => ({
+const platform = async (member: string, on: FakeStateService, from: FakeCloud) => ({
   member,
   domain: "east",
   front: `127.0.0.1:${await freePort()}`,
@@ -159,8 +161,8 @@
 });
 
 test("types that are too many for one value aren't written, and every node knows them all the same", async () => {
-  const otherState = new StateStandIn();
-  const otherCloud = new CloudStandIn(() => "");
+  const otherState = new FakeStateService();
+  const otherCloud = new FakeCloud(() => "");
   otherCloud.otherTypes = Array.from({ length: 30 }, (_, i) => `type-${i}`);
   await otherState.start();
   await otherCloud.start();
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -13,16 +13,16 @@
 import { Membership } from "../src/service/members/membership.js";
 import { JobCache } from "../src/service/job-cache.js";
 import { JobStatusReader } from "../src/service/api/job-status.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
-const standIn = new StateStandIn();
+const fakeState = new FakeStateService();
 const log = makeLog("error", "test");
 let state: StateClient;
 before(async () => {
-  await standIn.start();
-  state = new StateClient(standIn.addr, { rps: 10_000, writeRps: 10_000 }, 1);
+  await fakeState.start();
+  state = new StateClient(fakeState.addr, { rps: 10_000, writeRps: 10_000 }, 1);
 });
-after(() => standIn.stop());
+after(() => fakeState.stop());
 
 const until = async (what: string, fits: () => boolean): Promise<void> => {
   for (let i = 0; i < 1200; i++) {
@@ -36,14 +36,14 @@
   const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
   const earlier = await Effect.runPromise(state.grant(Duration.seconds(600)));
   const key = keys.member("one");
-  standIn.put(key, encodeMember({ zone: "east", leaseId: earlier }), earlier);
+  fakeState.put(key, encodeMember({ zone: "east", leaseId: earlier }), earlier);
   const member = new Membership("one", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
-  const attempts = (): boolean => standIn.rows.get(key)?.stamp === member.incarnation;
+  const attempts = (): boolean => fakeState.rows.get(key)?.stamp === member.incarnation;
   try {
     await until("it joined", () => member.leaseId !== null && attempts());
     // the dead process's lease was ended by its successor
-    assert.equal(standIn.grants.has(earlier), false);
+    assert.equal(fakeState.grants.has(earlier), false);
     // its write comes late, conditional as every process's is: refused
     const late = await Effect.runPromise(
       state.commit([{ key, revision: 0 }], [{ put: key, value: { zone: "east", permit: 1 } }]),
@@ -52,7 +52,7 @@
     // and if the key is another's after all, this process notices and joins anew
     const before = member.incarnation;
     const other = await Effect.runPromise(state.grant(Duration.seconds(600)));
-    standIn.put(key, encodeMember({ zone: "east", leaseId: other }), other);
+    fakeState.put(key, encodeMember({ zone: "east", leaseId: other }), other);
     await until("it joined anew", () => member.incarnation > before && attempts());
   } finally {
     await Effect.runPromise(Fiber.interrupt(running));
@@ -70,13 +70,13 @@
     await until("it joined", () => member.leaseId !== null);
     // another process's key is no reason to lead, also if the process has the same name
     const other = await Effect.runPromise(state.grant(Duration.seconds(600)));
-    standIn.put(key, encodeLeader({ member: "two", leaseId: other }), other);
+    fakeState.put(key, encodeLeader({ member: "two", leaseId: other }), other);
     assert.equal(await tryLead(), false);
     await Effect.runPromise(state.revoke(other));
     // its own write is carried out now: as long as it renews the lease, nobody else can lead
     const leaseId = member.leaseId!;
-    standIn.put(key, encodeLeader({ member: "two", leaseId }), leaseId);
-    const { stamp } = standIn.rows.get(key)!;
+    fakeState.put(key, encodeLeader({ member: "two", leaseId }), leaseId);
+    const { stamp } = fakeState.rows.get(key)!;
     let leads = false;
     for (let i = 0; i < 100 && !leads; i++) {
       leads = await tryLead();
@@ -215,20 +215,20 @@
 
 test("a passed-on cancel that is refused comes again after growing pauses, however often it is asked for", async () => {
   const refuses = (written: readonly string[]): boolean => written.includes(keys.commit("req-77"));
-  standIn.refuses.add(refuses);
+  fakeState.refuses.add(refuses);
   const status = new JobStatusReader(state, new JobCache(state, log), 64, log);
   const cancel = () => Effect.runPromise(Effect.either(status.cancelWaiting("req-77", 2)));
   const began = Date.now();
   for (let i = 0; i < 20; i++) assert.equal((await cancel())._tag, "Left");
   // the first pause is 250 ms, and each is twice the one before
   const most = 2 + Math.floor(Math.log2(1 + (Date.now() - began) / 250));
-  assert.ok(standIn.refused.length <= most, `${standIn.refused.length} attempts where ${most} may be`);
-  standIn.refuses.delete(refuses);
-  for (let i = 0; i < 1200 && !standIn.rows.has(keys.commit("req-77")); i++) {
+  assert.ok(fakeState.refused.length <= most, `${fakeState.refused.length} attempts where ${most} may be`);
+  fakeState.refuses.delete(refuses);
+  for (let i = 0; i < 1200 && !fakeState.rows.has(keys.commit("req-77")); i++) {
     await cancel();
     await new Promise((done) => setTimeout(done, 25));
   }
-  assert.ok(standIn.rows.has(keys.commit("req-77")));
+  assert.ok(fakeState.rows.has(keys.commit("req-77")));
 });
 
 test("a process that heard of nothing yet looks through what comes before a waiting job", async () => {
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -28,8 +28,10 @@
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
 import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
 import { fromFragments } from "../src/service/members/update-relay.js";
-import { freePort, startController, until, writeSettings } from "./controller-process.js";
-import { CloudStandIn, StateStandIn } from "./standins.js";
+import { startController, until, writeSettings } from "./controller-process.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
+import { ServiceFixture } from "./service-fixture.js";
+import { present } from "./present.js";
 
 type Json = Record<string, unknown>;
 interface Write {
@@ -99,7 +101,7 @@
 };
 const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 const of = (prefix: string) => last.records.filter((r) => r.key.startsWith(prefix));
-const idOf = (key: string): string => key.split("/")[1]!;
+const idOf = (key: string): string => present(key.split("/")[1]);
 
 // --- names ----------------------------------------------------------------------------------------------------
 
@@ -176,11 +178,11 @@
       name,
       Duration.isDuration(x) ? Duration.toMillis(x) : x,
     ]);
-    const { awaits, ...same } = meaning!;
+    const { awaits, ...same } = present(meaning);
     assert.deepEqual(
       {
         ...Object.fromEntries(read),
-        acceptedMs: acceptedOf(value)!.getTime(),
+        acceptedMs: present(acceptedOf(value)).getTime(),
         releasedMs: releasedOf(value)?.getTime() ?? null,
       },
       { ...same, dependsOn: awaits },
@@ -201,7 +203,7 @@
 test("sets, commits, ranges and machines of the last landing are read as they were meant", () => {
   for (const { key, value, meaning } of of("job-fanin/"))
     assert.deepEqual(readFanin(value), meaning, `${key} as it was read there`);
-  const released = of("job-fanin/").filter(({ meaning }) => meaning!["released"] === true);
+  const released = of("job-fanin/").filter(({ meaning }) => present(meaning)["released"] === true);
   assert.ok(released.length >= 2 && released.length < of("job-fanin/").length);
   const outcomes = of("commit/").map(({ value }) => value["outcome"]);
   for (const outcome of ["done", "cancelled"]) assert.ok(outcomes.includes(outcome), outcome);
@@ -214,9 +216,9 @@
     const [first, ...rest] = Object.keys(machines);
     const blocks = new MachineRecordStore();
     blocks.add(key, machines);
-    blocks.remove(first!);
-    const left = rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, machines[id]!]));
-    assert.deepEqual(blocks.changed(1)[0]!.machines, left);
+    blocks.remove(present(first));
+    const left = rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, present(machines[id])]));
+    assert.deepEqual(present(blocks.changed(1)[0]).machines, left);
   }
 });
 
@@ -262,7 +264,7 @@
 
 // --- a process of this version on what the last landing left ----------------------------------------------------
 
-class RecordingState extends StateStandIn {
+class RecordingState extends FakeStateService {
   readonly transactions: Write[][] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
     const before = this.ledger;
@@ -293,21 +295,15 @@
     .map(({ key, value }) => `${value === undefined ? "delete" : "write"} ${key.split("/")[0]}`)
     .sort();
 const keptShape = (what: string): string[] => {
-  const { writes } = last.transactions.find((t) => t.what === what)!;
-  return shapeOf(writes, idOf(writes[0]!.key));
+  const { writes } = present(last.transactions.find((t) => t.what === what));
+  return shapeOf(writes, idOf(present(writes[0]).key));
 };
 
 test("this version goes on from waiting jobs, sets and released jobs of the last landing", async () => {
-  const state = new RecordingState();
-  let front = "";
-  const cloud = new CloudStandIn(() => front);
-  await state.start();
-  await cloud.start();
-  stops.push(
-    () => state.stop(),
-    () => cloud.stop(),
-  );
-  front = `127.0.0.1:${await freePort()}`;
+  const service = new ServiceFixture(new RecordingState());
+  const { state, cloud } = service;
+  await service.start();
+  stops.push(() => service.stop());
   const first = (key: string, fits: (value: Json) => boolean = () => true): void => {
     const found = last.records.find((r) => r.key === key && fits(r.value));
     assert.ok(found !== undefined, key);
@@ -337,27 +333,16 @@
   first("commit/req-000005");
   first("job-fanin/req-000005", joined(1));
 
-  const config = writeSettings({
-    member: "north",
-    domain: "east",
-    front,
-    peer_bind: `127.0.0.1:${await freePort()}`,
-    seeds: [],
-    external: { cloud: cloud.addr, state: state.addr },
-    params: {
-      zones: ["east"],
+  const config = writeSettings(
+    service.settings("north", {
       teams: [{ name: "red", cpus: 100, cpus_max: 200, gpus: 0, gpus_max: 0 }],
       workers: { report_s: 0.2, lease_s: 10, gang_wait_s: 10, gang_peer_s: 2, cancel_s: 30 },
       state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16, next: { value_kb: 1, txn_ops: 6 } },
-      cloud: { rps: 50, list_lag_s: 1 },
       machine_limits: { max_connections: 1000 },
-    },
-  });
+    }),
+  );
   child = startController(config);
-  const statusOf = async (id: string) => {
-    const response = await fetch(`http://${front}/v2/runs/${id}`);
-    return ((await response.json()) as Json)["status"];
-  };
+  const statusOf = async (id: string) => (await service.ask("GET", `/v2/runs/${id}`)).json["status"];
   for (const id of ["02", "03", "30", "31"])
     await until(`${id} is done`, async () => (await statusOf(`req-0000${id}`)) === "done");
   for (const id of ["10", "11"])
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Guard, World } from "./model.js";
-import { recount } from "./recount.js";
+import { checkInvariants } from "./invariant-checker.js";
 
 const SEEDS = Array.from({ length: 24 }, (_, i) => 1000 + i);
 
@@ -67,7 +67,7 @@
       world.step();
       if (world.now % 1000 !== 0) continue;
       for (const picture of world.pictures()) {
-        recount(picture);
+        checkInvariants(picture);
         seen += picture.machines.size;
       }
     }
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -4,7 +4,7 @@
 import type { Machine } from "../src/core/cluster/cluster.js";
 import type { TaskState } from "../src/core/records.js";
 import { instant } from "../src/core/time.js";
-import { EAST, Scene } from "./scene.js";
+import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 
 const GANG = "req-000002";
@@ -16,7 +16,7 @@
 const started = (scene: Scene): number => scene.ops("start");
 
 test("a paused machine gets no commands, but is asked for heartbeats; once resumed it gets its share", () => {
-  const scene = new Scene(EAST);
+  const scene = new ClusterFixture(EAST);
   for (const { id } of EAST) scene.paused.add(id);
   scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(scene.now));
   for (let i = 0; i < 6; i++) scene.step();
@@ -31,7 +31,7 @@
 });
 
 test("a machine is fenced only once it was seen under a token that was raised after the last command", () => {
-  const scene = new Scene(EAST);
+  const scene = new ClusterFixture(EAST);
   scene.step();
   assert.equal(facts(scene).fenced, true);
   scene.s.drain.raiseTokens([machine(scene, "n-2")]);
@@ -45,7 +45,7 @@
 });
 
 test("a start without an answer stands against a handoff until it is settled", () => {
-  const scene = new Scene(EAST);
+  const scene = new ClusterFixture(EAST);
   scene.s.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
   scene.step(["n-1", "n-2", "n-3"]);
   assert.equal(facts(scene).obstacle?._tag, "CommandInDoubt");
@@ -54,7 +54,7 @@
 });
 
 test("a gang that is being assembled, or saves, stands against a handoff; one that runs doesn't", () => {
-  const scene = new Scene(EAST);
+  const scene = new ClusterFixture(EAST);
   scene.s.jobSeen(spec({ id: GANG, kind: "gang", tasks: 3, cpus: 4 }), 20, instant(scene.now));
   for (let i = 0; i < 4; i++) scene.step();
   const shows = (state: TaskState): string | undefined => {
@@ -71,7 +71,7 @@
 });
 
 test("a machine that hasn't reported under the present token stands against a handoff; one on its way back doesn't", () => {
-  const scene = new Scene(EAST);
+  const scene = new ClusterFixture(EAST);
   scene.step();
   const term = {
     number: 2,
--- a/test/state-client.test.ts
+++ b/test/state-client.test.ts
@@ -3,19 +3,19 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { StateClient } from "../src/io/state-client.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
-const standIn = new StateStandIn();
+const fakeState = new FakeStateService();
 let client: StateClient;
 const run = Effect.runPromise;
 const tagOf = <A, E extends { _tag: string }>(effect: Effect.Effect<A, E>): Promise<string> =>
   run(Effect.match(effect, { onFailure: (error) => error._tag, onSuccess: () => "none" }));
 
 before(async () => {
-  await standIn.start();
-  client = new StateClient(standIn.addr, { rps: 1000, writeRps: 1000 }, 1);
+  await fakeState.start();
+  client = new StateClient(fakeState.addr, { rps: 1000, writeRps: 1000 }, 1);
 });
-after(() => standIn.stop());
+after(() => fakeState.stop());
 
 test("create-if-absent: the first wins for ever", async () => {
   const create = (value: string) =>
@@ -44,9 +44,9 @@
 });
 
 test("what was refused is told from what may have been carried out", async () => {
-  standIn.failing = [{ status: 503, carriedOut: false }];
+  fakeState.failing = [{ status: 503, carriedOut: false }];
   assert.equal(await tagOf(client.commit([], [{ put: "a", value: 1 }])), "Unavailable");
-  standIn.failing = [{ status: 500, carriedOut: true }];
+  fakeState.failing = [{ status: 500, carriedOut: true }];
   assert.equal(await tagOf(client.commit([], [{ put: "b", value: 1 }])), "Unanswered");
   // resolved by rereading
   assert.equal((await run(client.get("b")))?.value, 1);
--- a/test/user-writes.test.ts
+++ b/test/user-writes.test.ts
@@ -7,19 +7,19 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { isOverTheRate, StateClient } from "../src/io/state-client.js";
 import { commitForUser, MAX_RETRIES } from "../src/service/api/user-writes.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
 const SEEDS = 12;
 const MOST_REFUSALS = 2 * MAX_RETRIES;
 
-const standIn = new StateStandIn();
+const fakeState = new FakeStateService();
 let client: StateClient;
 
 before(async () => {
-  await standIn.start();
-  client = new StateClient(standIn.addr, { rps: 1000, writeRps: 1000 }, 1);
+  await fakeState.start();
+  client = new StateClient(fakeState.addr, { rps: 1000, writeRps: 1000 }, 1);
 });
-after(() => standIn.stop());
+after(() => fakeState.stop());
 
 const write = (key: string) =>
   Effect.runPromise(
@@ -30,16 +30,16 @@
   for (let seed = 1; seed <= SEEDS; seed++) {
     const refusals = uniformInt(xoroshiro128plus(seed), 0, MOST_REFUSALS);
     const key = `job/seed-${seed}`;
-    standIn.failing = Array.from({ length: refusals }, () => ({ status: 429, carriedOut: false }));
+    fakeState.failing = Array.from({ length: refusals }, () => ({ status: 429, carriedOut: false }));
     const result = await write(key);
-    const left = standIn.failing.length;
-    standIn.failing = [];
+    const left = fakeState.failing.length;
+    fakeState.failing = [];
     if (refusals <= MAX_RETRIES) {
       assert.ok(Either.isRight(result) && result.right.ok === true, `seed ${seed}: not carried out`);
-      assert.equal(standIn.rows.get(key)?.value, "accepted");
+      assert.equal(fakeState.rows.get(key)?.value, "accepted");
     } else {
       assert.ok(Either.isLeft(result) && isOverTheRate(result.left), `seed ${seed}: not refused`);
-      assert.equal(standIn.rows.has(key), false);
+      assert.equal(fakeState.rows.has(key), false);
       assert.equal(left, refusals - MAX_RETRIES - 1, `seed ${seed}: sent more often than the bound allows`);
     }
   }
@@ -52,16 +52,16 @@
   ] as const) {
     const key = `job/status-${status}`;
     // a second attempt would find the truth
-    standIn.failing = [{ status, carriedOut }];
+    fakeState.failing = [{ status, carriedOut }];
     const result = await write(key);
     assert.ok(Either.isLeft(result) && result.left._tag === tag && !isOverTheRate(result.left));
-    assert.equal(standIn.rows.has(key), carriedOut);
+    assert.equal(fakeState.rows.has(key), carriedOut);
   }
 });
 
 test("a conflict is told as it is", async () => {
-  standIn.put("job/taken", "somebody else's");
-  standIn.failing = [{ status: 429, carriedOut: false }];
+  fakeState.put("job/taken", "somebody else's");
+  fakeState.failing = [{ status: 429, carriedOut: false }];
   const result = await write("job/taken");
   assert.ok(Either.isRight(result) && result.right.ok === false);
   assert.deepEqual(result.right.failed, ["job/taken"]);
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -14,7 +14,7 @@
 import { JobCache } from "../src/service/job-cache.js";
 import type { Leader } from "../src/service/leader/leader.js";
 import type { Member } from "../src/service/members/member.js";
-import { StateStandIn } from "./standins.js";
+import { FakeStateService } from "./fakes/fake-state-service.js";
 
 const COMMANDS: readonly Command[] = [
   { op: "start", job: "req-000412", index: 4, attempt: 2, gracePeriodSeconds: 0 },
@@ -73,7 +73,7 @@
 
 // --- what users and workers are answered over HTTP -----------------------------------------------------
 
-const standIn = new StateStandIn();
+const fakeState = new FakeStateService();
 const log = makeLog("error", "test");
 const progress = new Map<string, { done: number; running: number }>();
 const heartbeatAnswers: unknown[] = [];
@@ -82,8 +82,8 @@
 let jobCache: JobCache;
 
 before(async () => {
-  await standIn.start();
-  const state = new StateClient(standIn.addr, { rps: 10_000, writeRps: 10_000 }, 1);
+  await fakeState.start();
+  const state = new StateClient(fakeState.addr, { rps: 10_000, writeRps: 10_000 }, 1);
   jobCache = new JobCache(state, log);
   const status = new JobStatusReader(state, jobCache, 16, log);
   const member = {
@@ -110,7 +110,7 @@
 after(() => {
   server.closeAllConnections();
   server.close();
-  standIn.stop();
+  fakeState.stop();
 });
 
 const ask = (method: string, path: string, body = ""): Promise<string> =>
@@ -196,7 +196,7 @@
     await submit("req-1", { awaits: ["req-99"] }),
     '422 {"error":"awaits names a job that was never accepted"}',
   );
-  assert.equal(standIn.rows.size, 0);
+  assert.equal(fakeState.rows.size, 0);
 });
 
 test("a job from its submission to its end, and one that depends on it", async () => {
@@ -212,10 +212,13 @@
     await ask("GET", "/v2/runs/req-2"),
     '200 {"ref":"req-2","status":"queued","done":0,"running":0}',
   );
-  const stored = JSON.stringify(standIn.rows.get("job/req-1")?.value).replace(/\d{13}/, "NOW");
+  const stored = JSON.stringify(fakeState.rows.get("job/req-1")?.value).replace(/\d{13}/, "NOW");
   assert.equal(stored, `${submission("req-1").slice(0, -1)},"accepted_ms":NOW}`);
-  assert.equal(JSON.stringify(standIn.rows.get("job-fanin/req-2")?.value), '{"joined":[],"released":false}');
-  assert.ok(standIn.rows.has("job-waiting/req-2"));
+  assert.equal(
+    JSON.stringify(fakeState.rows.get("job-fanin/req-2")?.value),
+    '{"joined":[],"released":false}',
+  );
+  assert.ok(fakeState.rows.has("job-waiting/req-2"));
   assert.equal(await ask("POST", "/v2/runs/req-1/cancel"), '200 {"ref":"req-1","status":"aborted"}');
   assert.equal(await ask("POST", "/v2/runs/req-1/cancel"), '200 {"ref":"req-1","status":"aborted"}');
   assert.equal(
@@ -229,12 +232,15 @@
   );
   assert.equal(await submit("req-3", { awaits: ["req-1"] }), '201 {"ref":"req-3","status":"aborted"}');
   assert.equal(await submit("req-3", { awaits: ["req-1"] }), '200 {"ref":"req-3","status":"aborted"}');
-  assert.deepEqual([...standIn.rows.keys()].sort(), ["commit/req-1", "commit/req-2", "commit/req-3"]);
-  assert.equal(JSON.stringify(standIn.rows.get("commit/req-2")?.value), '{"outcome":"cancelled","tasks":3}');
+  assert.deepEqual([...fakeState.rows.keys()].sort(), ["commit/req-1", "commit/req-2", "commit/req-3"]);
+  assert.equal(
+    JSON.stringify(fakeState.rows.get("commit/req-2")?.value),
+    '{"outcome":"cancelled","tasks":3}',
+  );
 });
 
 test("done jobs, and jobs that nobody submitted", async () => {
-  standIn.put("commit/req-7", { outcome: "done", tasks: 5 });
+  fakeState.put("commit/req-7", { outcome: "done", tasks: 5 });
   assert.equal(
     await ask("GET", "/v2/runs/req-7"),
     '200 {"ref":"req-7","status":"done","done":5,"running":0}',
@@ -242,13 +248,13 @@
   assert.equal(await ask("POST", "/v2/runs/req-7/cancel"), '200 {"ref":"req-7","status":"done"}');
   // all that it depends on is done: released by the write that accepts it
   assert.equal(await submit("req-8", { awaits: ["req-7"] }), '201 {"ref":"req-8","status":"queued"}');
-  assert.ok(standIn.rows.has("job/req-8"));
+  assert.ok(fakeState.rows.has("job/req-8"));
   assert.equal(await ask("GET", "/v2/runs/req-9"), '404 {"error":"no such run"}');
   assert.equal(await ask("POST", "/v2/runs/req-9/cancel"), '404 {"error":"no such run"}');
 });
 
 test("while the state service is down", async () => {
-  standIn.down = true;
+  fakeState.down = true;
   assert.equal(await ask("GET", "/v2/runs/req-9"), '503 {"error":"503"} retry-after 1');
   assert.equal(await ask("POST", "/v2/runs/req-9/cancel"), '503 {"error":"503"} retry-after 1');
   assert.equal(await submit("req-10"), '503 {"error":"503"} retry-after 1');
@@ -256,5 +262,5 @@
     await ask("GET", "/v2/runs/req-7"),
     '200 {"ref":"req-7","status":"done","done":5,"running":0}',
   );
-  standIn.down = false;
+  fakeState.down = false;
 });
