--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -9,11 +9,11 @@
 
 const GANG = "req-000002";
 
-const machine = (scene: Scene, id: string): Machine => scene.s.cluster.machines.get(id)!;
-const facts = (scene: Scene, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
+const machine = (scene: ClusterFixture, id: string): Machine => scene.s.cluster.machines.get(id)!;
+const facts = (scene: ClusterFixture, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
   scene.s.drain.factsOf(ids.map((id) => machine(scene, id)));
 
-const started = (scene: Scene): number => scene.ops("start");
+const started = (scene: ClusterFixture): number => scene.ops("start");
 
 test("a paused machine gets no commands, but is asked for heartbeats; once resumed it gets its share", () => {
   const scene = new ClusterFixture(EAST);
