--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,62 +1,107 @@
 import js from "@eslint/js";
+import { createTypeScriptImportResolver } from "eslint-import-resolver-typescript";
+import { importX } from "eslint-plugin-import-x";
 import jsdoc from "eslint-plugin-jsdoc";
 import tseslint from "typescript-eslint";
 
+/** A doc comment on every exported item and public member. */
+const describedItems = {
+  publicOnly: true,
+  checkConstructors: false,
+  contexts: [
+    "TSInterfaceDeclaration",
+    "TSTypeAliasDeclaration",
+    "ExportNamedDeclaration > VariableDeclaration",
+  ],
+  require: { ClassDeclaration: true, MethodDefinition: true },
+};
+
+/** Sizes that a reader can hold in mind. */
+const sizes = (lines) => ({
+  "max-lines": ["error", lines],
+  "max-lines-per-function": ["error", 50],
+  complexity: ["error", 15],
+});
+
 export default tseslint.config(
   { ignores: ["target/", "node_modules/", "journal/"] },
   js.configs.recommended,
-  ...tseslint.configs.strict,
-  { files: ["**/*.ts"], rules: { "@typescript-eslint/no-non-null-assertion": "off" } },
-  // The longest file, function and decision of the core today: lower these as the code shrinks.
+  ...tseslint.configs.strictTypeChecked,
+  ...tseslint.configs.stylisticTypeChecked,
+  {
+    files: ["**/*.ts"],
+    languageOptions: {
+      parserOptions: { project: ["./tsconfig.lint.json"], tsconfigRootDir: import.meta.dirname },
+    },
+    plugins: { "import-x": importX, jsdoc },
+    settings: {
+      "import-x/resolver-next": [createTypeScriptImportResolver({ project: "tsconfig.lint.json" })],
+    },
+    rules: {
+      "import-x/no-cycle": "error",
+      "jsdoc/require-jsdoc": ["error", describedItems],
+      "@typescript-eslint/restrict-template-expressions": ["error", { allowNumber: true }],
+      "@typescript-eslint/no-confusing-void-expression": ["error", { ignoreArrowShorthand: true }],
+      "@typescript-eslint/dot-notation": ["error", { allowIndexSignaturePropertyAccess: true }],
+      "@typescript-eslint/no-floating-promises": [
+        "error",
+        {
+          allowForKnownSafeCalls: [
+            { from: "package", package: "node:test", name: ["test", "before", "after"] },
+          ],
+        },
+      ],
+    },
+  },
+  { files: ["**/*.js"], ...tseslint.configs.disableTypeChecked },
+  { files: ["src/**/*.ts", "packages/*/src/**/*.ts"], rules: sizes(400) },
+  { files: ["test/**/*.ts", "packages/*/test/**/*.ts"], rules: sizes(600) },
+  // Layers: the core knows neither sockets nor services, and a package knows nothing of `src/`.
   {
     files: ["src/core/**/*.ts"],
     rules: {
-      "max-lines": ["error", 364],
-      "max-lines-per-function": ["error", 75],
-      complexity: ["error", 38],
+      "no-restricted-imports": ["error", { patterns: ["**/io/*", "**/service/*", "**/cli/*", "node:*"] }],
     },
   },
-  // Packages are new, so they keep to lower limits, and all their public items are described.
   {
-    files: ["packages/*/src/**/*.ts", "src/service/shards/**/*.ts", "src/cli/**/*.ts"],
+    files: ["packages/*/src/**/*.ts"],
+    rules: { "no-restricted-imports": ["error", { patterns: ["**/src/*", "node:*"] }] },
+  },
+  // Not met yet, with the number of places: these go as the code is taken up.
+  {
+    files: ["src/**/*.ts"],
     rules: {
-      "max-lines": ["error", 400],
-      "max-lines-per-function": ["error", 60],
-      complexity: ["error", 16],
+      // 5: wire values typed as present are checked all the same, and fields that change between two steps
+      "@typescript-eslint/no-unnecessary-condition": "off",
+      // 4: codecs are objects of functions without `this`
+      "@typescript-eslint/unbound-method": "off",
+      // 2 each: the longer form says what it distinguishes
+      "@typescript-eslint/prefer-optional-chain": "off",
+      "@typescript-eslint/prefer-nullish-coalescing": "off",
     },
   },
-  // Modules of the core in which every public item has a doc comment; the others are to follow.
   {
-    files: [
-      "src/core/heartbeats/attempt-results.ts",
-      "src/core/cluster/cluster-attempts.ts",
-      "src/core/cluster/cluster-indices.ts",
-      "src/core/cluster/cluster-jobs.ts",
-      "src/core/cluster/cluster-machines.ts",
-      "src/core/cluster/cluster-state.ts",
-      "src/core/cluster/cluster.ts",
-      "src/core/scheduler/decisions.ts",
-      "src/core/placement/quota.ts",
-      "src/core/scheduler/scheduler.ts",
-      "src/core/shards/shard-drain.ts",
-      "src/core/shards/shard-keys.ts",
-      "src/core/scheduler/summary.ts",
-      "packages/*/src/**/*.ts",
-    ],
-    plugins: { jsdoc },
+    files: ["test/**/*.ts", "packages/*/test/**/*.ts"],
     rules: {
-      "jsdoc/require-jsdoc": [
-        "error",
-        {
-          publicOnly: true,
-          contexts: [
-            "TSInterfaceDeclaration",
-            "TSTypeAliasDeclaration",
-            "ExportNamedDeclaration > VariableDeclaration",
-          ],
-          require: { ClassDeclaration: true, MethodDefinition: true },
-        },
-      ],
+      // 136
+      "@typescript-eslint/no-non-null-assertion": "off",
+      // 110, most of them fixtures and parts of the model
+      "jsdoc/require-jsdoc": "off",
+      // 52
+      "@typescript-eslint/no-confusing-void-expression": "off",
+      // 15 functions of up to 115 lines; 8 of complexity up to 31
+      "max-lines-per-function": ["error", 115],
+      complexity: ["error", 31],
+      // 16 together
+      "@typescript-eslint/no-unnecessary-condition": "off",
+      "@typescript-eslint/no-unnecessary-type-parameters": "off",
+      "@typescript-eslint/no-unsafe-assignment": "off",
+      "@typescript-eslint/no-unsafe-return": "off",
+      "@typescript-eslint/unbound-method": "off",
+      "@typescript-eslint/prefer-optional-chain": "off",
+      "@typescript-eslint/no-meaningless-void-operator": "off",
+      "@typescript-eslint/prefer-string-starts-ends-with": "off",
+      "@typescript-eslint/consistent-indexed-object-style": "off",
     },
   },
 );
--- a/src/core/members/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -168,8 +168,10 @@
     if (finishes === undefined) return;
     finishes.isWriting = false;
     switch (result) {
-      case "over":
-        return this.jobOver(write.job);
+      case "over": {
+        this.jobOver(write.job);
+        return;
+      }
       case "failed":
         finishes.unansweredWrites++;
         return;
@@ -177,8 +179,10 @@
         finishes.isRefused = true;
         finishes.waitingSince = plus(now, REFUSED_PAUSE);
         return;
-      case "stored":
-        return this.stored(write, finishes, now);
+      case "stored": {
+        this.stored(write, finishes, now);
+        return;
+      }
     }
   }
 
--- a/src/service/api/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -82,7 +82,8 @@
   private serveUser(url: string, request: http.IncomingMessage, response: http.ServerResponse): void {
     if (this.openRequests >= MAX_OPEN_REQUESTS) {
       request.resume();
-      return this.send(response, retryLater("busy"));
+      this.send(response, retryLater("busy"));
+      return;
     }
     this.openRequests++;
     response.once("close", () => this.openRequests--);
@@ -109,9 +110,9 @@
     if (answer.status === 503) {
       headers["retry-after"] = String(RETRY_AFTER_SECONDS);
       // a new connection may lead to a node that reaches the state service
-      if (!this.member.reachesStateService()) headers["connection"] = "close";
+      if (!this.member.reachesStateService()) headers.connection = "close";
     }
-    if (this.connections > this.options.connections * CROWDED_SHARE) headers["connection"] = "close";
+    if (this.connections > this.options.connections * CROWDED_SHARE) headers.connection = "close";
     response.writeHead(answer.status, headers).end(answer.body);
   }
 }
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -101,7 +101,7 @@
         const result = yield* commitForUser(this.state, conditions, changesOf(id, acceptance));
         if (result.ok === null)
           return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
-        if (result.ok === true) return this.accepted(spec, acceptance, result.revision);
+        if (result.ok) return this.accepted(spec, acceptance, result.revision);
         if (result.failed.some((key) => own.some((condition) => condition.key === key)))
           return yield* this.questions.answerRepeat(id);
         // some parent was released or ended: what is cached of them is behind
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -56,7 +56,7 @@
       // the state service refuses before it compares: this may be a repeat of an accepted job all the same
       if (result.ok === null)
         return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
-      if (result.ok === false) return yield* this.questions.answerRepeat(id);
+      if (!result.ok) return yield* this.questions.answerRepeat(id);
       this.jobCache.put(keys.job(id), record, result.revision);
       logAccepted(this.log, spec);
       return answer(201, jobAnswer(id, "queued"));
--- a/src/service/operators-server.ts
+++ b/src/service/operators-server.ts
@@ -48,7 +48,10 @@
         const headers = { "content-type": "application/json", "content-length": Buffer.byteLength(text) };
         response.writeHead(status, headers).end(text);
       };
-      if (body === null) return send(refusal(413, "too long"));
+      if (body === null) {
+        send(refusal(413, "too long"));
+        return;
+      }
       try {
         const asked = requestOf(request.method ?? "", request.url ?? "", body);
         if ("status" in asked) send(asked);
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -221,11 +221,13 @@
         return void Effect.runFork(this.askRelease(leading, action));
       case "raise": {
         const machines = leading.machines.of(action.shard);
-        return leading.scheduler.with((scheduler) => scheduler.drain.raiseTokens(machines));
+        leading.scheduler.with((scheduler) => scheduler.drain.raiseTokens(machines));
+        return;
       }
       case "ended": {
         const outcome = leading.moves.ended(action.attempt, now());
-        return this.log.info({ ...outcome }, "a move of a shard ended");
+        this.log.info({ ...outcome }, "a move of a shard ended");
+        return;
       }
     }
   }
