--- a/packages/shards/src/repairs.ts
+++ b/packages/shards/src/repairs.ts
@@ -10,7 +10,7 @@
 export const MACHINES_WORTH_A_RECORD = 4;
 
 /**
- * Writes that make the records agree with the term, at most so many. `isTried`: a move of the shard is under way, so that its
+ * Writes that make the records agree with the term, at most so many. `isBeingTried`: a move of the shard is under way, so that its
  * handoff, if it is of this term, isn't touched.
  */
 export const repairsOf = (
--- a/src/core/autoscaling/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -1,6 +1,6 @@
 /** Which machines to rent and to return, given what waits and what is idle. Called about once a second. */
 import type { Machine } from "../cluster/cluster.js";
-import { startableTasks } from "../heartbeats/attempt-results.js";
+import { startableTaskCount } from "../heartbeats/attempt-results.js";
 import type { JobQueue } from "../placement/job-queue.js";
 import { tasksWithinLimit } from "../placement/quota.js";
 import type { Decision } from "../scheduler/decisions.js";
@@ -30,10 +30,10 @@
 
   /** Releases of machines that are faulty, silent, emptied or idle (S3); and which machines are to be emptied. */
   release(now: Instant): Decision[] {
-    const { cluster, typeByName } = this.scope;
+    const { cluster, machineTypeByName: typeByName } = this.scope;
     const plan = this.scaleIn.step(now);
     const surplus = this.autoscaler.surplusMachines(cluster, typeByName, now, (machine) =>
-      this.scope.usable(machine, now),
+      this.scope.isSchedulable(machine, now),
     );
     if (surplus.length > 0)
       plan.set(
@@ -60,9 +60,9 @@
 
   /** Requests for what neither free nor booting machines will hold (S10). */
   scaleOut(now: Instant): Decision[] {
-    const { cluster, types } = this.scope;
+    const { cluster, machineTypes: types } = this.scope;
     const isUsable = (machine: Machine): boolean =>
-      this.scope.usable(machine, now) || this.scope.isReconnecting(machine, now);
+      this.scope.isSchedulable(machine, now) || this.scope.isReconnecting(machine, now);
     const requests = this.autoscaler.scaleOut(cluster, this.waitingTasks(now), types, now, isUsable);
     return requests.map((rent) => ({ kind: "rent", rent }));
   }
@@ -74,7 +74,7 @@
       const team = this.scope.options.teams.get(job.spec.team);
       if (team === undefined) continue;
       const withinLimit = tasksWithinLimit(team, this.scope.usageOf(job.spec.team), job.spec);
-      const tasks = Math.min(startableTasks(job, now), withinLimit);
+      const tasks = Math.min(startableTaskCount(job, now), withinLimit);
       if (tasks > 0) waiting.push({ job, tasks });
     }
     return waiting;
--- a/src/core/autoscaling/graceful-eviction.ts
+++ b/src/core/autoscaling/graceful-eviction.ts
@@ -4,7 +4,7 @@
  * tasks run out there, and replicas move if they all fit beside other running work where their image is cached already
  * (the gap is then a stop and a start). When work waits, they are used again.
  */
-import { isWaitingForRoom } from "../heartbeats/attempt-results.js";
+import { isWaitingForCapacity } from "../heartbeats/attempt-results.js";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
 import { freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/capacity.js";
 import { allowed } from "../placement/eligibility.js";
@@ -42,12 +42,14 @@
   step(now: Instant, expectedCpus: number): void {
     const { cluster } = this.scope;
     const draining = [...cluster.machines.values()].filter((machine) => machine.draining);
-    if ([...cluster.pendingJobs].some((job) => job.spec.kind !== "service" && isWaitingForRoom(job, now))) {
+    if (
+      [...cluster.pendingJobs].some((job) => job.spec.kind !== "service" && isWaitingForCapacity(job, now))
+    ) {
       for (const machine of draining) machine.draining = false;
       if (draining.length > 0) cluster.capacityVersion++;
       return;
     }
-    const ready = [...cluster.byLastHeartbeat].filter((machine) => this.scope.usable(machine, now));
+    const ready = [...cluster.byLastHeartbeat].filter((machine) => this.scope.isSchedulable(machine, now));
     const moving = draining.filter((machine) => [...machine.attempts.values()].some(isReplica)).length;
     this.evict(ready, moving, expectedCpus, now);
   }
@@ -95,7 +97,7 @@
   }
 
   private price(machine: Machine): number {
-    const type = this.scope.typeByName.get(machine.type);
+    const type = this.scope.machineTypeByName.get(machine.type);
     if (type === undefined) return 0;
     return machine.spot ? type.spotPrice : type.price;
   }
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -62,7 +62,7 @@
       if (machine.confirmed) return this.isBootOverdue(machine, now) ? "never came up" : null;
       return this.silence.isLostSinceFailover(machine, now, counts) ? "silent since take-over" : null;
     }
-    if (hasElapsed(now, machine.lastHeartbeatAt, this.scope.fresh))
+    if (hasElapsed(now, machine.lastHeartbeatAt, this.scope.heartbeatMaxAge))
       return this.silence.isDead(machine, machine.lastHeartbeatAt, now, counts) ? "silent" : null;
     if (this.silence.isLeaseEnding(machine, now, counts)) return "reaches no controller";
     if (this.silence.isDeaf(machine, now, counts)) return "doesn't hear";
@@ -70,7 +70,7 @@
   }
 
   private isBootOverdue(machine: Machine, now: Instant): boolean {
-    const boot = this.scope.typeByName.get(machine.type)?.boot ?? UNKNOWN_BOOT_TIME;
+    const boot = this.scope.machineTypeByName.get(machine.type)?.boot ?? UNKNOWN_BOOT_TIME;
     return hasElapsed(now, machine.createdAt, Duration.times(boot, BOOT_TIMES_ALLOWED));
   }
 
--- a/src/core/autoscaling/silence-counts.ts
+++ b/src/core/autoscaling/silence-counts.ts
@@ -41,7 +41,8 @@
   let silent = 0;
   // the longest silent come first
   for (const machine of byLastHeartbeat) {
-    if (machine.lastHeartbeatAt === null || !hasElapsed(now, machine.lastHeartbeatAt, scope.fresh)) break;
+    if (machine.lastHeartbeatAt === null || !hasElapsed(now, machine.lastHeartbeatAt, scope.heartbeatMaxAge))
+      break;
     silent++;
   }
   let renewalOverdue = 0;
--- a/src/core/autoscaling/silence-rules.ts
+++ b/src/core/autoscaling/silence-rules.ts
@@ -48,8 +48,8 @@
     private readonly leaseExpiry: LeaseExpiry,
   ) {
     this.almostALease = Duration.subtract(scope.options.timings.workerLease, RELEASE_TAKES);
-    this.reconnectTakes = Duration.min(this.almostALease, scope.reconnectWithin);
-    this.leastSilence = Duration.sum(scope.fresh, SILENCE_MARGIN);
+    this.reconnectTakes = Duration.min(this.almostALease, scope.reconnectTime);
+    this.leastSilence = Duration.sum(scope.heartbeatMaxAge, SILENCE_MARGIN);
     this.cutSilence = Duration.max(Duration.sum(this.leastSilence, CUT_MARGIN), this.almostALease);
   }
 
@@ -75,7 +75,7 @@
   private isLostAmongMany(machine: Machine, now: Instant): boolean {
     const { termBegan, options, zones } = this.scope;
     const { heartbeatInterval, memberLease } = options.timings;
-    const zoneLostSince = zones.lostSince(machine.zone);
+    const zoneLostSince = zones.memberlessSince(machine.zone);
     const lostAt =
       zoneLostSince === null
         ? plus(
--- a/src/core/cluster/capacity-index.ts
+++ b/src/core/cluster/capacity-index.ts
@@ -16,9 +16,9 @@
   /** Notes that `cpus` processors are free on an item; nothing: it leaves the index. */
   set(item: Item, cpus: number): void {
     const bucket = cpus <= CAPACITY_EPSILON ? -1 : bucketOf(cpus);
-    const before = this.bucketByItem.get(item) ?? -1;
-    if (bucket === before) return;
-    this.buckets[before]?.delete(item);
+    const previous = this.bucketByItem.get(item) ?? -1;
+    if (bucket === previous) return;
+    this.buckets[previous]?.delete(item);
     if (bucket < 0) {
       this.bucketByItem.delete(item);
       return;
--- a/src/core/cluster/cluster-attempts.ts
+++ b/src/core/cluster/cluster-attempts.ts
@@ -18,42 +18,42 @@
 type Sign = 1 | -1;
 
 /** Counts up or down; an entry of nothing is deleted. */
-const count = <K>(counts: Map<K, number>, key: K, by: Sign): void => {
-  const total = (counts.get(key) ?? 0) + by;
+const adjustCount = <K>(counts: Map<K, number>, key: K, sign: Sign): void => {
+  const total = (counts.get(key) ?? 0) + sign;
   if (total <= 0) counts.delete(key);
   else counts.set(key, total);
 };
 
-const countUsage = (cluster: Cluster, spec: JobSpec, sign: Sign): void => {
-  const usage = cluster.usage.get(spec.team) ?? { cpus: 0, gpus: 0 };
+const adjustUsage = (cluster: Cluster, spec: JobSpec, sign: Sign): void => {
+  const usage = cluster.usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
   usage.cpus += sign * spec.cpus;
   usage.gpus += sign * spec.gpus;
-  cluster.usage.set(spec.team, usage);
+  cluster.usageByTeam.set(spec.team, usage);
 };
 
 /** Counts the capacity that an attempt begins or ceases to use. */
-const countCapacity = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, sign: Sign): void => {
+const adjustCapacity = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, sign: Sign): void => {
   const { spec } = attempt;
   if (spec === null) {
-    count(cluster.orphanedAttemptCounts, machine, sign);
+    adjustCount(cluster.orphanedAttemptCounts, machine, sign);
     return;
   }
   machine.used.cpus += sign * spec.cpus;
   machine.used.gpus += sign * spec.gpus;
   machine.used.memoryGb += sign * spec.memoryGb;
-  countUsage(cluster, spec, sign);
-  count(machine.attemptsByClass, spec.className, sign);
-  count(cluster.attemptsByClass, spec.className, sign);
+  adjustUsage(cluster, spec, sign);
+  adjustCount(machine.attemptsByClass, spec.className, sign);
+  adjustCount(cluster.attemptsByClass, spec.className, sign);
   const rank = RANK[spec.priority];
   cluster.attemptsByRank[rank] = (cluster.attemptsByRank[rank] ?? 0) + sign;
   if (sign < 0) cluster.capacityVersion++;
   indexMachine(cluster, machine);
 };
 
-const countRunning = (cluster: Cluster, attempt: TaskAttempt, by: Sign): void => {
+const adjustRunning = (cluster: Cluster, attempt: TaskAttempt, sign: Sign): void => {
   const job = cluster.jobs.get(attempt.job);
   if (job === undefined) return;
-  job.running += by;
+  job.runningTasks += sign;
   cluster.onProgress(job);
 };
 
@@ -108,8 +108,8 @@
   cluster.reconcileQueue.add(machine);
   if (attempt.spec === null) addOrphan(cluster, attempt);
   if (attempt.unacknowledgedToken !== null) cluster.unacknowledgedStarts.add(attempt);
-  if (occupiesCapacity(attempt)) countCapacity(cluster, machine, attempt, 1);
-  if (isActive(attempt)) countRunning(cluster, attempt, 1);
+  if (occupiesCapacity(attempt)) adjustCapacity(cluster, machine, attempt, 1);
+  if (isActive(attempt)) adjustRunning(cluster, attempt, 1);
   const job = cluster.jobs.get(attempt.job);
   if (job !== undefined) addToJob(cluster, job, attempt);
 };
@@ -117,17 +117,17 @@
 /** Changes an attempt, keeping the capacity in use and the job's pending tasks consistent. */
 export const updateAttempt = (cluster: Cluster, attempt: TaskAttempt, change: Partial<TaskAttempt>): void => {
   const machine = machineOf(cluster, attempt);
-  const occupied = occupiesCapacity(attempt);
+  const wasOccupying = occupiesCapacity(attempt);
   const wasActive = isActive(attempt);
   Object.assign(attempt, change);
   cluster.reconcileQueue.add(machine);
   indexUnacknowledgedStart(cluster, attempt);
-  if (wasActive !== isActive(attempt)) countRunning(cluster, attempt, wasActive ? -1 : 1);
-  if (occupied === occupiesCapacity(attempt)) return;
-  countCapacity(cluster, machine, attempt, occupied ? -1 : 1);
+  if (wasActive !== isActive(attempt)) adjustRunning(cluster, attempt, wasActive ? -1 : 1);
+  if (wasOccupying === occupiesCapacity(attempt)) return;
+  adjustCapacity(cluster, machine, attempt, wasOccupying ? -1 : 1);
   const job = cluster.jobs.get(attempt.job);
   if (job === undefined) return;
-  if (occupied) restorePending(cluster, job, attempt.index);
+  if (wasOccupying) restorePending(cluster, job, attempt.index);
   else removePending(cluster, job, attempt.index);
 };
 
@@ -138,8 +138,8 @@
   cluster.reconcileQueue.add(machine);
   cluster.unacknowledgedStarts.delete(attempt);
   if (attempt.spec === null) removeOrphan(cluster, attempt);
-  if (occupiesCapacity(attempt)) countCapacity(cluster, machine, attempt, -1);
-  if (isActive(attempt)) countRunning(cluster, attempt, -1);
+  if (occupiesCapacity(attempt)) adjustCapacity(cluster, machine, attempt, -1);
+  if (isActive(attempt)) adjustRunning(cluster, attempt, -1);
   const job = cluster.jobs.get(attempt.job);
   if (job !== undefined) removeFromJob(cluster, job, attempt);
 };
--- a/src/core/cluster/cluster-indices.ts
+++ b/src/core/cluster/cluster-indices.ts
@@ -21,15 +21,15 @@
   });
 };
 
-const setMembership = (set: Set<Machine>, machine: Machine, belongs: boolean): void => {
-  if (belongs) set.add(machine);
-  else set.delete(machine);
+const updateIndex = (index: Set<Machine>, machine: Machine, belongs: boolean): void => {
+  if (belongs) index.add(machine);
+  else index.delete(machine);
 };
 
 /** Puts a machine into the indices that follow from its own fields. */
 export const indexMachine = (cluster: Cluster, machine: Machine): void => {
-  setMembership(cluster.unconfirmed, machine, machine.recorded && !machine.confirmed);
-  setMembership(cluster.unrecorded, machine, !machine.recorded && machine.lastHeartbeatAt !== null);
+  updateIndex(cluster.unconfirmed, machine, machine.recorded && !machine.confirmed);
+  updateIndex(cluster.unrecorded, machine, !machine.recorded && machine.lastHeartbeatAt !== null);
   const hasMemory = machine.memoryGb - machine.used.memoryGb > CAPACITY_EPSILON;
   cluster.capacityIndex.set(machine, hasMemory ? machine.cpus - machine.used.cpus : 0);
 };
--- a/src/core/cluster/cluster-machines.ts
+++ b/src/core/cluster/cluster-machines.ts
@@ -26,15 +26,15 @@
   cluster.capacityVersion++;
 };
 
-/** A newer message of its worker came at `at`; moves it to the end of `byLastHeartbeat`. */
-export const recordHeartbeat = (cluster: Cluster, machine: Machine, at: Instant): void => {
-  if (machine.lastHeartbeatAt !== null && at <= machine.lastHeartbeatAt) return;
-  const first = machine.lastHeartbeatAt === null;
+/** A newer message of its worker came at `heardAt`; moves it to the end of `byLastHeartbeat`. */
+export const recordHeartbeat = (cluster: Cluster, machine: Machine, heardAt: Instant): void => {
+  if (machine.lastHeartbeatAt !== null && heardAt <= machine.lastHeartbeatAt) return;
+  const isFirst = machine.lastHeartbeatAt === null;
   const writable: Writable<Machine> = machine;
-  writable.lastHeartbeatAt = at;
+  writable.lastHeartbeatAt = heardAt;
   cluster.byLastHeartbeat.delete(machine);
   cluster.byLastHeartbeat.add(machine);
-  if (!first) return;
+  if (!isFirst) return;
   indexMachine(cluster, machine);
   cluster.reconcileQueue.add(machine);
   cluster.capacityVersion++;
@@ -44,10 +44,10 @@
 export const recordCommandAnswer = (
   cluster: Cluster,
   machine: Machine,
-  answered: boolean,
+  isAnswered: boolean,
   now: Instant,
 ): void => {
-  if (!answered) {
+  if (!isAnswered) {
     machine.unansweredBatches++;
     machine.unreachableSince ??= now;
     cluster.unreachable.add(machine);
--- a/src/core/cluster/cluster-state.ts
+++ b/src/core/cluster/cluster-state.ts
@@ -68,11 +68,11 @@
   /** Nothing of it is started before this; null: at once. */
   retryAt: Instant | null;
   /** How often it was tried again after it had failed on several machines, and failed once more. */
-  failedTries: number;
+  failedRetries: number;
   /** A commit was decided on and has not failed. */
   committing: boolean;
   /** Tasks that run or save right now. */
-  running: number;
+  runningTasks: number;
   /** The highest rank of the job itself and of the unfinished jobs that need it. */
   rank: number;
   /** When it has to be done: for its own deadline, or for the jobs that need it. */
@@ -149,7 +149,7 @@
   readonly jobs: Map<string, Job>;
   readonly machines: Map<string, Machine>;
   /** Capacity in use by each team's attempts (S6). */
-  readonly usage: Map<string, Usage>;
+  readonly usageByTeam: Map<string, Usage>;
   /** Jobs with tasks to be started. */
   readonly pendingJobs: Set<Job>;
   /** Jobs that are finished and have no commit yet. */
@@ -192,7 +192,7 @@
 export const newCluster = (): Cluster => ({
   jobs: new Map(),
   machines: new Map(),
-  usage: new Map(),
+  usageByTeam: new Map(),
   pendingJobs: new Set(),
   awaitingCommit: new Set(),
   capacityIndex: new CapacityIndex(),
@@ -266,9 +266,9 @@
   failedOn: new Map(),
   refusedOn: new Map(),
   retryAt: null,
-  failedTries: 0,
+  failedRetries: 0,
   committing: false,
-  running: 0,
+  runningTasks: 0,
   rank: RANK[spec.priority],
   deadlineAt: spec.deadline === null ? null : plus(acceptedAt, spec.deadline),
 });
--- a/src/core/commands/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -20,17 +20,17 @@
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** How long after a question without an answer the next one is put. */
-const ASK_AGAIN = Duration.seconds(1);
+const PROBE_INTERVAL = Duration.seconds(1);
 /** Behind a network partition there may be hundreds that can't answer: after a few questions each is asked less often. */
-const ASK_SELDOM = Duration.seconds(4);
-const ASKED_OFTEN = 4;
+const SLOW_PROBE_INTERVAL = Duration.seconds(4);
+const UNANSWERED_BEFORE_SLOW_PROBING = 4;
 /** Questions put in one step: after a failover all machines are asked, a few at a time, or a share of all. */
-const LEAST_QUESTIONS = 12;
-const SHARE_ASKED = 0.01;
+const MIN_PROBE_LIMIT = 12;
+const PROBE_LIMIT_SHARE = 0.01;
 /** How long nothing is decided for a machine whose commands could not be sent. */
-const BLOCKED_FOR = Duration.millis(500);
+const BLOCK_DURATION = Duration.millis(500);
 /** Batches that are made up again without having been sent were sent under no token. */
-const NOT_SENT = 0;
+const NO_TOKEN = 0;
 
 /** What became of a batch, and the heartbeat that the worker answered with. */
 export interface CommandBatchResult {
@@ -46,12 +46,12 @@
   /** Machines whose commands could not be sent, and until when nothing is decided for them. */
   private readonly blockedUntil = new Map<Machine, Instant>();
   /** How long after its last message a machine is asked for a heartbeat. */
-  private readonly askAfter: Duration.Duration;
+  private readonly probeAfter: Duration.Duration;
 
   /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {
     const interval = Duration.times(context.options.timings.heartbeatInterval, 1.25);
-    this.askAfter = Duration.sum(interval, Duration.millis(500));
+    this.probeAfter = Duration.sum(interval, Duration.millis(500));
   }
 
   /** Machines whose commands could not be sent for a while may be given some again. */
@@ -84,14 +84,14 @@
   send(now: Instant, pendingCommands: PendingCommands, decisions: Decision[]): void {
     for (const id of pendingCommands.commands.keys()) {
       const machine = this.context.cluster.machines.get(id);
-      const commands = pendingCommands.take(id);
+      const commands = pendingCommands.batchFor(id);
       if (machine === undefined || commands === null) continue;
       const isFree = !machine.commandsInFlight && !this.context.isPaused(machine);
       const sent = isFree && this.sendBatch(machine, commands, decisions);
       // one batch at a time: what can't be sent now is decided on again
-      if (!sent) this.answered(id, notSent(commands), now);
+      if (!sent) this.applyResult(id, barredResult(commands), now);
     }
-    this.askForHeartbeats(now, decisions);
+    this.sendProbes(now, decisions);
   }
 
   /** Whether the machine has an address to send to. */
@@ -103,7 +103,7 @@
       machine: machine.id,
       zone: machine.zone,
       // what got no answer by one route is sent by the other
-      via: machine.unansweredBatches % 2 === 1 ? this.alternateRoute(machine) : this.usualRoute(machine),
+      via: machine.unansweredBatches % 2 === 1 ? this.alternateRoute(machine) : this.primaryRoute(machine),
       addr: machine.addr,
       workerEpoch: Math.max(1, machine.workerEpoch),
       fencingToken: fencingTokenOf(this.context.term.number, machine.fencingTokenStep),
@@ -113,8 +113,10 @@
   }
 
   /** The member that passes on its heartbeats; right after its shard was handed over, the new owner. */
-  private usualRoute(machine: Machine): string | null {
-    return this.context.options.ownership?.wayTo(machine.id, machine.zone) ?? machine.relayedBy;
+  private primaryRoute(machine: Machine): string | null {
+    return (
+      this.context.options.ownership?.commandRouteOverride(machine.id, machine.zone) ?? machine.relayedBy
+    );
   }
 
   /**
@@ -129,27 +131,29 @@
     return (inZone ?? others[0])?.name ?? null;
   }
 
-  private askForHeartbeats(now: Instant, decisions: Decision[]): void {
-    const most = Math.max(LEAST_QUESTIONS, this.context.cluster.machines.size * SHARE_ASKED);
-    for (const machine of this.nextToAsk(now, Math.ceil(most))) {
+  private sendProbes(now: Instant, decisions: Decision[]): void {
+    const probeLimit = Math.max(MIN_PROBE_LIMIT, this.context.cluster.machines.size * PROBE_LIMIT_SHARE);
+    for (const machine of this.machinesToProbe(now, Math.ceil(probeLimit))) {
       machine.probedAt = now;
       this.sendBatch(machine, [], decisions);
     }
   }
 
   /**
-   * Up to `most` machines to be asked now. Where more are wanted, those asked longest ago come first: with hundreds behind
+   * Up to `probeLimit` machines to be asked now. Where more are wanted, those asked longest ago come first: with hundreds behind
    * a partition the first ones, asked again and again, would keep the others from being asked at all.
    */
-  private nextToAsk(now: Instant, most: number): Machine[] {
-    const wanted = [...new Set(this.questionable(now))].filter((machine) => this.mayAsk(machine, now));
-    if (wanted.length <= most) return wanted;
-    const askedAt = (machine: Machine): number => machine.probedAt ?? -Infinity;
-    return wanted.sort((one, other) => askedAt(one) - askedAt(other)).slice(0, most);
+  private machinesToProbe(now: Instant, limit: number): Machine[] {
+    const candidates = [...new Set(this.probeCandidates(now))].filter((machine) =>
+      this.mayProbe(machine, now),
+    );
+    if (candidates.length <= limit) return candidates;
+    const lastProbedAt = (machine: Machine): number => machine.probedAt ?? -Infinity;
+    return candidates.sort((one, other) => lastProbedAt(one) - lastProbedAt(other)).slice(0, limit);
   }
 
   /** Machines whose heartbeat is wanted; some come up more than once. */
-  private *questionable(now: Instant): Iterable<Machine> {
+  private *probeCandidates(now: Instant): Iterable<Machine> {
     const { cluster } = this.context;
     for (const attempt of cluster.unacknowledgedStarts) yield machineOf(cluster, attempt);
     // an earlier leader may have started something on these
@@ -163,42 +167,43 @@
   }
 
   private isSilent(machine: Machine, now: Instant): boolean {
-    return machine.lastHeartbeatAt === null || hasElapsed(now, machine.lastHeartbeatAt, this.askAfter);
+    return machine.lastHeartbeatAt === null || hasElapsed(now, machine.lastHeartbeatAt, this.probeAfter);
   }
 
-  private mayAsk(machine: Machine, now: Instant): boolean {
+  private mayProbe(machine: Machine, now: Instant): boolean {
     if (!machine.recorded || machine.addr === null) return false;
     if (machine.commandsInFlight || machine.releaseRequestedAt !== null) return false;
-    const isAskedOften = machine.unansweredBatches < ASKED_OFTEN || !this.isSilent(machine, now);
-    const pause = isAskedOften ? ASK_AGAIN : ASK_SELDOM;
-    return machine.probedAt === null || hasElapsed(now, machine.probedAt, pause);
+    const isProbedOften =
+      machine.unansweredBatches < UNANSWERED_BEFORE_SLOW_PROBING || !this.isSilent(machine, now);
+    const interval = isProbedOften ? PROBE_INTERVAL : SLOW_PROBE_INTERVAL;
+    return machine.probedAt === null || hasElapsed(now, machine.probedAt, interval);
   }
 
   /** What became of a batch; also of one that was not sent. */
-  answered(id: string, result: CommandBatchResult, now: Instant): void {
+  applyResult(id: string, result: CommandBatchResult, now: Instant): void {
     const { cluster } = this.context;
     const machine = cluster.machines.get(id);
     if (machine === undefined) return;
     const { outcome, fencingToken } = result;
     // a node whose queue is full, or that may not send now, won't send a moment later
-    if (outcome === "barred" && fencingToken !== NOT_SENT)
-      this.blockedUntil.set(machine, plus(now, BLOCKED_FOR));
+    if (outcome === "barred" && fencingToken !== NO_TOKEN)
+      this.blockedUntil.set(machine, plus(now, BLOCK_DURATION));
     else if (termNumberOf(fencingToken) === this.context.term.number) machine.commandsInFlight = false;
     cluster.reconcileQueue.add(machine);
     cluster.capacityVersion++;
-    const isAnswer = outcome === "done" || outcome === "rejected";
-    if (outcome !== "barred") recordCommandAnswer(cluster, machine, isAnswer, now);
+    const isAnswered = outcome === "done" || outcome === "rejected";
+    if (outcome !== "barred") recordCommandAnswer(cluster, machine, isAnswered, now);
     for (const command of result.commands) {
       const attempt = machine.attempts.get(attemptKey(command.job, command.index, command.attempt));
       if (attempt === undefined) continue;
       if (command.op === "stop" && outcome !== "done") attempt.stopping = false;
       if (command.op === "start" && attempt.state === "dispatched")
-        this.startAnswered(machine, attempt, result);
+        this.applyStartResult(machine, attempt, result);
     }
   }
 
   /** A start that no heartbeat has shown yet: whether it may still be executed (S4). */
-  private startAnswered(
+  private applyStartResult(
     machine: Machine,
     attempt: TaskAttempt,
     { outcome, fencingToken, answeredBy }: CommandBatchResult,
@@ -206,8 +211,8 @@
     const { cluster } = this.context;
     // A heartbeat under a higher token came before this and didn't show the task: a late start is refused from then on. No
     // later heartbeat would settle it, since workers report changes alone.
-    const isRefusedLater = machine.fencingToken > fencingToken;
-    if (outcome === "unknown" && !isRefusedLater)
+    const isLateStartRefused = machine.fencingToken > fencingToken;
+    if (outcome === "unknown" && !isLateStartRefused)
       updateAttempt(cluster, attempt, { unacknowledgedToken: fencingToken });
     // heartbeats come by several routes: the one that shows the task may arrive after this answer
     else if (outcome === "done" && !isSameOrNewer(machine, answeredBy)) attempt.acknowledgedBy = answeredBy;
@@ -216,9 +221,9 @@
 }
 
 /** The outcome of commands that stayed here. */
-const notSent = (commands: readonly Command[]): CommandBatchResult => ({
+const barredResult = (commands: readonly Command[]): CommandBatchResult => ({
   commands,
-  fencingToken: NOT_SENT,
+  fencingToken: NO_TOKEN,
   outcome: "barred",
   answeredBy: { workerEpoch: 0, sequence: 0 },
 });
--- a/src/core/commands/pending-commands.ts
+++ b/src/core/commands/pending-commands.ts
@@ -12,19 +12,19 @@
 
   /** Adds a command for a machine. */
   push(machine: string, command: Command): void {
-    add(this.commands, machine, command);
+    appendCommand(this.commands, machine, command);
   }
 
   /** Adds all that was decided on here to `other`, in order. */
-  moveTo(other: PendingCommands): void {
+  appendTo(other: PendingCommands): void {
     for (const [machine, commands] of this.commands)
       for (const command of commands) other.push(machine, command);
   }
 
-  /** Lets a worker forget an attempt: with the machine's next commands, or, where it is `due`, even without any. */
-  forget(taskAttempt: TaskAttempt, due: boolean): void {
+  /** Lets a worker forget an attempt: with the machine's next commands, or, where it is `sendAlone`, even without any. */
+  forget(taskAttempt: TaskAttempt, sendAlone: boolean): void {
     const { job, index, attempt } = taskAttempt;
-    add(due ? this.commands : this.deferred, taskAttempt.machine, {
+    appendCommand(sendAlone ? this.commands : this.deferred, taskAttempt.machine, {
       op: "forget",
       job,
       index,
@@ -49,7 +49,7 @@
   }
 
   /** A machine's commands, with what was waiting for them put first. */
-  take(machine: string): Command[] | null {
+  batchFor(machine: string): Command[] | null {
     const commands = this.commands.get(machine);
     if (commands === undefined) return null;
     const deferred = this.deferred.get(machine);
@@ -57,7 +57,7 @@
   }
 }
 
-const add = (commands: Map<string, Command[]>, machine: string, command: Command): void => {
+const appendCommand = (commands: Map<string, Command[]>, machine: string, command: Command): void => {
   const list = commands.get(machine);
   if (list === undefined) commands.set(machine, [command]);
   else list.push(command);
--- a/src/core/heartbeats/attempt-results.ts
+++ b/src/core/heartbeats/attempt-results.ts
@@ -5,25 +5,25 @@
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** A job that failed on so many machines, and completed nowhere, is probably at fault itself. */
-const SUSPECT_AFTER = 3;
+const MIN_FAILED_MACHINES = 3;
 /** A machine with so many failures, of jobs that aren't suspect, is cordoned. */
-const FAULTY_AFTER = 2;
+const MIN_MACHINE_FAILURES = 2;
 /** The pause between tries of such a job: it doubles up to the longest. */
-const FIRST_PAUSE = Duration.seconds(8);
-const LONGEST_PAUSE = Duration.seconds(60);
-const RETRY_AFTER_UNKNOWN = Duration.seconds(2);
+const FIRST_RETRY_DELAY = Duration.seconds(8);
+const MAX_RETRY_DELAY = Duration.seconds(60);
+const UNKNOWN_RETRY_DELAY = Duration.seconds(2);
 
 /** Tasks of a job that fails wherever it runs end at once: one that runs for longer shows that its job can run. */
-const PROVEN_AFTER = Duration.seconds(10);
+const PROVEN_RUN_TIME = Duration.seconds(10);
 
 const isUnproven = (attempt: TaskAttempt, now: Instant): boolean =>
   attempt.state === "dispatched" ||
   attempt.state === "fetching" ||
-  !hasElapsed(now, attempt.stateSince, PROVEN_AFTER);
+  !hasElapsed(now, attempt.stateSince, PROVEN_RUN_TIME);
 
 /** Whether some task of the job runs, and has run for a while. */
 const isProven = (job: Job, now: Instant): boolean => {
-  if (job.running === 0) return false;
+  if (job.runningTasks === 0) return false;
   for (const attempts of job.attempts.values())
     if (attempts.some((attempt) => attempt.state === "running" && !isUnproven(attempt, now))) return true;
   return false;
@@ -33,22 +33,22 @@
  * Whether a job failed on several machines, completed nowhere and runs nowhere: the fault is probably its own. It is
  * tried one task at a time, after growing pauses, and keeps no capacity from others.
  */
-export const isSuspect = (job: Job, now: Instant): boolean =>
-  job.failedOn.size >= SUSPECT_AFTER && job.done.size === 0 && !isProven(job, now);
+export const isSuspectedFaulty = (job: Job, now: Instant): boolean =>
+  job.failedOn.size >= MIN_FAILED_MACHINES && job.done.size === 0 && !isProven(job, now);
 
 /** How many of a job's tasks are worth starting now, whatever capacity and limits allow. */
-export const startableTasks = (job: Job, now: Instant): number => {
-  if (!isSuspect(job, now)) return job.pending.size;
-  const isTried = [...job.attempts.values()].flat().some((attempt) => attempt.state !== "exited");
-  return isTried ? 0 : Math.min(job.pending.size, 1);
+export const startableTaskCount = (job: Job, now: Instant): number => {
+  if (!isSuspectedFaulty(job, now)) return job.pending.size;
+  const isBeingTried = [...job.attempts.values()].flat().some((attempt) => attempt.state !== "exited");
+  return isBeingTried ? 0 : Math.min(job.pending.size, 1);
 };
 
 /** Whether a job waits for capacity: one that pauses between its tries, or is tried right now, does not. */
-export const isWaitingForRoom = (job: Job, now: Instant): boolean =>
-  (job.retryAt === null || now >= job.retryAt) && startableTasks(job, now) > 0;
+export const isWaitingForCapacity = (job: Job, now: Instant): boolean =>
+  (job.retryAt === null || now >= job.retryAt) && startableTaskCount(job, now) > 0;
 
 /** A task of this job ran here, so its image is in the machine's cache; the least recently used ones are evicted. */
-export const noteImage = (machine: Machine, spec: JobSpec | null): void => {
+export const recordCachedImage = (machine: Machine, spec: JobSpec | null): void => {
   if (spec === null) return;
   machine.images.delete(spec.image);
   machine.images.set(spec.image, spec.imageGb);
@@ -62,48 +62,53 @@
 };
 
 /** Learns from an attempt that was just reported as running or as exited. */
-export const noteResult = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, now: Instant): void => {
+export const recordAttemptResult = (
+  cluster: Cluster,
+  machine: Machine,
+  attempt: TaskAttempt,
+  now: Instant,
+): void => {
   if (attempt.state === "running") {
-    noteImage(machine, attempt.spec);
+    recordCachedImage(machine, attempt.spec);
     return;
   }
-  if (attempt.exitReason === "done") noteSuccess(cluster, machine, attempt);
+  if (attempt.exitReason === "done") recordSuccess(cluster, machine, attempt);
   const job = cluster.jobs.get(attempt.job);
   if (job === undefined) return;
-  if (attempt.exitReason === "error") noteFailure(cluster, machine, job, now);
+  if (attempt.exitReason === "error") recordFailure(cluster, machine, job, now);
   if (attempt.exitReason === "no_room") job.refusedOn.set(machine.id, now);
-  if (attempt.exitReason === "unknown") job.retryAt = plus(now, RETRY_AFTER_UNKNOWN);
+  if (attempt.exitReason === "unknown") job.retryAt = plus(now, UNKNOWN_RETRY_DELAY);
 };
 
-const noteSuccess = (cluster: Cluster, machine: Machine, attempt: TaskAttempt): void => {
-  noteImage(machine, attempt.spec);
+const recordSuccess = (cluster: Cluster, machine: Machine, attempt: TaskAttempt): void => {
+  recordCachedImage(machine, attempt.spec);
   machine.failuresByJob.clear();
   if (machine.cordonedAt === null || machine.cordonedAsSlow) return;
   machine.cordonedAt = null;
   cluster.capacityVersion++;
 };
 
-const noteFailure = (cluster: Cluster, machine: Machine, job: Job, now: Instant): void => {
+const recordFailure = (cluster: Cluster, machine: Machine, job: Job, now: Instant): void => {
   const { id } = job.spec;
   job.failedOn.set(machine.id, now);
   machine.failuresByJob.set(id, (machine.failuresByJob.get(id) ?? 0) + 1);
-  if (isSuspect(job, now)) {
-    pauseBetweenTries(job, now);
+  if (isSuspectedFaulty(job, now)) {
+    delayNextRetry(job, now);
     // the machines it failed on are used again
-    clearMachines(cluster, job, now);
+    uncordonMachines(cluster, job, now);
   }
   if (machine.cordonedAt === null && isFaulty(cluster, machine, now)) machine.cordonedAt = now;
 };
 
 /** Tasks that fail during a pause were started before it: they are part of the same try. */
-const pauseBetweenTries = (job: Job, now: Instant): void => {
+const delayNextRetry = (job: Job, now: Instant): void => {
   if (job.retryAt !== null && now < job.retryAt) return;
-  const pause = Duration.times(FIRST_PAUSE, 2 ** Math.min(job.failedTries, 10));
-  job.failedTries++;
-  job.retryAt = plus(now, Duration.min(pause, LONGEST_PAUSE));
+  const delay = Duration.times(FIRST_RETRY_DELAY, 2 ** Math.min(job.failedRetries, 10));
+  job.failedRetries++;
+  job.retryAt = plus(now, Duration.min(delay, MAX_RETRY_DELAY));
 };
 
-const clearMachines = (cluster: Cluster, job: Job, now: Instant): void => {
+const uncordonMachines = (cluster: Cluster, job: Job, now: Instant): void => {
   for (const id of job.failedOn.keys()) {
     const machine = cluster.machines.get(id);
     if (machine !== undefined && !machine.cordonedAsSlow && !isFaulty(cluster, machine, now))
@@ -116,7 +121,7 @@
   let failures = 0;
   for (const [id, count] of machine.failuresByJob) {
     const job = cluster.jobs.get(id);
-    if (job === undefined || !isSuspect(job, now)) failures += count;
+    if (job === undefined || !isSuspectedFaulty(job, now)) failures += count;
   }
-  return failures >= FAULTY_AFTER;
+  return failures >= MIN_MACHINE_FAILURES;
 };
--- a/src/core/heartbeats/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -3,7 +3,7 @@
  * changes and removes the machine's attempts (S4).
  */
 import * as Duration from "effect/Duration";
-import { noteImage, noteResult } from "./attempt-results.js";
+import { recordCachedImage, recordAttemptResult } from "./attempt-results.js";
 import {
   addAttempt,
   updateAttempt,
@@ -24,10 +24,10 @@
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** Heartbeats that come later than so many intervals after the last one say nothing about when tasks began and ended. */
-const TIMELY_INTERVALS = 1.5;
+const MAX_TIMELY_INTERVALS = 1.5;
 
 /** A heartbeat that is being taken in. */
-interface Intake {
+interface ReceivedHeartbeat {
   readonly machine: Machine;
   readonly heartbeat: Heartbeat;
   /** Whether it tells when tasks began and ended. */
@@ -37,60 +37,65 @@
 
 /** Applies each newer heartbeat to the cluster; older ones and late copies change nothing. */
 export class HeartbeatHandler {
-  /** `machines` takes in unknown machines; `slowMachines` hears of the tasks that finish. */
+  /** `machineIntake` takes in unknown machines; `slowMachineDetector` hears of the tasks that finish. */
   constructor(
     private readonly context: SchedulerContext,
-    private readonly machines: MachineIntake,
-    private readonly slowMachines: SlowMachineDetector,
+    private readonly machineIntake: MachineIntake,
+    private readonly slowMachineDetector: SlowMachineDetector,
   ) {}
 
-  /** `at`: when a member took the heartbeat; `via`: which one. */
-  apply(heartbeat: Heartbeat, via: string, now: Instant, at: Instant): void {
+  /** `heardAt`: when a member took the heartbeat; `relayedBy`: which one. */
+  apply(heartbeat: Heartbeat, relayedBy: string, now: Instant, heardAt: Instant): void {
     const isCurrent = termNumberOf(heartbeat.fencingToken) >= this.context.term.number;
-    const machine = this.machineOf(heartbeat, isCurrent, now);
+    const machine = this.findOrAddMachine(heartbeat, isCurrent, now);
     if (machine === null || isSameOrNewer(machine, heartbeat)) return;
     const isNewEpoch = heartbeat.workerEpoch > machine.workerEpoch && machine.workerEpoch > 0;
-    const intake: Intake = { machine, heartbeat, isTimely: this.isTimely(machine, at), now };
-    this.update(machine, heartbeat, via, at);
-    this.updateNotice(machine, heartbeat.reclaimNoticeSeconds, now);
-    const present = new Set<string>();
+    const received: ReceivedHeartbeat = {
+      machine,
+      heartbeat,
+      isTimely: this.isTimely(machine, heardAt),
+      now,
+    };
+    this.updateMachine(machine, heartbeat, relayedBy, heardAt);
+    this.updateReclaimNotice(machine, heartbeat.reclaimNoticeSeconds, now);
+    const reportedKeys = new Set<string>();
     for (const task of heartbeat.tasks) {
       const key = attemptKey(task.job, task.index, task.attempt);
-      present.add(key);
-      this.applyTask(intake, task, machine.attempts.get(key));
+      reportedKeys.add(key);
+      this.applyTask(received, task, machine.attempts.get(key));
     }
-    this.removeMissing(machine, present, heartbeat, isNewEpoch);
+    this.removeMissingAttempts(machine, reportedKeys, heartbeat, isNewEpoch);
     if (isCurrent && !machine.confirmed) this.confirm(machine);
   }
 
   /** A late copy may speak of a machine long gone: an unknown one is believed once it knows the present token (S5). */
-  private machineOf(heartbeat: Heartbeat, isCurrent: boolean, now: Instant): Machine | null {
+  private findOrAddMachine(heartbeat: Heartbeat, isCurrent: boolean, now: Instant): Machine | null {
     const known = this.context.cluster.machines.get(heartbeat.machine);
     if (known !== undefined) return known;
     if (!isCurrent) return null;
     const { type, zone, spot, addr } = heartbeat;
-    return this.machines.discovered(heartbeat.machine, { type, zone, spot, addr }, now);
+    return this.machineIntake.discovered(heartbeat.machine, { type, zone, spot, addr }, now);
   }
 
   /** After a gap (an outage, a take-over) it isn't known when its tasks began and ended. */
-  private isTimely(machine: Machine, at: Instant): boolean {
+  private isTimely(machine: Machine, heardAt: Instant): boolean {
     const { heartbeatInterval } = this.context.options.timings;
     return (
       machine.lastHeartbeatAt !== null &&
-      !hasElapsed(at, machine.lastHeartbeatAt, Duration.times(heartbeatInterval, TIMELY_INTERVALS))
+      !hasElapsed(heardAt, machine.lastHeartbeatAt, Duration.times(heartbeatInterval, MAX_TIMELY_INTERVALS))
     );
   }
 
-  private update(machine: Machine, heartbeat: Heartbeat, via: string, at: Instant): void {
+  private updateMachine(machine: Machine, heartbeat: Heartbeat, relayedBy: string, heardAt: Instant): void {
     machine.workerEpoch = heartbeat.workerEpoch;
     machine.sequence = heartbeat.sequence;
     machine.fencingToken = Math.max(machine.fencingToken, heartbeat.fencingToken);
     machine.addr = heartbeat.addr;
-    machine.relayedBy = via;
-    recordHeartbeat(this.context.cluster, machine, at);
+    machine.relayedBy = relayedBy;
+    recordHeartbeat(this.context.cluster, machine, heardAt);
   }
 
-  private updateNotice(machine: Machine, reclaimNoticeSeconds: number | null, now: Instant): void {
+  private updateReclaimNotice(machine: Machine, reclaimNoticeSeconds: number | null, now: Instant): void {
     const { cluster } = this.context;
     if (reclaimNoticeSeconds === null) {
       if (machine.reclaimAt !== null) cluster.capacityVersion++;
@@ -101,17 +106,17 @@
     }
   }
 
-  private applyTask(intake: Intake, task: TaskStatus, attempt: TaskAttempt | undefined): void {
+  private applyTask(received: ReceivedHeartbeat, task: TaskStatus, attempt: TaskAttempt | undefined): void {
     const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
     if (task.state === "exited" && task.exitReason === "done" && job !== undefined)
       finishTask(cluster, job, task.index);
-    if (attempt === undefined) this.addReported(intake, task);
-    else this.updateReported(intake, task, attempt);
+    if (attempt === undefined) this.addReportedAttempt(received, task);
+    else this.updateReportedAttempt(received, task, attempt);
   }
 
   /** An attempt that this leader didn't start, or that it removed. */
-  private addReported({ machine, now }: Intake, task: TaskStatus): void {
+  private addReportedAttempt({ machine, now }: ReceivedHeartbeat, task: TaskStatus): void {
     const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
     addAttempt(cluster, {
@@ -129,22 +134,22 @@
       stopping: task.state === "saving",
       stored: job?.stored.has(task.index) ?? false,
     });
-    if (task.state === "running") noteImage(machine, job?.spec ?? null);
+    if (task.state === "running") recordCachedImage(machine, job?.spec ?? null);
   }
 
   /** What the heartbeat says of an attempt that is known: its state, and whether its start is settled (S2). */
-  private updateReported(intake: Intake, task: TaskStatus, attempt: TaskAttempt): void {
-    const { machine, heartbeat, isTimely, now } = intake;
+  private updateReportedAttempt(received: ReceivedHeartbeat, task: TaskStatus, attempt: TaskAttempt): void {
+    const { machine, heartbeat, isTimely, now } = received;
     const { cluster } = this.context;
     const { state, exitReason } = task;
-    const before = attempt.state;
-    const isSettled =
+    const previousState = attempt.state;
+    const isStartSettled =
       attempt.unacknowledgedToken !== null && heartbeat.fencingToken > attempt.unacknowledgedToken;
-    if (before === state && !isSettled) return;
-    if (before === "running" && exitReason === "done" && isTimely)
-      this.slowMachines.taskDone(machine, attempt, now);
-    const unacknowledgedToken = isSettled ? null : attempt.unacknowledgedToken;
-    if (before === state) {
+    if (previousState === state && !isStartSettled) return;
+    if (previousState === "running" && exitReason === "done" && isTimely)
+      this.slowMachineDetector.taskCompleted(machine, attempt, now);
+    const unacknowledgedToken = isStartSettled ? null : attempt.unacknowledgedToken;
+    if (previousState === state) {
       updateAttempt(cluster, attempt, { exitReason, unacknowledgedToken });
     } else {
       const runningSince = state === "running" && isTimely ? now : null;
@@ -156,19 +161,19 @@
         unacknowledgedToken,
       });
     }
-    const hasExited = state === "exited" && before !== "exited";
-    if (state === "running" || hasExited) noteResult(cluster, machine, attempt, now);
+    const hasExited = state === "exited" && previousState !== "exited";
+    if (state === "running" || hasExited) recordAttemptResult(cluster, machine, attempt, now);
   }
 
   /** Attempts that the heartbeat doesn't show are gone, unless their start may still be executed (S4). */
-  private removeMissing(
+  private removeMissingAttempts(
     machine: Machine,
-    present: ReadonlySet<string>,
+    reportedKeys: ReadonlySet<string>,
     heartbeat: Heartbeat,
     isNewEpoch: boolean,
   ): void {
     for (const [key, attempt] of machine.attempts) {
-      if (present.has(key)) continue;
+      if (reportedKeys.has(key)) continue;
       if (isNewEpoch || !mayStillStart(attempt, heartbeat)) removeAttempt(this.context.cluster, attempt);
     }
   }
--- a/src/core/heartbeats/slow-machine-detector.ts
+++ b/src/core/heartbeats/slow-machine-detector.ts
@@ -11,21 +11,21 @@
 /** Tasks of one job differ by half, machines by a tenth; early finishers are the short ones. */
 const SLOW_FACTOR = 2.2;
 /** The mean run time of a job says something only after so many of its tasks have finished. */
-const LEAST_FINISHED = 3;
+const MIN_FINISHED_TASKS = 3;
 const CHECK_INTERVAL = Duration.seconds(2);
 /** With more cordoned machines than this share, or than two, the measure must be wrong. */
-const MOST_CORDONED_SHARE = 0.25;
-const CORDONED_ANYWAY = 2;
+const MAX_CORDONED_SHARE = 0.25;
+const MIN_CORDON_LIMIT = 2;
 
 /** How long the finished tasks of a job ran, taken together. */
-interface RunTimes {
+interface RunTimeTotals {
   tasks: number;
   milliseconds: number;
 }
 
 /** Owns the run times of finished array tasks, and cordons the machines that take much longer than the mean. */
 export class SlowMachineDetector {
-  private readonly runTimesByJob = new Map<string, RunTimes>();
+  private readonly runTimesByJob = new Map<string, RunTimeTotals>();
   /** Tasks that were already started anew, by job. */
   private readonly restartedByJob = new Map<string, Set<number>>();
   private lastCheckedAt: Instant | null = null;
@@ -40,11 +40,11 @@
   }
 
   /** A running task was seen to be done. */
-  taskDone(machine: Machine, attempt: TaskAttempt, now: Instant): void {
+  taskCompleted(machine: Machine, attempt: TaskAttempt, now: Instant): void {
     if (attempt.spec?.kind !== "array" || attempt.runningSince === null) return;
     const milliseconds = now - attempt.runningSince;
     const job = this.context.cluster.jobs.get(attempt.job);
-    if (job !== undefined && this.isOverdue(job, milliseconds)) this.cordon(machine, now);
+    if (job !== undefined && this.isOverdue(job, milliseconds)) this.tryCordon(machine, now);
     const runTimes = this.runTimesByJob.get(attempt.job);
     if (runTimes === undefined) this.runTimesByJob.set(attempt.job, { tasks: 1, milliseconds });
     else {
@@ -71,12 +71,12 @@
     const machine = machineOf(this.context.cluster, attempt);
     // a silent machine is another matter; so is a task that was slow before
     if (machine.commandsInFlight || this.isSilent(machine, now)) return;
-    if (this.cordon(machine, now) && this.isFirstRestart(job.spec.id, attempt.index))
+    if (this.tryCordon(machine, now) && this.markRestarted(job.spec.id, attempt.index))
       pendingCommands.stop(attempt);
   }
 
   private isSilent({ lastHeartbeatAt }: Machine, now: Instant): boolean {
-    return lastHeartbeatAt === null || hasElapsed(now, lastHeartbeatAt, this.context.fresh);
+    return lastHeartbeatAt === null || hasElapsed(now, lastHeartbeatAt, this.context.heartbeatMaxAge);
   }
 
   private isOverdue(job: Job, milliseconds: number): boolean {
@@ -86,20 +86,20 @@
   }
 
   /** Gives the machine no new work; false where too many are cordoned already. */
-  private cordon(machine: Machine, now: Instant): boolean {
+  private tryCordon(machine: Machine, now: Instant): boolean {
     if (machine.cordonedAsSlow) return true;
     const { cluster } = this.context;
     let cordoned = 0;
     for (const other of cluster.byLastHeartbeat) if (other.cordonedAsSlow) cordoned++;
-    const most = Math.max(CORDONED_ANYWAY, cluster.byLastHeartbeat.size * MOST_CORDONED_SHARE);
-    if (cordoned + 1 > most) return false;
+    const cordonLimit = Math.max(MIN_CORDON_LIMIT, cluster.byLastHeartbeat.size * MAX_CORDONED_SHARE);
+    if (cordoned + 1 > cordonLimit) return false;
     machine.cordonedAsSlow = true;
     machine.cordonedAt ??= now;
     return true;
   }
 
   /** Whether the task hasn't been started anew before; from now on it has. */
-  private isFirstRestart(id: string, index: number): boolean {
+  private markRestarted(id: string, index: number): boolean {
     const restarted = this.restartedByJob.get(id) ?? new Set<number>();
     if (restarted.has(index)) return false;
     this.restartedByJob.set(id, restarted.add(index));
@@ -108,5 +108,5 @@
 }
 
 /** Whether enough tasks have finished, also next to those that still run: the first ones to finish are the short ones. */
-const isConclusive = (runTimes: RunTimes, job: Job): boolean =>
-  runTimes.tasks >= Math.max(LEAST_FINISHED, job.running);
+const isConclusive = (runTimes: RunTimeTotals, job: Job): boolean =>
+  runTimes.tasks >= Math.max(MIN_FINISHED_TASKS, job.runningTasks);
--- a/src/core/leases/lease-expiry.ts
+++ b/src/core/leases/lease-expiry.ts
@@ -17,7 +17,7 @@
 }
 
 /** A member's evidence for the expiry of leases: which workers it answered since its last message (S3). */
-export interface LeaseAcknowledgement {
+export interface LeaseRenewalReport {
   readonly member: string;
   /** Which process of that member speaks: another one knows nothing of what this one answered. */
   readonly incarnation: number;
@@ -25,7 +25,7 @@
   readonly termNumber: number;
   /** It has told every answer up to this instant of the leader's clock; null: it can't tell yet. */
   readonly completeUpTo: Instant | null;
-  readonly answered: readonly LeaseRenewal[];
+  readonly renewals: readonly LeaseRenewal[];
 }
 
 /** All that one process of a member has told of the leases that it renewed. */
@@ -34,7 +34,7 @@
   completeUpTo: Instant | null;
   lastUpdateAt: Instant | null;
   /** When it last answered each worker. */
-  readonly answeredAt: Map<string, Instant>;
+  readonly lastRenewalByMachine: Map<string, Instant>;
 }
 
 /** Collects the members' evidence, and removes the attempts of machines whose leases have certainly ended. */
@@ -43,33 +43,33 @@
 
   /** Begins with the context's present term. */
   constructor(private readonly context: SchedulerContext) {
-    this.newTerm();
+    this.beginTerm();
   }
 
   /** A process that stays a member keeps its evidence: it told this same leader all that it answered. */
-  newTerm(): void {
-    const before = this.evidenceByMember;
+  beginTerm(): void {
+    const previous = this.evidenceByMember;
     this.evidenceByMember = new Map(
       this.context.term.members.map(({ name, incarnation }) => {
-        const old = before.get(name);
-        const isSameProcess = old !== undefined && old.incarnation === incarnation;
-        return [name, isSameProcess ? old : noEvidence(incarnation)];
+        const existing = previous.get(name);
+        const isSameProcess = existing !== undefined && existing.incarnation === incarnation;
+        return [name, isSameProcess ? existing : emptyEvidence(incarnation)];
       }),
     );
   }
 
   /** Takes in a member's evidence, unless it is of another term or of another process than the term names. */
-  acknowledged(acknowledgement: LeaseAcknowledgement, now: Instant): void {
-    const { member, incarnation, termNumber, completeUpTo, answered } = acknowledgement;
+  renewalsReported(report: LeaseRenewalReport, now: Instant): void {
+    const { member, incarnation, termNumber, completeUpTo, renewals: renewals } = report;
     const evidence = this.evidenceByMember.get(member);
     if (termNumber !== this.context.term.number || evidence?.incarnation !== incarnation) return;
     evidence.lastUpdateAt = now;
     const known = evidence.completeUpTo;
     if (completeUpTo !== null && (known === null || completeUpTo > known))
       evidence.completeUpTo = completeUpTo;
-    for (const { machine, at } of answered) {
-      const before = evidence.answeredAt.get(machine);
-      if (before === undefined || at > before) evidence.answeredAt.set(machine, at);
+    for (const { machine, at } of renewals) {
+      const previous = evidence.lastRenewalByMachine.get(machine);
+      if (previous === undefined || at > previous) evidence.lastRenewalByMachine.set(machine, at);
     }
   }
 
@@ -79,14 +79,14 @@
   }
 
   /** The machine is gone: what is known of its lease is no longer needed. */
-  forget(machine: string): void {
-    for (const evidence of this.evidenceByMember.values()) evidence.answeredAt.delete(machine);
+  forgetMachine(machine: string): void {
+    for (const evidence of this.evidenceByMember.values()) evidence.lastRenewalByMachine.delete(machine);
   }
 
   /** Removes the attempts of machines whose silence proves that their leases have ended. */
   step(now: Instant): void {
     for (const machine of this.silentMachines(now))
-      if (isUnsettled(machine) && this.hasExpired(machine)) this.expire(machine);
+      if (mayRunTasks(machine) && this.hasExpired(machine)) this.expire(machine);
   }
 
   /** Unconfirmed machines that sent no heartbeat, and those that sent none for a whole lease. */
@@ -117,8 +117,8 @@
   /** The last moment at which anybody can have answered its worker, also under an earlier term. */
   private latestRenewalOf(machine: Machine): Instant {
     let latest = plus(this.context.termBegan, this.context.options.timings.fencingWindow);
-    for (const { answeredAt } of this.evidenceByMember.values()) {
-      const at = answeredAt.get(machine.id);
+    for (const { lastRenewalByMachine: lastRenewalByMachine } of this.evidenceByMember.values()) {
+      const at = lastRenewalByMachine.get(machine.id);
       if (at !== undefined && at > latest) latest = at;
     }
     return latest;
@@ -132,13 +132,13 @@
   }
 }
 
-const noEvidence = (incarnation: number): MemberEvidence => ({
+const emptyEvidence = (incarnation: number): MemberEvidence => ({
   incarnation,
   completeUpTo: null,
   lastUpdateAt: null,
-  answeredAt: new Map(),
+  lastRenewalByMachine: new Map(),
 });
 
 /** Whether something may still run on the machine. */
-const isUnsettled = (machine: Machine): boolean =>
+const mayRunTasks = (machine: Machine): boolean =>
   !machine.confirmed || [...machine.attempts.values()].some(occupiesCapacity);
--- a/src/core/leases/term.ts
+++ b/src/core/leases/term.ts
@@ -31,8 +31,8 @@
 ): LeaseTimings => {
   // the fencing window is shorter than the member's lease by a margin for drift and for delay, and together with the
   // worker's lease it is shorter than the cancel deadline
-  const longestWindow = (workers.cancelS - workers.leaseS) * 1000 * 0.8;
-  const fencingWindow = Duration.millis(Math.min(Duration.toMillis(memberLease) * 0.8 - 100, longestWindow));
+  const maxWindowMs = (workers.cancelS - workers.leaseS) * 1000 * 0.8;
+  const fencingWindow = Duration.millis(Math.min(Duration.toMillis(memberLease) * 0.8 - 100, maxWindowMs));
   const workerLease = Duration.seconds(workers.leaseS);
   return {
     memberLease,
@@ -41,7 +41,7 @@
     workerLease,
     heartbeatInterval: Duration.seconds(workers.reportS),
     cancelDeadline: Duration.seconds(workers.cancelS),
-    jobViewMaxAge: Duration.millis(longestWindow),
+    jobViewMaxAge: Duration.millis(maxWindowMs),
     machineExpiry: Duration.sum(
       withClockDrift(Duration.sum(fencingWindow, workerLease)),
       Duration.millis(500),
@@ -49,21 +49,21 @@
   };
 };
 
-/** May this node act for the controllers (S1)? `confirmed` is when it *sent* the renewal that succeeded. */
+/** May this node act for the controllers (S1)? `confirmedAt` is when it *sent* the renewal that succeeded. */
 export const isWithinFencingWindow = (
   timings: LeaseTimings,
-  confirmed: Instant | null,
+  confirmedAt: Instant | null,
   now: Instant,
-): boolean => confirmed !== null && !hasElapsed(now, confirmed, timings.fencingWindow);
+): boolean => confirmedAt !== null && !hasElapsed(now, confirmedAt, timings.fencingWindow);
 
 /**
- * Does this node know recent enough ends of jobs to renew a worker's lease or to command a start (S9)? `read` is when it
+ * Does this node know recent enough ends of jobs to renew a worker's lease or to command a start (S9)? `readSentAt` is when it
  * *sent* the last request whose answer showed it every job that had ended by then. What it does after that may concern
  * a job that was cancelled since, and its tasks' leases have to end within `cancel_s` of that: neither a renewal of its
  * own nor its peers' confirmation says anything about cancels.
  */
-export const hasFreshJobView = (timings: LeaseTimings, read: Instant | null, now: Instant): boolean =>
-  read !== null && !hasElapsed(now, read, timings.jobViewMaxAge);
+export const hasFreshJobView = (timings: LeaseTimings, readSentAt: Instant | null, now: Instant): boolean =>
+  readSentAt !== null && !hasElapsed(now, readSentAt, timings.jobViewMaxAge);
 
 /** Rendezvous hash: the member whose partition a machine belongs to; members of its own zone come first. */
 export const ownerOf = (term: TermRecord, machine: string, zone: string): TermMember | null =>
@@ -78,16 +78,16 @@
 
 /** Since when every other node confirms that it knows of no newer term (S11); null: not every one does. */
 export const oldestPeerConfirmation = (
-  others: readonly string[],
+  otherMembers: readonly string[],
   confirmations: ReadonlyMap<string, Instant>,
 ): Instant | null => {
-  let since: Instant | null = null;
-  for (const other of others) {
+  let oldest: Instant | null = null;
+  for (const other of otherMembers) {
     const at = confirmations.get(other);
     if (at === undefined) return null;
-    if (since === null || at < since) since = at;
+    if (oldest === null || at < oldest) oldest = at;
   }
-  return since;
+  return oldest;
 };
 
 /**
@@ -98,19 +98,21 @@
 /** How many attempts one term has numbers for: the next term's begin where they end (S4). */
 export const ATTEMPTS_PER_TERM = FENCING_TOKENS_PER_TERM - 1;
 /** The token of a term, raised `step` times for one machine (S2). */
-export const fencingTokenOf = (term: number, step = 0): number => term * FENCING_TOKENS_PER_TERM + step;
+export const fencingTokenOf = (termNumber: number, step = 0): number =>
+  termNumber * FENCING_TOKENS_PER_TERM + step;
 /** The term of a token. */
 export const termNumberOf = (token: number): number => Math.floor(token / FENCING_TOKENS_PER_TERM);
 /** The number of a leader's n-th start under a term: unique for ever, since a token belongs to one leader (S4). */
-export const attemptOf = (term: number, start: number): number => term * FENCING_TOKENS_PER_TERM + start;
+export const attemptNumberOf = (termNumber: number, startNumber: number): number =>
+  termNumber * FENCING_TOKENS_PER_TERM + startNumber;
 /** What a member answers a worker with: its term's token, or the higher one that the worker has from the leader. */
-export const fencingTokenForAnswer = (term: number, seen: number): number =>
-  termNumberOf(seen) === term ? seen : fencingTokenOf(term);
+export const fencingTokenForAnswer = (termNumber: number, workerToken: number): number =>
+  termNumberOf(workerToken) === termNumber ? workerToken : fencingTokenOf(termNumber);
 
 /** May a node answer workers because all others confirm its term (S11)? Only nodes begin terms. */
 export const isConfirmedByPeers = (
   timings: LeaseTimings,
-  others: readonly string[],
+  otherMembers: readonly string[],
   confirmations: ReadonlyMap<string, Instant>,
   now: Instant,
-): boolean => isWithinFencingWindow(timings, oldestPeerConfirmation(others, confirmations), now);
+): boolean => isWithinFencingWindow(timings, oldestPeerConfirmation(otherMembers, confirmations), now);
--- a/src/core/placement/gang-placer.ts
+++ b/src/core/placement/gang-placer.ts
@@ -70,7 +70,7 @@
       started.push(this.starter.start({ job, index, attempt, machine }, now, trial));
     }
     if (started.length === spec.tasks) {
-      trial.moveTo(round.pendingCommands);
+      trial.appendTo(round.pendingCommands);
       return true;
     }
     for (const taskAttempt of started) removeAttempt(this.scope.cluster, taskAttempt);
@@ -82,7 +82,7 @@
     const { spec } = job;
     const tasksByZone = new Map<string, number>();
     for (const machine of this.scope.cluster.byLastHeartbeat) {
-      if (!this.scope.usable(machine, now) || !allowed(spec, machine)) continue;
+      if (!this.scope.isSchedulable(machine, now) || !allowed(spec, machine)) continue;
       const zone = spec.oneZone ? machine.zone : ANY_ZONE;
       tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + tasksThatFit(spec, machine));
     }
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -3,7 +3,7 @@
  * jobs are within a guarantee, and whether deadlines may bring jobs forward.
  */
 import * as Duration from "effect/Duration";
-import { isSuspect } from "../heartbeats/attempt-results.js";
+import { isSuspectedFaulty } from "../heartbeats/attempt-results.js";
 import type { Job } from "../cluster/cluster.js";
 import { timeFor } from "../jobs/dependency-graph.js";
 import { isWithinGuarantee, type Usage } from "./quota.js";
@@ -37,7 +37,7 @@
 
 /** A job that fails wherever it runs was started often enough: it goes before no others. */
 const hasStarted = (job: Job, now: Instant): boolean =>
-  job.attempts.size > 0 || job.done.size > 0 || isSuspect(job, now);
+  job.attempts.size > 0 || job.done.size > 0 || isSuspectedFaulty(job, now);
 
 /** Whether a job above the lowest rank has waited long for its first start. */
 const isStarved = (job: Job, now: Instant): boolean =>
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import type { Job, Machine } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
-import { startableTasks } from "../heartbeats/attempt-results.js";
+import { startableTaskCount } from "../heartbeats/attempt-results.js";
 import type { Team } from "../records.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed } from "../time.js";
@@ -87,7 +87,7 @@
     );
     const leastCpus = queue.reduce((least, job) => Math.min(least, job.spec.cpus), Infinity);
     for (const machine of this.scope.cluster.capacityIndex.atLeast(leastCpus))
-      if (this.scope.isReady(machine, now)) round.addCandidate(machine);
+      if (this.scope.canStartTasks(machine, now)) round.addCandidate(machine);
     return round;
   }
 
@@ -109,7 +109,7 @@
 
   /** Whether a machine that sent no heartbeat in this term may run tasks of the job (S5). */
   private isBlocked(job: Job): boolean {
-    if (job.revision > this.scope.since) return false;
+    if (job.revision > this.scope.leaderRevision) return false;
     for (const machine of this.scope.cluster.unconfirmed) if (allowed(job.spec, machine)) return true;
     return false;
   }
@@ -117,7 +117,7 @@
   private placeOrPreempt(job: Job, team: Team, round: PlacementRound): void {
     const { spec } = job;
     const used = round.mostUsed(this.scope.usageOf(spec.team));
-    const startable = this.queue.isOverdue(job, round.now) ? 1 : startableTasks(job, round.now);
+    const startable = this.queue.isOverdue(job, round.now) ? 1 : startableTaskCount(job, round.now);
     let left = Math.min(startable, round.startsLeft, tasksWithinLimit(team, used, spec));
     if (left <= 0) return;
     if (!round.isHopeless(spec)) {
@@ -170,7 +170,7 @@
   /** Free capacity is no use to a job whose image takes longer to fetch than its start may take. */
   private fetchTakesTooLong(job: Job, machine: Machine): boolean {
     const objective = this.scope.options.startLatencyObjectives.get(job.spec.className);
-    const type = this.scope.typeByName.get(machine.type);
+    const type = this.scope.machineTypeByName.get(machine.type);
     if (objective === undefined || type === undefined || machine.images.has(job.spec.image)) return false;
     return job.spec.imageGb / type.fetchGbPerS > Duration.toSeconds(objective);
   }
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -66,7 +66,9 @@
     // nothing that started lately will do: now and then all machines are searched
     if (this.searchedAllAt !== null && !hasElapsed(now, this.searchedAllAt, SEARCH_AGAIN_AFTER)) return false;
     this.searchedAllAt = now;
-    const all = [...this.scope.cluster.byLastHeartbeat].filter((machine) => this.scope.isReady(machine, now));
+    const all = [...this.scope.cluster.byLastHeartbeat].filter((machine) =>
+      this.scope.canStartTasks(machine, now),
+    );
     if (this.stopFor(job, all, round)) return true;
     this.pausedUntil.set(id, plus(now, SEARCH_ALL_AGAIN_AFTER));
     return false;
@@ -96,7 +98,7 @@
       const machine = attempt === undefined ? undefined : machines.get(attempt.machine);
       if (attempt !== undefined && machine !== undefined && occupiesCapacity(attempt)) found.add(machine);
     }
-    return [...found].filter((machine) => this.scope.isReady(machine, now));
+    return [...found].filter((machine) => this.scope.canStartTasks(machine, now));
   }
 
   /** Stops the cheapest tasks on one of the given machines; false: there are none. */
--- a/src/core/placement/task-starter.ts
+++ b/src/core/placement/task-starter.ts
@@ -2,7 +2,7 @@
 import { addAttempt, type TaskAttempt, type Job, type Machine } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
-import { attemptOf, ATTEMPTS_PER_TERM } from "../leases/term.js";
+import { attemptNumberOf, ATTEMPTS_PER_TERM } from "../leases/term.js";
 import type { Instant } from "../time.js";
 
 /** Latest starts that are remembered; half of them are dropped at a time. */
@@ -50,7 +50,7 @@
       this.attemptsUsed = 0;
     }
     this.attemptsUsed++;
-    return attemptOf(number, this.attemptsUsed);
+    return attemptNumberOf(number, this.attemptsUsed);
   }
 
   /** Adds the attempt and the command of one start. */
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -8,9 +8,9 @@
 import { type Instant, hasElapsed } from "../time.js";
 
 /** An exited task uses no capacity: forgetting it waits this long for other commands to the same machine. */
-const FORGET_AFTER = Duration.seconds(2);
+const FORGET_BATCHING_DELAY = Duration.seconds(2);
 /** A stop whose effect no heartbeat has shown for so long is sent again. */
-const STOP_AGAIN_AFTER = Duration.seconds(3);
+const STOP_RETRY_DELAY = Duration.seconds(3);
 
 /** A replica that has run long enough for its start to count, and that nobody is stopping. */
 export const isMovableReplica = (attempt: TaskAttempt, now: Instant): boolean =>
@@ -31,44 +31,45 @@
     for (const machine of [...reconcileQueue]) {
       machine.idleSince =
         machine.attempts.size === 0 && machine.lastHeartbeatAt !== null ? (machine.idleSince ?? now) : null;
-      if (!this.canBeCommanded(machine) || !this.reconcile(machine, now, pendingCommands))
+      if (!this.canReceiveCommands(machine) || !this.reconcile(machine, now, pendingCommands))
         reconcileQueue.delete(machine);
     }
   }
 
   /** Whatever ends one of the states that this excludes puts the machine back into the queue. */
-  private canBeCommanded(machine: Machine): boolean {
+  private canReceiveCommands(machine: Machine): boolean {
     const isBusy = machine.commandsInFlight || this.context.isPaused(machine);
     return !isBusy && machine.confirmed && machine.addr !== null;
   }
 
   /** Whether there is more to do here later. */
   private reconcile(machine: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
-    let hasMore = machine.draining || machine.reclaimAt !== null;
+    let needsRecheck = machine.draining || machine.reclaimAt !== null;
     if (machine.reclaimAt !== null) this.evacuate(machine, machine.reclaimAt, now, pendingCommands);
     // replicas leave a draining machine one at a time
-    let isMoving = machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
+    let isMoveInProgress =
+      machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
     for (const attempt of machine.attempts.values()) {
       if (attempt.state === "dispatched") continue;
       const job = this.context.cluster.jobs.get(attempt.job);
       if (attempt.state === "exited") {
         if (!mayBeForgotten(attempt, job)) continue;
-        pendingCommands.forget(attempt, hasElapsed(now, attempt.stateSince, FORGET_AFTER));
-        hasMore = true;
-      } else if (machine.draining && !isMoving && isMovableReplica(attempt, now)) {
-        isMoving = true;
+        pendingCommands.forget(attempt, hasElapsed(now, attempt.stateSince, FORGET_BATCHING_DELAY));
+        needsRecheck = true;
+      } else if (machine.draining && !isMoveInProgress && isMovableReplica(attempt, now)) {
+        isMoveInProgress = true;
         pendingCommands.stop(attempt);
-      } else if (this.isUnwanted(attempt, job)) {
-        if (!attempt.stopping || hasElapsed(now, attempt.stateSince, STOP_AGAIN_AFTER))
+      } else if (this.mustStop(attempt, job)) {
+        if (!attempt.stopping || hasElapsed(now, attempt.stateSince, STOP_RETRY_DELAY))
           pendingCommands.stop(attempt, 0);
-        hasMore = true;
+        needsRecheck = true;
       }
     }
-    return hasMore;
+    return needsRecheck;
   }
 
   /** Whether an attempt must not go on: its job is over, its task is finished, or an earlier attempt of it exists. */
-  private isUnwanted(attempt: TaskAttempt, job: Job | undefined): boolean {
+  private mustStop(attempt: TaskAttempt, job: Job | undefined): boolean {
     return job === undefined || job.done.has(attempt.index) || this.hasEarlierAttempt(attempt, job);
   }
 
@@ -107,15 +108,17 @@
         continue;
       }
       if (!canSave && spec.kind !== "service") continue;
-      candidates ??= this.usableMachines(spec.cpus, now);
+      candidates ??= this.schedulableMachines(spec.cpus, now);
       if (canSave || chooseMachine(cluster, job, { candidates, now, partCapacity: () => 0 }) !== null)
         pendingCommands.stop(attempt);
     }
   }
 
-  private usableMachines(cpus: number, now: Instant): Machine[] {
+  private schedulableMachines(cpus: number, now: Instant): Machine[] {
     const { cluster } = this.context;
-    return [...cluster.capacityIndex.atLeast(cpus)].filter((machine) => this.context.usable(machine, now));
+    return [...cluster.capacityIndex.atLeast(cpus)].filter((machine) =>
+      this.context.isSchedulable(machine, now),
+    );
   }
 }
 
@@ -125,8 +128,8 @@
   (job === undefined || attempt.exitReason !== "done" || attempt.stored);
 
 /** Whether a task keeps checkpoints, and has the time to write one. */
-const canSaveWithin = (spec: JobSpec, milliseconds: number): boolean =>
-  Duration.toMillis(spec.checkpoint) > 0 && milliseconds >= Duration.toMillis(spec.save);
+const canSaveWithin = (spec: JobSpec, availableMs: number): boolean =>
+  Duration.toMillis(spec.checkpoint) > 0 && availableMs >= Duration.toMillis(spec.save);
 
 /** Takes a gang down with time to save, all tasks at once; returns how many are still there. */
 export const stopGang = (attempts: readonly TaskAttempt[], pendingCommands: PendingCommands): number => {
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -16,7 +16,7 @@
 import { PendingCommands } from "../commands/pending-commands.js";
 import { SlowMachineDetector } from "../heartbeats/slow-machine-detector.js";
 import { Placer } from "../placement/placer.js";
-import { type LeaseAcknowledgement, LeaseExpiry } from "../leases/lease-expiry.js";
+import { type LeaseRenewalReport, LeaseExpiry } from "../leases/lease-expiry.js";
 import type { Range } from "../ranges.js";
 import type { JobSpec, MachineRecord, MachineType, Command, RentalRecord } from "../records.js";
 import type { TermRecord, Heartbeat } from "../records.js";
@@ -27,29 +27,29 @@
 import { Reconciler } from "./reconciler.js";
 import { ShardDrain } from "../shards/shard-drain.js";
 import type { Instant } from "../time.js";
-import type { ZoneWatch } from "../leases/zones.js";
+import type { ZoneMembership } from "../leases/zone-membership.js";
 
 export type { Decision, CommandOutcome } from "./decisions.js";
 
 /** One leader's core, from its first term on. A new leader makes a new one and reads everything anew (S5). */
 export class Scheduler {
   /** Scale-out requests without an outcome, and what the autoscaler remembers. */
-  readonly fleet: Autoscaler;
+  readonly autoscaler: Autoscaler;
   /** The handoff of machines to another controller. */
-  readonly drain: ShardDrain;
+  readonly shardDrain: ShardDrain;
   private readonly context: SchedulerContext;
-  private readonly jobs: JobIntake;
-  private readonly machines: MachineIntake;
-  private readonly heartbeats: HeartbeatHandler;
-  private readonly commands: CommandSender;
+  private readonly jobIntake: JobIntake;
+  private readonly machineIntake: MachineIntake;
+  private readonly heartbeatHandler: HeartbeatHandler;
+  private readonly commandSender: CommandSender;
   private readonly leaseExpiry: LeaseExpiry;
-  private readonly queue: JobQueue;
+  private readonly jobQueue: JobQueue;
   private readonly placer: Placer;
-  private readonly slowMachines: SlowMachineDetector;
+  private readonly slowMachineDetector: SlowMachineDetector;
   private readonly reconciler: Reconciler;
-  private readonly fleetDecisions: AutoscalerDecisions;
+  private readonly autoscalerDecisions: AutoscalerDecisions;
   /** Whether the cloud's list was read: before that, machines rented by an earlier leader are not known. */
-  private listedOnce = false;
+  private hasCloudInventory = false;
 
   /** `leaderRevision`: the revision of the leader's key, which tells older jobs from younger ones (S5). */
   constructor(
@@ -57,22 +57,22 @@
     term: TermRecord,
     leaderRevision: number,
     now: Instant,
-    zones?: ZoneWatch,
+    zones?: ZoneMembership,
   ) {
     this.context = new SchedulerContext(options, term, now, leaderRevision, zones);
-    this.fleet = new Autoscaler(options.fleet);
-    this.drain = new ShardDrain(this.context);
-    this.jobs = new JobIntake(this.context.cluster);
-    this.machines = new MachineIntake(this.context);
-    this.slowMachines = new SlowMachineDetector(this.context);
-    this.heartbeats = new HeartbeatHandler(this.context, this.machines, this.slowMachines);
-    this.commands = new CommandSender(this.context);
+    this.autoscaler = new Autoscaler(options.fleet);
+    this.shardDrain = new ShardDrain(this.context);
+    this.jobIntake = new JobIntake(this.context.cluster);
+    this.machineIntake = new MachineIntake(this.context);
+    this.slowMachineDetector = new SlowMachineDetector(this.context);
+    this.heartbeatHandler = new HeartbeatHandler(this.context, this.machineIntake, this.slowMachineDetector);
+    this.commandSender = new CommandSender(this.context);
     this.leaseExpiry = new LeaseExpiry(this.context);
-    this.queue = new JobQueue(this.context);
-    this.placer = new Placer(this.context, this.queue);
+    this.jobQueue = new JobQueue(this.context);
+    this.placer = new Placer(this.context, this.jobQueue);
     this.reconciler = new Reconciler(this.context);
     const scaleIn = new ScaleIn(this.context, this.leaseExpiry);
-    this.fleetDecisions = new AutoscalerDecisions(this.context, this.fleet, scaleIn, this.queue);
+    this.autoscalerDecisions = new AutoscalerDecisions(this.context, this.autoscaler, scaleIn, this.jobQueue);
   }
 
   /** Jobs, machines and attempts. */
@@ -91,15 +91,15 @@
   }
 
   /** Jobs known to wait for others. */
-  get awaitingJobs(): ReadonlySet<string> {
-    return this.jobs.blockedJobs;
+  get blockedJobs(): ReadonlySet<string> {
+    return this.jobIntake.blockedJobs;
   }
 
   /** The same leader goes on under a higher token: what it knows stays true. */
   renewTerm(term: TermRecord, now: Instant): void {
     this.context.term = term;
     this.context.termBegan = now;
-    this.leaseExpiry.newTerm();
+    this.leaseExpiry.beginTerm();
     for (const machine of this.cluster.machines.values()) {
       machine.commandsInFlight = false;
       machine.fencingTokenStep = 0;
@@ -110,83 +110,83 @@
   }
 
   /** The machine types that the platform offers. */
-  setTypes(types: readonly MachineType[]): void {
-    this.context.setTypes(types);
+  setMachineTypes(types: readonly MachineType[]): void {
+    this.context.setMachineTypes(types);
   }
 
-  /** A released job. Its deadline and its age count from `accepted` and `released`, under whatever leader. */
-  jobSeen(spec: JobSpec, revision: number, accepted: Instant, released: Instant = accepted): void {
-    const job = this.jobs.released(spec, revision, accepted, released);
-    if (job !== null) this.fleet.arrived(job);
+  /** A released job. Its deadline and its age count from `acceptedAt` and `releasedAt`, under whatever leader. */
+  jobReleased(spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant = acceptedAt): void {
+    const job = this.jobIntake.released(spec, revision, acceptedAt, releasedAt);
+    if (job !== null) this.autoscaler.arrived(job);
   }
 
   /** A job that waits for others (S12): it counts only for the jobs that it needs. */
-  waitingSeen(spec: JobSpec, accepted: Instant): void {
-    this.jobs.waiting(spec, accepted);
+  jobBlocked(spec: JobSpec, acceptedAt: Instant): void {
+    this.jobIntake.waiting(spec, acceptedAt);
   }
 
-  /** It waits no longer: cancelled, or released (whether this or `jobSeen` comes first doesn't matter). */
-  waitingOver(id: string): void {
-    this.jobs.waitingOver(id);
+  /** It waits no longer: cancelled, or released (whether this or `jobReleased` comes first doesn't matter). */
+  jobUnblocked(id: string): void {
+    this.jobIntake.waitingOver(id);
   }
 
   /** The job record is gone: there is a commit, done or cancelled, and nothing of it may start again (S9). */
-  jobOver(id: string): void {
-    this.jobs.over(id);
+  jobEnded(id: string): void {
+    this.jobIntake.over(id);
     this.placer.jobOver(id);
-    this.slowMachines.forgetJob(id);
+    this.slowMachineDetector.forgetJob(id);
   }
 
   /** Finishes that are in the state service (S7). */
-  stored(id: string, ranges: readonly Range[]): void {
-    this.jobs.stored(id, ranges);
+  finishesStored(id: string, ranges: readonly Range[]): void {
+    this.jobIntake.stored(id, ranges);
   }
 
   /** A commit that was decided on could not be made. */
   commitFailed(id: string): void {
-    this.jobs.commitFailed(id);
+    this.jobIntake.commitFailed(id);
   }
 
   /** A machine record read from the state service, or one just written (S5). */
-  recorded(id: string, record: MachineRecord, now: Instant): Machine | null {
-    return this.machines.recorded(id, record, now);
+  machineRecorded(id: string, record: MachineRecord, now: Instant): Machine | null {
+    return this.machineIntake.recorded(id, record, now);
   }
 
   /** The write of a machine's record failed. */
-  recordFailed(id: string): void {
-    this.machines.recordFailed(id);
+  machineRecordFailed(id: string): void {
+    this.machineIntake.recordFailed(id);
   }
 
   /** The cloud's list of machines. */
-  listed(rows: readonly ListedMachine[], now: Instant): void {
-    this.listedOnce = true;
-    this.machines.listed(rows, now);
+  machinesListed(rows: readonly ListedMachine[], now: Instant): void {
+    this.hasCloudInventory = true;
+    this.machineIntake.listed(rows, now);
   }
 
-  /** The cloud's answer to a release; `gone`: it was carried out (S3). */
-  releaseAnswered(ids: readonly string[], gone: boolean, now: Instant): void {
+  /** The cloud's answer to a release; `released`: it was carried out (S3). */
+  releaseAnswered(ids: readonly string[], released: boolean, now: Instant): void {
     for (const id of ids) {
-      if (!gone) this.machines.releaseFailed(id, now);
-      else if (this.machines.released(id)) this.leaseExpiry.forget(id);
+      if (!released) this.machineIntake.releaseFailed(id, now);
+      else if (this.machineIntake.released(id)) this.leaseExpiry.forgetMachine(id);
     }
   }
 
-  /** A worker's heartbeat, passed on by the member `via`, which took it at `at`. */
-  heartbeatReceived(heartbeat: Heartbeat, via: string, now: Instant, at: Instant = now): void {
-    this.heartbeats.apply(heartbeat, via, now, at);
+  /** A worker's heartbeat, passed on by the member `relayedBy`, which took it at `heardAt`. */
+  heartbeatReceived(heartbeat: Heartbeat, relayedBy: string, now: Instant, heardAt: Instant = now): void {
+    this.heartbeatHandler.apply(heartbeat, relayedBy, now, heardAt);
   }
 
-  /** A member heard a newer message of a worker at `at`, with nothing new in it. */
-  contactReported(id: string, at: Instant): void {
+  /** A member heard a newer message of a worker at `heardAt`, with nothing new in it. */
+  contactReported(id: string, heardAt: Instant): void {
     const machine = this.cluster.machines.get(id);
     // only of a machine that has shown itself by a heartbeat
-    if (machine !== undefined && machine.workerEpoch > 0) recordHeartbeat(this.cluster, machine, at);
+    if (machine !== undefined && machine.workerEpoch > 0) recordHeartbeat(this.cluster, machine, heardAt);
   }
 
   /** A member's evidence for the expiry of leases: which workers it answered (S3). */
-  leasesAcknowledged(acknowledgement: LeaseAcknowledgement, now: Instant): void {
-    this.leaseExpiry.acknowledged(acknowledgement, now);
-    for (const { machine: id, at } of acknowledgement.answered) {
+  leaseRenewalsReported(report: LeaseRenewalReport, now: Instant): void {
+    this.leaseExpiry.renewalsReported(report, now);
+    for (const { machine: id, at } of report.renewals) {
       const machine = this.cluster.machines.get(id);
       if (machine === undefined) continue;
       if (machine.leaseRenewedAt === null || at > machine.leaseRenewedAt) machine.leaseRenewedAt = at;
@@ -202,7 +202,7 @@
     now: Instant,
     answeredBy: CommandBatchResult["answeredBy"] = { workerEpoch: 0, sequence: 0 },
   ): void {
-    this.commands.answered(machine, { commands, fencingToken, outcome, answeredBy }, now);
+    this.commandSender.applyResult(machine, { commands, fencingToken, outcome, answeredBy }, now);
   }
 
   /** Decides on everything but scaling. Its work is in proportion to what changed and what waits. */
@@ -210,16 +210,16 @@
     const decisions: Decision[] = [];
     const pendingCommands = new PendingCommands();
     const notes: string[] = [];
-    this.commands.unblock(now);
+    this.commandSender.unblock(now);
     this.leaseExpiry.step(now);
     this.reconciler.step(now, pendingCommands);
-    this.slowMachines.step(now, pendingCommands);
+    this.slowMachineDetector.step(now, pendingCommands);
     this.placer.step(now, pendingCommands, notes);
     for (const text of notes) decisions.push({ kind: "note", text });
     this.decideCommits(decisions);
     this.decideRecords(decisions);
-    this.commands.settleUnacknowledgedStarts();
-    this.commands.send(now, pendingCommands, decisions);
+    this.commandSender.settleUnacknowledgedStarts();
+    this.commandSender.send(now, pendingCommands, decisions);
     return decisions;
   }
 
@@ -248,17 +248,17 @@
   }
 
   /** Decides on scaling out and in. Called about once a second, and only while the cloud can be asked. */
-  stepFleet(now: Instant): Decision[] {
-    const releases = this.fleetDecisions.release(now);
-    if (!this.listedOnce) return releases;
-    return [...releases, ...this.fleetDecisions.scaleOut(now)];
+  stepAutoscaler(now: Instant): Decision[] {
+    const releases = this.autoscalerDecisions.release(now);
+    if (!this.hasCloudInventory) return releases;
+    return [...releases, ...this.autoscalerDecisions.scaleOut(now)];
   }
 
   /** The certain outcome of a recorded rental (S10). */
   rentalAnswered(name: string, record: RentalRecord, machines: readonly string[], now: Instant): void {
-    this.fleet.outstanding.delete(name);
+    this.autoscaler.outstanding.delete(name);
     const { type, zone, spot, count } = record;
-    if (machines.length < count) this.fleet.refused(offerKey(type, zone, spot), now);
-    for (const id of machines) this.machines.discovered(id, { type, zone, spot, addr: null }, now);
+    if (machines.length < count) this.autoscaler.refused(offerKey(type, zone, spot), now);
+    for (const id of machines) this.machineIntake.discovered(id, { type, zone, spot, addr: null }, now);
   }
 }
--- a/src/core/scheduler/summary.ts
+++ b/src/core/scheduler/summary.ts
@@ -43,7 +43,7 @@
     const { starting, replicas } = cpusByState(machine);
     figures.fetching += starting;
     figures.replicas += replicas;
-    if (!context.usable(machine, now)) {
+    if (!context.isSchedulable(machine, now)) {
       figures.unusable += machine.cpus;
       continue;
     }
--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -31,7 +31,7 @@
 
   private readonly listOnce = Effect.gen(this, function* () {
     const rows = yield* this.context.services.cloud.list();
-    this.context.schedulerLock?.with((scheduler) => scheduler.listed(rows, now()));
+    this.context.schedulerLock?.with((scheduler) => scheduler.machinesListed(rows, now()));
     this.context.stepRequested.notify();
     yield* Effect.sleep(Duration.max(this.context.options.listEvery, this.listPause(rows.length)));
   });
--- a/src/service/leader/failover-recovery.ts
+++ b/src/service/leader/failover-recovery.ts
@@ -3,7 +3,7 @@
  * it knows from earlier counts for nothing (S5).
  */
 import * as Effect from "effect/Effect";
-import type { ZoneWatch } from "../../core/leases/zones.js";
+import type { ZoneMembership } from "../../core/leases/zone-membership.js";
 import { keys, type TermRecord } from "../../core/records.js";
 import { Scheduler } from "../../core/scheduler/scheduler.js";
 import type { Instant } from "../../core/time.js";
@@ -36,7 +36,7 @@
     private readonly context: LeaderContext,
     private readonly recorder: MachineRecorder,
     private readonly progress: ProgressReporter,
-    private readonly zones: ZoneWatch,
+    private readonly zones: ZoneMembership,
   ) {}
 
   /** Writes a term of this leader and loads all records; null: this node doesn't lead. */
@@ -77,7 +77,7 @@
     const scheduler = new Scheduler(this.context.options, term, leadership.revision, startedAt, this.zones);
     this.progress.follow(scheduler);
     this.restoreMachines(scheduler, loaded);
-    scheduler.setTypes(this.context.services.jobCache.types);
+    scheduler.setMachineTypes(this.context.services.jobCache.types);
     this.restoreJobs(scheduler, loaded);
     this.restoreRanges(scheduler, loaded);
     this.catchUp(scheduler, loaded);
@@ -89,21 +89,21 @@
     for (const row of machines) {
       const records = machinesIn(row);
       this.recorder.store.add(row.key, records);
-      for (const [id, record] of Object.entries(records)) scheduler.recorded(id, record, startedAt);
+      for (const [id, record] of Object.entries(records)) scheduler.machineRecorded(id, record, startedAt);
     }
   }
 
   private restoreJobs(scheduler: Scheduler, { jobs }: LoadedState): void {
     for (const row of jobs) {
       const job = this.context.services.jobCache.put(row.key, row.value, row.revision);
-      if (typeof job !== "string") scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released);
+      if (typeof job !== "string") scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released);
     }
   }
 
   private restoreRanges(scheduler: Scheduler, { ranges }: LoadedState): void {
     for (const row of ranges) {
       const id = jobOfRanges(row);
-      if (scheduler.cluster.jobs.has(id)) scheduler.stored(id, rangesIn(row));
+      if (scheduler.cluster.jobs.has(id)) scheduler.finishesStored(id, rangesIn(row));
       else this.context.staleKeys.add(row.key);
     }
   }
@@ -112,8 +112,9 @@
   private catchUp(scheduler: Scheduler, { jobsRevision }: LoadedState): void {
     const { jobCache } = this.context.services;
     for (const job of jobCache.jobs.values())
-      if (job.revision > jobsRevision) scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released);
-    for (const job of jobCache.waiting.values()) scheduler.waitingSeen(job.spec, job.accepted);
-    for (const id of [...scheduler.cluster.jobs.keys()]) if (!jobCache.jobs.has(id)) scheduler.jobOver(id);
+      if (job.revision > jobsRevision)
+        scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released);
+    for (const job of jobCache.waiting.values()) scheduler.jobBlocked(job.spec, job.accepted);
+    for (const id of [...scheduler.cluster.jobs.keys()]) if (!jobCache.jobs.has(id)) scheduler.jobEnded(id);
   }
 }
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -4,7 +4,7 @@
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { ZoneWatch } from "../../core/leases/zones.js";
+import { ZoneMembership } from "../../core/leases/zone-membership.js";
 import type { TermRecord } from "../../core/records.js";
 import type { Scheduler } from "../../core/scheduler/scheduler.js";
 import { now } from "../../io/clock.js";
@@ -41,7 +41,7 @@
 export class Leader {
   /** Jobs written up to this revision are in what was loaded; later ones come from the job cache. */
   private loadedRevision = 0;
-  private readonly zones = new ZoneWatch();
+  private readonly zones = new ZoneMembership();
   private readonly context: LeaderContext;
   private readonly progress = new ProgressReporter();
   private readonly dispatcher: CommandDispatcher;
@@ -86,10 +86,10 @@
   private listen(): void {
     const { jobCache, membership } = this.context.services;
     jobCache.onWaiting = (job) => this.waitingSeen(job);
-    jobCache.onWaitingOver = (id) => this.withScheduler((scheduler) => scheduler.waitingOver(id));
+    jobCache.onWaitingOver = (id) => this.withScheduler((scheduler) => scheduler.jobUnblocked(id));
     jobCache.onJob = (job) => this.jobSeen(job);
     jobCache.onOver = (id) => this.jobOver(id);
-    jobCache.onTypes = (types) => this.withScheduler((scheduler) => scheduler.setTypes(types));
+    jobCache.onTypes = (types) => this.withScheduler((scheduler) => scheduler.setMachineTypes(types));
     membership.onLost = () => this.stop();
   }
 
@@ -100,12 +100,14 @@
 
   private jobSeen(job: CachedJob): void {
     if (this.context.schedulerLock === null || job.revision <= this.loadedRevision) return;
-    this.withScheduler((scheduler) => scheduler.jobSeen(job.spec, job.revision, job.accepted, job.released));
+    this.withScheduler((scheduler) =>
+      scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released),
+    );
     this.context.stepRequested.notify();
   }
 
   private waitingSeen(job: BlockedJob): void {
-    this.withScheduler((scheduler) => scheduler.waitingSeen(job.spec, job.accepted));
+    this.withScheduler((scheduler) => scheduler.jobBlocked(job.spec, job.accepted));
     this.context.services.jobReleaser.waitingSeen(job.spec.id);
   }
 
@@ -114,13 +116,13 @@
     member.jobOver(id);
     jobReleaser.over(id);
     if (this.context.schedulerLock === null) return;
-    this.withScheduler((scheduler) => scheduler.jobOver(id));
+    this.withScheduler((scheduler) => scheduler.jobEnded(id));
     this.context.stepRequested.notify();
   }
 
   /** A term that came into force, this leader's or another one's. */
   readonly termChanged = (term: TermRecord): void => {
-    this.zones.seen(term, now());
+    this.zones.termObserved(term, now());
     if (term.leader !== this.context.options.me) this.stop();
     else this.withScheduler((scheduler) => scheduler.renewTerm(term, now()));
     this.context.stepRequested.notify();
--- a/src/service/leader/machine-recorder.ts
+++ b/src/service/leader/machine-recorder.ts
@@ -103,8 +103,8 @@
   private tellScheduler(batch: readonly UnrecordedMachine[], recorded: boolean): void {
     this.context.schedulerLock?.with((scheduler) => {
       for (const { id, record } of batch)
-        if (recorded) scheduler.recorded(id, record, now());
-        else scheduler.recordFailed(id);
+        if (recorded) scheduler.machineRecorded(id, record, now());
+        else scheduler.machineRecordFailed(id);
     });
     this.context.stepRequested.notify();
   }
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -65,7 +65,7 @@
 
   private apply(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
     this.applyHeartbeats(scheduler, request, receivedAt);
-    for (const { job, ranges } of request.storedFinishes) scheduler.stored(job, ranges);
+    for (const { job, ranges } of request.storedFinishes) scheduler.finishesStored(job, ranges);
     this.applyContacts(scheduler, request, receivedAt);
     for (const { id, outcome, workerEpoch, sequence } of request.commandResults)
       this.dispatcher.answered(scheduler, id, outcome, { workerEpoch, sequence });
@@ -93,7 +93,10 @@
     }
     const { member, incarnation, termNumber, leaderClockMark } = request;
     const completeUpTo = leaderClockMark < 0 ? null : instant(leaderClockMark);
-    scheduler.leasesAcknowledged({ member, incarnation, termNumber, completeUpTo, answered }, receivedAt);
+    scheduler.leaseRenewalsReported(
+      { member, incarnation, termNumber, completeUpTo, renewals: answered },
+      receivedAt,
+    );
   }
 
   /**
--- a/src/service/leader/progress-reporter.ts
+++ b/src/service/leader/progress-reporter.ts
@@ -42,7 +42,7 @@
       const tasks = this.finishedJobs.get(id);
       if (tasks !== undefined) out.push({ job: id, done: tasks, running: 0, over: true });
       else if (job !== undefined)
-        out.push({ job: id, done: job.done.size, running: job.running, over: false });
+        out.push({ job: id, done: job.done.size, running: job.runningTasks, over: false });
     }
     return out;
   }
--- a/src/service/leader/step-loop.ts
+++ b/src/service/leader/step-loop.ts
@@ -92,7 +92,7 @@
     yield* Effect.sleep(SCALE_EVERY);
     const { schedulerLock, services } = this.context;
     if (schedulerLock === null || !services.membership.isActingLeader()) return;
-    for (const decision of schedulerLock.with((scheduler) => scheduler.stepFleet(now())))
+    for (const decision of schedulerLock.with((scheduler) => scheduler.stepAutoscaler(now())))
       if (decision.kind !== "commands") yield* this.context.fork(this.carryOut(decision));
   });
 
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -200,7 +200,7 @@
       assignment: this.view.assignment,
       facts: (shard) => {
         const machines = leading.machines.of(shard);
-        return leading.scheduler.with((scheduler) => scheduler.drain.factsOf(machines));
+        return leading.scheduler.with((scheduler) => scheduler.shardDrain.factsOf(machines));
       },
     };
   }
@@ -221,7 +221,7 @@
         return void Effect.runFork(this.askRelease(leading, action));
       case "raise": {
         const machines = leading.machines.of(action.shard);
-        leading.scheduler.with((scheduler) => scheduler.drain.raiseTokens(machines));
+        leading.scheduler.with((scheduler) => scheduler.shardDrain.raiseTokens(machines));
         return;
       }
       case "ended": {
@@ -283,7 +283,7 @@
     for (const shard of leading.paused) {
       if (paused.has(shard)) continue;
       const machines = leading.machines.of(shard);
-      leading.scheduler.with((scheduler) => scheduler.drain.resume(machines));
+      leading.scheduler.with((scheduler) => scheduler.shardDrain.resume(machines));
     }
     leading.paused = paused;
   }
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -119,7 +119,7 @@
   /** What the leader's core asks. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.leader.isPaused(machine, zone),
-    wayTo: (machine, zone) => this.view.newOwnerOf(machine, zone),
+    commandRouteOverride: (machine, zone) => this.view.newOwnerOf(machine, zone),
   };
 
   /** What other controllers ask. */
--- a/test/cluster-fixture.ts
+++ b/test/cluster-fixture.ts
@@ -36,15 +36,15 @@
         teams: new Map(TEAMS.map((team) => [team.name, team])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
         startLatencyObjectives: new Map(),
-        ownership: { isPaused: (machine) => this.paused.has(machine), wayTo: () => null },
+        ownership: { isPaused: (machine) => this.paused.has(machine), commandRouteOverride: () => null },
       },
       term,
       10,
       instant(0),
     );
-    this.scheduler.setTypes(TYPES);
+    this.scheduler.setMachineTypes(TYPES);
     for (const { id, zone, type = "small" } of machines) {
-      this.scheduler.recorded(id, { type, zone, spot: false, addr: id }, instant(0));
+      this.scheduler.machineRecorded(id, { type, zone, spot: false, addr: id }, instant(0));
       this.tasks.set(id, new Map());
       this.report(id, zone);
     }
--- a/test/failing-jobs.test.ts
+++ b/test/failing-jobs.test.ts
@@ -27,14 +27,14 @@
 
 const rented = (fixture: ClusterFixture): number =>
   fixture.scheduler
-    .stepFleet(instant(fixture.now))
+    .stepAutoscaler(instant(fixture.now))
     .reduce((count, decision) => count + (decision.kind === "rent" ? decision.rent.count : 0), 0);
 
 /** A fixture in which the broken job was started everywhere and is known to fail wherever it runs. */
 const sceneWithBroken = (): ClusterFixture => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.listed([], instant(fixture.now));
-  fixture.scheduler.jobSeen(spec({ id: BROKEN, tasks: 200 }), 20, instant(fixture.now));
+  fixture.scheduler.machinesListed([], instant(fixture.now));
+  fixture.scheduler.jobReleased(spec({ id: BROKEN, tasks: 200 }), 20, instant(fixture.now));
   failFor(fixture, 6);
   return fixture;
 };
@@ -64,12 +64,16 @@
     const fixture = broken ? sceneWithBroken() : new ClusterFixture(EAST);
     // one replica a machine, on half of it: two of them fit on one
     const replicas = { kind: "service", priority: "production", spot: false, tasks: 3 } as const;
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", image: "x", ...replicas }), 21, instant(fixture.now));
+    fixture.scheduler.jobReleased(
+      spec({ id: "req-000002", image: "x", ...replicas }),
+      21,
+      instant(fixture.now),
+    );
     failFor(fixture, 60);
     // between two tries of the broken job
     while ((fixture.scheduler.cluster.jobs.get(BROKEN)?.retryAt ?? Infinity) <= fixture.now)
       failFor(fixture, 0.5);
-    fixture.scheduler.stepFleet(instant(fixture.now));
+    fixture.scheduler.stepAutoscaler(instant(fixture.now));
     return [...fixture.scheduler.cluster.machines.values()].some((machine) => machine.draining);
   };
   assert.equal(isDraining(false), true);
@@ -78,7 +82,7 @@
 
 test("a job of which some task runs for long is not taken for one that fails everywhere", () => {
   const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }, { id: "n-5", zone: "east" }]);
-  fixture.scheduler.jobSeen(spec({ id: BROKEN, tasks: 60 }), 20, instant(fixture.now));
+  fixture.scheduler.jobReleased(spec({ id: BROKEN, tasks: 60 }), 20, instant(fixture.now));
   fixture.step();
   // three of five machines fail what they start
   for (const id of ["n-1", "n-2", "n-3"]) fixture.endTasks(id, "error");
@@ -94,7 +98,7 @@
 test("a job that fails everywhere goes before no other, however long it waits", () => {
   const fixture = sceneWithBroken();
   failFor(fixture, 110);
-  fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6, image: "y" }), 22, instant(fixture.now));
+  fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6, image: "y" }), 22, instant(fixture.now));
   const before = fixture.sent.length;
   fixture.step();
   const started = fixture.sent.slice(before).filter(({ command }) => command.op === "start");
@@ -105,9 +109,9 @@
   const rents = (seconds: number): number => {
     const fixture = new ClusterFixture([]);
     for (const { id, zone } of EAST)
-      fixture.scheduler.recorded(id, { type: "small", zone, spot: false, addr: id }, instant(0));
-    fixture.scheduler.listed([], instant(0));
-    fixture.scheduler.jobSeen(spec({ id: "req-000004", tasks: 6 }), 5, instant(0));
+      fixture.scheduler.machineRecorded(id, { type: "small", zone, spot: false, addr: id }, instant(0));
+    fixture.scheduler.machinesListed([], instant(0));
+    fixture.scheduler.jobReleased(spec({ id: "req-000004", tasks: 6 }), 5, instant(0));
     fixture.now = seconds * 1000;
     return rented(fixture);
   };
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -80,9 +80,9 @@
     startLatencyObjectives: new Map(),
   };
   const scheduler = new Scheduler(options, TERM, 500, instant(0));
-  scheduler.setTypes(TYPES);
-  for (let n = 0; n < machines; n++) scheduler.recorded(nameOf(n), recordOf(n), instant(0));
-  scheduler.listed([], instant(0));
+  scheduler.setMachineTypes(TYPES);
+  for (let n = 0; n < machines; n++) scheduler.machineRecorded(nameOf(n), recordOf(n), instant(0));
+  scheduler.machinesListed([], instant(0));
   return scheduler;
 };
 
@@ -124,9 +124,9 @@
 
   test(`a new leader of ${machines} machines rents, returns and starts nothing until they had time to report`, () => {
     const scheduler = takeOver(machines);
-    scheduler.jobSeen(largeFleetJob(1, { tasks: 25_000, cpus: 0.25, memoryGb: 0.5 }), 400, instant(0));
+    scheduler.jobReleased(largeFleetJob(1, { tasks: 25_000, cpus: 0.25, memoryGb: 0.5 }), 400, instant(0));
     for (let now = 250; now <= 6000; now += 250) {
-      const decisions = [...scheduler.step(instant(now)), ...scheduler.stepFleet(instant(now))];
+      const decisions = [...scheduler.step(instant(now)), ...scheduler.stepAutoscaler(instant(now))];
       assert.equal(ofKind(decisions, "rent").length, 0);
       assert.equal(ofKind(decisions, "release").length, 0);
       const orders = ofKind(decisions, "commands").flatMap(({ commands }) => commands);
@@ -138,7 +138,7 @@
     const scheduler = takeOver(machines);
     reportAll(scheduler, machines, 1, instant(1000));
     assert.equal(scheduler.cluster.unconfirmed.size, 0);
-    scheduler.jobSeen(largeFleetJob(1, { tasks: 25_000, cpus: 1, memoryGb: 1 }), 600, instant(1000));
+    scheduler.jobReleased(largeFleetJob(1, { tasks: 25_000, cpus: 1, memoryGb: 1 }), 600, instant(1000));
     const started = new Set<number>();
     for (let now = 1000; now < 1000 + 50 * 80 && started.size < 25_000; now += 50) {
       for (const { machine, commands, fencingToken } of ofKind(scheduler.step(instant(now)), "commands")) {
@@ -162,13 +162,13 @@
     const later = instant(60_000);
     reportAll(scheduler, machines, 2, later);
     scheduler.step(later);
-    const released = ofKind(scheduler.stepFleet(later), "release");
+    const released = ofKind(scheduler.stepAutoscaler(later), "release");
     assert.ok(released.every(({ machines: ids }) => ids.length <= 100));
     assert.equal(released.flatMap(({ machines: ids }) => ids).length, machines);
     // three requests a second, as the cloud takes them: a second round would only make the queue longer
     const seconds = machines / 100 / 3;
     for (let second = 6; second <= seconds; second++) {
-      const again = ofKind(scheduler.stepFleet(instant(60_000 + second * 1000)), "release");
+      const again = ofKind(scheduler.stepAutoscaler(instant(60_000 + second * 1000)), "release");
       assert.equal(again.length, 0, `after ${second} s`);
     }
   });
@@ -217,7 +217,7 @@
           by,
         );
       }
-      const fleet = scheduler.stepFleet(instant(now));
+      const fleet = scheduler.stepAutoscaler(instant(now));
       for (const { machines: ids, reason } of ofKind(fleet, "release"))
         if (reason === "silent") released += ids.length;
     }
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -10,7 +10,7 @@
 test("a gang starts whole, with one attempt, and after a loss is taken down whole before the next", () => {
   const fixture = new ClusterFixture(EAST);
   const gang = spec({ kind: "gang", tasks: 4, save: Duration.seconds(5), checkpoint: Duration.seconds(10) });
-  fixture.scheduler.jobSeen(gang, 20, instant(0));
+  fixture.scheduler.jobReleased(gang, 20, instant(0));
   fixture.step();
   const first = new Set(fixture.live().map((task) => task.attempt));
   assert.equal(fixture.live().length, 4);
@@ -35,16 +35,16 @@
 
 test("a gang that doesn't fit takes no place, and is not starved by smaller jobs", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6, image: "x" }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6, image: "x" }), 20, instant(0));
   fixture.step();
   assert.equal(fixture.live().length, 6);
-  fixture.scheduler.jobSeen(spec({ id: "req-000002", kind: "gang", tasks: 6 }), 21, instant(fixture.now));
+  fixture.scheduler.jobReleased(spec({ id: "req-000002", kind: "gang", tasks: 6 }), 21, instant(fixture.now));
   for (let i = 0; i < 40; i++) fixture.step();
-  fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
+  fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
   for (const { id } of EAST) {
     fixture.endTasks(id, "done");
     fixture.step();
-    fixture.scheduler.stored("req-000001", [[0, 6]]);
+    fixture.scheduler.finishesStored("req-000001", [[0, 6]]);
     fixture.step();
   }
   fixture.step();
@@ -58,11 +58,11 @@
     const fixture = new ClusterFixture(EAST);
     fixture.now = 50_000;
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
-    fixture.scheduler.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
     fixture.step();
     const gang = spec({ id: "req-000002", kind: "gang", tasks: 6 });
-    fixture.scheduler.jobSeen(gang, 21, instant(1000), instant(released));
-    fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
+    fixture.scheduler.jobReleased(gang, 21, instant(1000), instant(released));
+    fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
     fixture.step();
     return fixture.live().length === 1;
   };
--- a/test/invariant-checker.ts
+++ b/test/invariant-checker.ts
@@ -71,7 +71,7 @@
     const running = mine.filter(
       (attempt) => attempt.state === "running" || attempt.state === "saving",
     ).length;
-    assert.equal(job.running, running, job.spec.id);
+    assert.equal(job.runningTasks, running, job.spec.id);
     assert.equal(c.pendingJobs.has(job), job.pending.size > 0, job.spec.id);
     const done = job.done.covers(job.spec.tasks);
     if (c.awaitingCommit.has(job)) assert.ok(done && !job.committing);
--- a/test/large-fleet.ts
+++ b/test/large-fleet.ts
@@ -62,10 +62,10 @@
     const fleet = { reuse: 0.5, idleBoots: 0.6, warmFor: Duration.seconds(10) };
     const options = { timings, teams: new Map([["red", team]]), fleet, startLatencyObjectives: new Map() };
     this.s = new Scheduler(options, term, 10, instant(0));
-    this.s.setTypes(TYPES);
+    this.s.setMachineTypes(TYPES);
     for (let i = 0; i < machines; i++) {
       const id = `n-${i}`;
-      this.s.recorded(
+      this.s.machineRecorded(
         id,
         { type: "small", zone: i % 2 === 0 ? "east" : "west", spot: false, addr: id },
         instant(0),
@@ -75,12 +75,12 @@
     }
     let n = 0;
     while (n < services)
-      this.s.jobSeen(
+      this.s.jobReleased(
         largeFleetJob(n, { kind: "service", priority: "production", tasks: 2, cpus: 2, spot: false }),
         20 + n++,
         instant(this.now),
       );
-    while (n < services + arrays) this.s.jobSeen(largeFleetJob(n, {}), 20 + n++, instant(this.now));
+    while (n < services + arrays) this.s.jobReleased(largeFleetJob(n, {}), 20 + n++, instant(this.now));
     for (let i = 0; i < 400 && this.step() > 0; i++) {
       this.now += 50;
       if (i % 40 === 0) for (const id of this.tasks.keys()) this.report(id);
@@ -134,7 +134,7 @@
     for (const [key, task] of tasks)
       if (task.state === "running" && this.s.cluster.jobs.get(task.job)?.spec.kind === "array") {
         tasks.set(key, { ...task, state: "exited", exitReason: "done" });
-        this.s.stored(task.job, [[task.index, task.index + 1]]);
+        this.s.finishesStored(task.job, [[task.index, task.index + 1]]);
         break;
       }
     this.report(id);
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -41,7 +41,7 @@
   if (node.scheduler !== scheduler) return;
   if (world.now % 2000 === 0) listMachines(world, scheduler);
   if (world.now % 500 === 0)
-    for (const decision of scheduler.stepFleet(instant(world.now)))
+    for (const decision of scheduler.stepAutoscaler(instant(world.now)))
       carryOutDecision(world, node, scheduler, decision);
 }
 
@@ -60,7 +60,7 @@
   { spec, revision: stamp, accepted, released }: Row,
 ): void {
   const seen = world.without === "zone" ? { ...spec, oneZone: false, zone: null, types: null } : spec;
-  scheduler.jobSeen(seen, stamp, instant(accepted), instant(released));
+  scheduler.jobReleased(seen, stamp, instant(accepted), instant(released));
 }
 
 /** What the state service has of unfinished jobs comes a moment later, and not at all while it can't be reached. */
@@ -105,11 +105,12 @@
   for (const row of view.jobs.values()) if (row.revision > node.knownUpTo) showJob(world, scheduler, row);
   for (const row of view.waiting.values())
     if (world.without === "release") showJob(world, scheduler, row);
-    else scheduler.waitingSeen(row.spec, instant(row.accepted));
-  for (const id of [...scheduler.awaitingJobs]) if (!view.waiting.has(id)) scheduler.waitingOver(id);
+    else scheduler.jobBlocked(row.spec, instant(row.accepted));
+  for (const id of [...scheduler.blockedJobs]) if (!view.waiting.has(id)) scheduler.jobUnblocked(id);
   if (world.without === "cancel") return;
   for (const [id, job] of [...scheduler.cluster.jobs])
-    if (!node.known.has(id) && !view.waiting.has(id) && job.revision <= node.knownUpTo) scheduler.jobOver(id);
+    if (!node.known.has(id) && !view.waiting.has(id) && job.revision <= node.knownUpTo)
+      scheduler.jobEnded(id);
 }
 
 /** Sends what a member has gathered to the leader. */
@@ -136,7 +137,7 @@
         const at = instant(world.now);
         for (const { heartbeat, ageMs } of news.heartbeats)
           scheduler.heartbeatReceived(heartbeat, node.name, at, minus(at, Duration.millis(ageMs)));
-        for (const x of news.storedFinishes) scheduler.stored(x.job, x.ranges);
+        for (const x of news.storedFinishes) scheduler.finishesStored(x.job, x.ranges);
         const answered = [];
         for (const contact of news.contacts) {
           if (contact.heartbeatAgeMs >= 0)
@@ -148,8 +149,8 @@
             });
         }
         const completeUpTo = mark < 0 ? null : instant(mark);
-        scheduler.leasesAcknowledged(
-          { member: node.name, incarnation, termNumber: term.number, completeUpTo, answered },
+        scheduler.leaseRenewalsReported(
+          { member: node.name, incarnation, termNumber: term.number, completeUpTo, renewals: answered },
           at,
         );
         for (const result of news.commandResults)
--- a/test/model/decisions.ts
+++ b/test/model/decisions.ts
@@ -47,8 +47,8 @@
       },
     );
     if (wrote === true || world.without === "record")
-      scheduler.recorded(decision.machine, decision.record, instant(world.now));
-    else scheduler.recordFailed(decision.machine);
+      scheduler.machineRecorded(decision.machine, decision.record, instant(world.now));
+    else scheduler.machineRecordFailed(decision.machine);
   } else if (decision.kind === "rent") {
     const rent = (): string[] => {
       const ids: string[] = [];
@@ -115,5 +115,5 @@
     }));
   const at = world.now;
   if (at >= world.cloudDownUntil)
-    sendLater(world, () => scheduler.listed(rows, instant(Math.max(at, world.now))));
+    sendLater(world, () => scheduler.machinesListed(rows, instant(Math.max(at, world.now))));
 }
--- a/test/model/election.ts
+++ b/test/model/election.ts
@@ -165,17 +165,18 @@
     instant(world.now),
   );
   for (const [id, record] of world.records) {
-    const machine = scheduler.recorded(id, record, instant(world.now));
+    const machine = scheduler.machineRecorded(id, record, instant(world.now));
     if (world.without === "confirm" && machine !== null)
       setMachine(scheduler.cluster, machine, { confirmed: true });
   }
-  scheduler.setTypes(TYPES);
+  scheduler.setMachineTypes(TYPES);
   for (const [id, row] of world.jobs) {
     node.view.put(id, row);
     showJob(world, scheduler, row);
   }
-  for (const { spec, accepted } of node.view.waiting.values()) scheduler.waitingSeen(spec, instant(accepted));
-  for (const [id, rows] of world.stored) for (const set of rows.values()) scheduler.stored(id, set.ranges());
+  for (const { spec, accepted } of node.view.waiting.values()) scheduler.jobBlocked(spec, instant(accepted));
+  for (const [id, rows] of world.stored)
+    for (const set of rows.values()) scheduler.finishesStored(id, set.ranges());
   node.pendingCommands.clear();
   node.scheduler = scheduler;
 }
--- a/test/model/shards.ts
+++ b/test/model/shards.ts
@@ -59,7 +59,7 @@
   /** What a leader's core is told. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.handoff?.shard === shardOf(machine, zone),
-    wayTo: () => null,
+    commandRouteOverride: () => null,
   };
 
   private machinesOf(scheduler: Scheduler, shard: ShardId): Machine[] {
@@ -73,7 +73,7 @@
     const { handoff } = this;
     if (handoff === null) return this.begin(scheduler, term);
     if (handoff.scheduler !== scheduler) return this.end(scheduler, "handoffs left by another leader");
-    const facts = scheduler.drain.factsOf(this.machinesOf(scheduler, handoff.shard));
+    const facts = scheduler.shardDrain.factsOf(this.machinesOf(scheduler, handoff.shard));
     if (handoff.takenAt !== null) {
       if (this.now() < handoff.takenAt) return;
       this.owners.set(handoff.shard, handoff.target);
@@ -92,15 +92,15 @@
     if (machine === undefined || target === undefined) return;
     const shard = shardOf(machine.id, machine.zone);
     const own = this.machinesOf(scheduler, shard);
-    if (scheduler.drain.factsOf(own).obstacle !== null) return this.count("handoffs refused");
+    if (scheduler.shardDrain.factsOf(own).obstacle !== null) return this.count("handoffs refused");
     this.handoff = { shard, target: target.name, scheduler, since: this.now(), takenAt: null };
-    scheduler.drain.raiseTokens(own);
+    scheduler.shardDrain.raiseTokens(own);
   }
 
   private end(scheduler: Scheduler, what: string): void {
     this.count(what);
     const { shard } = this.handoff!;
     this.handoff = null;
-    scheduler.drain.resume(this.machinesOf(scheduler, shard));
+    scheduler.shardDrain.resume(this.machinesOf(scheduler, shard));
   }
 }
--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -17,8 +17,8 @@
 test("an idle first stage of an urgent pipeline goes before plain normal work, as long as the pipeline stands", () => {
   const firstStarted = (submit: (scheduler: Scheduler) => void): string => {
     const fixture = new ClusterFixture(EAST);
-    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 21, instant(0));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+    fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6, priority: "low" }), 21, instant(0));
     submit(fixture.scheduler);
     fixture.step();
     checkInvariants(fixture.scheduler.cluster);
@@ -31,13 +31,13 @@
     "req-000001",
   );
   assert.equal(
-    firstStarted((scheduler) => scheduler.waitingSeen(end, instant(500))),
+    firstStarted((scheduler) => scheduler.jobBlocked(end, instant(500))),
     "req-000002",
   );
   assert.equal(
     firstStarted((scheduler) => {
-      scheduler.waitingSeen(spec({ ...PIPELINE_END, dependsOn: ["req-000005"] }), instant(500));
-      scheduler.waitingSeen(
+      scheduler.jobBlocked(spec({ ...PIPELINE_END, dependsOn: ["req-000005"] }), instant(500));
+      scheduler.jobBlocked(
         spec({ id: "req-000005", dependsOn: ["req-000002"], priority: "low" }),
         instant(500),
       );
@@ -46,8 +46,8 @@
   );
   assert.equal(
     firstStarted((scheduler) => {
-      scheduler.waitingSeen(end, instant(500));
-      scheduler.waitingOver(end.id);
+      scheduler.jobBlocked(end, instant(500));
+      scheduler.jobUnblocked(end.id);
     }),
     "req-000001",
   );
@@ -56,14 +56,14 @@
 test("a stage of an urgent pipeline isn't stopped for normal or urgent work, but for production, and once it is plain", () => {
   const running = (): ClusterFixture => {
     const fixture = new ClusterFixture(EAST);
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
+    fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
     fixture.step();
     assert.equal(fixture.live().length, 6);
-    fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     return fixture;
   };
   const stopped = (fixture: ClusterFixture, more: Partial<JobSpec>): number => {
-    fixture.scheduler.jobSeen(spec({ id: "req-000003", ...more }), 21, instant(fixture.now));
+    fixture.scheduler.jobReleased(spec({ id: "req-000003", ...more }), 21, instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
     checkInvariants(fixture.scheduler.cluster);
     return fixture.ops("stop");
@@ -73,7 +73,7 @@
   assert.equal(stopped(running(), { kind: "service", priority: "production", spot: false }), 1);
   const lowered = running();
   assert.equal(stopped(lowered, { priority: "normal" }), 0);
-  lowered.scheduler.waitingOver(PIPELINE_END.id);
+  lowered.scheduler.jobUnblocked(PIPELINE_END.id);
   for (let i = 0; i < 4; i++) lowered.step();
   assert.equal(lowered.ops("stop"), 1);
 });
@@ -81,10 +81,10 @@
 test("a stage of an urgent pipeline makes room for itself among normal work", () => {
   const stops = (urgent: boolean): number => {
     const fixture = new ClusterFixture(EAST);
-    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
     fixture.step();
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
-    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+    if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
     return fixture.ops("stop");
   };
@@ -98,8 +98,8 @@
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
     const job = spec({ id: "req-000001", priority: "low", tasks: 6, estimate, ...more });
-    fixture.scheduler.jobSeen(job, 20, instant(accepted), instant(released));
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
+    fixture.scheduler.jobReleased(job, 20, instant(accepted), instant(released));
+    fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
     return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
@@ -116,15 +116,15 @@
     const fixture = new ClusterFixture(EAST);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
-    fixture.scheduler.jobSeen(
+    fixture.scheduler.jobReleased(
       spec({ id: "req-000002", priority: "low", tasks: 6, estimate }),
       20,
       instant(190_000),
       instant(199_000),
     );
-    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
     const end = spec({ ...PIPELINE_END, priority: "low", estimate, deadline: Duration.seconds(deadline) });
-    fixture.scheduler.waitingSeen(end, instant(190_000));
+    fixture.scheduler.jobBlocked(end, instant(190_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
     return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
@@ -140,28 +140,28 @@
     const job = (id: string) => scheduler.cluster.jobs.get(id);
     const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
     const due = Duration.seconds(300);
-    scheduler.jobSeen(spec({ id: "req-000001", priority: "low" }), 20, instant(0));
-    scheduler.waitingSeen(stage, instant(0));
-    scheduler.waitingSeen(spec({ ...PIPELINE_END, deadline: due }), instant(10_000));
-    assert.deepEqual([...scheduler.awaitingJobs], ["req-000002", "req-000009"]);
+    scheduler.jobReleased(spec({ id: "req-000001", priority: "low" }), 20, instant(0));
+    scheduler.jobBlocked(stage, instant(0));
+    scheduler.jobBlocked(spec({ ...PIPELINE_END, deadline: due }), instant(10_000));
+    assert.deepEqual([...scheduler.blockedJobs], ["req-000002", "req-000009"]);
     assert.deepEqual([...scheduler.cluster.jobs.keys()], ["req-000001"]);
     assert.equal(present(job("req-000001")).rank, RANK.high);
     // two later stages of 60 s at most
     assert.equal(present(job("req-000001")).deadlineAt, 310_000 - 2 * 60_000);
 
-    scheduler.jobOver("req-000001");
-    if (!releasedFirst) scheduler.waitingOver(stage.id);
-    scheduler.jobSeen(stage, 30, instant(0), instant(50_000));
-    if (releasedFirst) scheduler.waitingOver(stage.id);
+    scheduler.jobEnded("req-000001");
+    if (!releasedFirst) scheduler.jobUnblocked(stage.id);
+    scheduler.jobReleased(stage, 30, instant(0), instant(50_000));
+    if (releasedFirst) scheduler.jobUnblocked(stage.id);
     // late word that it waits
-    scheduler.waitingSeen(stage, instant(0));
-    assert.deepEqual([...scheduler.awaitingJobs], ["req-000009"]);
+    scheduler.jobBlocked(stage, instant(0));
+    assert.deepEqual([...scheduler.blockedJobs], ["req-000009"]);
     assert.equal(present(job(stage.id)).rank, RANK.high);
     assert.equal(present(job(stage.id)).deadlineAt, 310_000 - 60_000);
     assert.equal(present(job(stage.id)).acceptedAt, 0);
     assert.equal(present(job(stage.id)).releasedAt, 50_000);
     // the last one is cancelled
-    scheduler.waitingOver("req-000009");
+    scheduler.jobUnblocked("req-000009");
     assert.equal(present(job(stage.id)).rank, RANK.low);
     assert.equal(present(job(stage.id)).deadlineAt, null);
   }
@@ -182,14 +182,14 @@
 test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
   const stopped = (urgent: boolean): string[] => {
     const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
-    fixture.scheduler.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
     fixture.step();
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+    fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
     fixture.step();
     assert.equal(fixture.live().length, 2);
-    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+    if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     const service = spec({ id: "req-000003", kind: "service", priority: "production", spot: false });
-    fixture.scheduler.jobSeen(service, 22, instant(fixture.now));
+    fixture.scheduler.jobReleased(service, 22, instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
     return fixture.sent.filter((sent) => sent.command.op === "stop").map((sent) => sent.command.job);
   };
@@ -199,9 +199,9 @@
 
 test("a last job submitted later counts at once, without other news", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
   fixture.step();
-  fixture.scheduler.jobSeen(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
+  fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
   fixture.step();
   const stops = (): number =>
     fixture.scheduler
@@ -209,7 +209,7 @@
       .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []))
       .filter((command) => command.op === "stop").length;
   assert.equal(stops(), 0);
-  fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
+  fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
   assert.equal(stops(), 1);
 });
 
@@ -222,15 +222,15 @@
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     } as const;
-    fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
-    fixture.scheduler.jobSeen(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
+    fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
     // there is no machine for it
-    fixture.scheduler.jobSeen(
+    fixture.scheduler.jobReleased(
       spec({ id: "req-000002", priority: "low", zone: "west" }),
       22,
       instant(150_000),
     );
-    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(199_000));
+    if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(199_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
     return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
@@ -242,15 +242,15 @@
     const fixture = new ClusterFixture(EAST);
     fixture.now = 50_000;
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
-    fixture.scheduler.jobSeen(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
+    fixture.scheduler.jobReleased(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
     fixture.step();
-    fixture.scheduler.jobSeen(
+    fixture.scheduler.jobReleased(
       spec({ id: "req-000002", kind: "gang", tasks: 6, priority: "low" }),
       21,
       instant(1000),
     );
-    if (urgent) fixture.scheduler.waitingSeen(spec(PIPELINE_END), instant(fixture.now));
-    fixture.scheduler.jobSeen(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
+    if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
+    fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
     fixture.step();
     return fixture.live().length;
   };
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -15,11 +15,11 @@
       .filter((sent) => sent.command.job === job && sent.command.op === "start")
       .map((sent) => present(zoneOf.get(sent.machine)));
   const one = new ClusterFixture(both);
-  one.scheduler.jobSeen(spec({ oneZone: true, tasks: 9 }), 20, instant(0));
+  one.scheduler.jobReleased(spec({ oneZone: true, tasks: 9 }), 20, instant(0));
   for (let i = 0; i < 5; i++) one.step();
   assert.equal(new Set(zones(one, "req-000001")).size, 1);
   const two = new ClusterFixture(both);
-  two.scheduler.jobSeen(spec({ spread: true, tasks: 5, cpus: 1 }), 20, instant(0));
+  two.scheduler.jobReleased(spec({ spread: true, tasks: 5, cpus: 1 }), 20, instant(0));
   for (let i = 0; i < 5; i++) two.step();
   const started = zones(two, "req-000001");
   assert.equal(started.length, 5);
@@ -28,10 +28,10 @@
 
 test("production work stops the youngest idle work, and no more of it than needed", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(spec({ priority: "low", tasks: 6 }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ priority: "low", tasks: 6 }), 20, instant(0));
   fixture.step();
   assert.equal(fixture.live().length, 6);
-  fixture.scheduler.jobSeen(
+  fixture.scheduler.jobReleased(
     spec({ id: "req-000002", kind: "service", priority: "production", spot: false }),
     21,
     instant(fixture.now),
@@ -45,18 +45,18 @@
 test("replicas don't gather on the largest machine: losing it would cost most of them", () => {
   const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east", type: "large" }]);
   // the image is cached on all of them: a cached image comes first
-  fixture.scheduler.jobSeen(spec({ id: "req-000100", tasks: 10 }), 11, instant(0));
+  fixture.scheduler.jobReleased(spec({ id: "req-000100", tasks: 10 }), 11, instant(0));
   for (let i = 0; i < 3; i++) fixture.step();
   assert.equal(fixture.live().length, 10);
   for (const machine of fixture.tasks.keys()) fixture.endTasks(machine, "done");
   fixture.step();
-  fixture.scheduler.stored("req-000100", [[0, 10]]);
+  fixture.scheduler.finishesStored("req-000100", [[0, 10]]);
   fixture.step();
-  fixture.scheduler.jobOver("req-000100");
+  fixture.scheduler.jobEnded("req-000100");
   fixture.step();
   for (let i = 0; i < 8; i++) {
     const id = `req-0000${10 + i}`;
-    fixture.scheduler.jobSeen(
+    fixture.scheduler.jobReleased(
       spec({ id, kind: "service", priority: "production", cpus: 1, memoryGb: 1 }),
       20 + i,
       instant(0),
@@ -72,7 +72,7 @@
   const fixture = new ClusterFixture(EAST);
   let n = 0;
   const arrive = (): void =>
-    fixture.scheduler.jobSeen(
+    fixture.scheduler.jobReleased(
       spec({ id: `req-1${String(n).padStart(5, "0")}`, tasks: 6 }),
       100 + n++,
       instant(fixture.now),
@@ -80,7 +80,7 @@
   arrive();
   arrive();
   fixture.step();
-  fixture.scheduler.jobSeen(
+  fixture.scheduler.jobReleased(
     spec({ id: "req-000009", priority: "low", tasks: 500, cpus: 8 }),
     99,
     instant(fixture.now),
@@ -102,13 +102,13 @@
 test("work without a guarantee begins within four minutes under a steady stream of guaranteed jobs", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
   const guest = spec({ id: "req-000009", priority: "low", tasks: 500 });
-  fixture.scheduler.jobSeen(guest, 10, instant(fixture.now));
+  fixture.scheduler.jobReleased(guest, 10, instant(fixture.now));
   const began = fixture.now;
   const isStarted = (): boolean => fixture.sent.some(({ command }) => command.job === guest.id);
   for (let n = 0; n < 600 && !isStarted(); n++) {
     // two tasks take the whole machine, and all of their team's guarantee
     const job = spec({ id: `req-1${String(n).padStart(5, "0")}`, team: "red", priority: "high", tasks: 2 });
-    fixture.scheduler.jobSeen(job, 100 + n, instant(fixture.now));
+    fixture.scheduler.jobReleased(job, 100 + n, instant(fixture.now));
     fixture.step();
     fixture.endTasks("n-1", "done");
   }
@@ -133,8 +133,8 @@
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     });
-    fixture.scheduler.jobSeen(late, 20, instant(accepted));
-    fixture.scheduler.jobSeen(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
+    fixture.scheduler.jobReleased(late, 20, instant(accepted));
+    fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
     for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
     fixture.step();
     return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
@@ -149,12 +149,12 @@
 
 test("a machine that will be taken saves what can be saved and moves its replica", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(
+  fixture.scheduler.jobReleased(
     spec({ checkpoint: Duration.seconds(10), save: Duration.seconds(3) }),
     20,
     instant(0),
   );
-  fixture.scheduler.jobSeen(
+  fixture.scheduler.jobReleased(
     spec({ id: "req-000002", kind: "service", priority: "production", image: "other" }),
     21,
     instant(0),
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -10,9 +10,9 @@
 
 test("an unanswered start is neither repeated elsewhere nor reaped until a higher token settles it", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
-  fixture.scheduler.jobSeen(spec({}), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({}), 20, instant(0));
   fixture.step(["n-1"]);
-  fixture.scheduler.recorded(
+  fixture.scheduler.machineRecorded(
     "n-2",
     { type: "small", zone: "east", spot: false, addr: "n-2" },
     instant(fixture.now),
@@ -46,9 +46,13 @@
   // released by the leader before, so without a record: nobody is there
   fixture.scheduler.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
   assert.equal(fixture.scheduler.cluster.machines.size, 0);
-  fixture.scheduler.recorded("n-9", { type: "small", zone: "east", spot: false, addr: "x" }, instant(50_000));
+  fixture.scheduler.machineRecorded(
+    "n-9",
+    { type: "small", zone: "east", spot: false, addr: "x" },
+    instant(50_000),
+  );
   fixture.scheduler.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
-  fixture.scheduler.jobSeen(spec({}), 20, instant(50_000));
+  fixture.scheduler.jobReleased(spec({}), 20, instant(50_000));
   const commands = fixture.scheduler
     .step(instant(50_000))
     .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []));
@@ -62,7 +66,7 @@
 
 test("a stranger in a late heartbeat is no machine, until it knows the present token", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(spec({ id: "req-000001" }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
   fixture.step();
   const started = present(fixture.sent[0]);
   const copy: Heartbeat = {
@@ -82,7 +86,7 @@
   for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
   // nor does a machine speak for the present that is recorded, but has not reported under this term
   const before = { type: "small", zone: "east", spot: false, addr: "n-9" };
-  fixture.scheduler.recorded("n-9", before, instant(fixture.now));
+  fixture.scheduler.machineRecorded("n-9", before, instant(fixture.now));
   fixture.scheduler.heartbeatReceived({ ...copy, machine: "n-9" }, "a", instant(fixture.now));
   for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
   // the lower attempt in the copies doesn't get the real task stopped
@@ -101,7 +105,7 @@
 
 test("a start whose outcome comes before its heartbeat is waited for, not repeated", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
-  fixture.scheduler.jobSeen(spec({}), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({}), 20, instant(0));
   const commands = fixture.scheduler
     .step(instant(fixture.now))
     .filter((decision) => decision.kind === "commands");
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -11,21 +11,21 @@
 
 const machine = (scene: ClusterFixture, id: string): Machine => scene.s.cluster.machines.get(id)!;
 const facts = (scene: ClusterFixture, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
-  scene.s.drain.factsOf(ids.map((id) => machine(scene, id)));
+  scene.s.shardDrain.factsOf(ids.map((id) => machine(scene, id)));
 
 const started = (scene: ClusterFixture): number => scene.ops("start");
 
 test("a paused machine gets no commands, but is asked for heartbeats; once resumed it gets its share", () => {
   const scene = new ClusterFixture(EAST);
   for (const { id } of EAST) scene.paused.add(id);
-  scene.s.jobSeen(spec({ id: "req-000001", tasks: 6 }), 20, instant(scene.now));
+  scene.s.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(scene.now));
   for (let i = 0; i < 6; i++) scene.step();
   assert.equal(started(scene), 0);
-  scene.s.drain.raiseTokens([machine(scene, "n-1")]);
+  scene.s.shardDrain.raiseTokens([machine(scene, "n-1")]);
   scene.step();
   assert.equal(scene.questions("n-1").length, 1);
   scene.paused.clear();
-  scene.s.drain.resume(EAST.map(({ id }) => machine(scene, id)));
+  scene.s.shardDrain.resume(EAST.map(({ id }) => machine(scene, id)));
   for (let i = 0; i < 3; i++) scene.step();
   assert.equal(started(scene), 6);
 });
@@ -34,7 +34,7 @@
   const scene = new ClusterFixture(EAST);
   scene.step();
   assert.equal(facts(scene).fenced, true);
-  scene.s.drain.raiseTokens([machine(scene, "n-2")]);
+  scene.s.shardDrain.raiseTokens([machine(scene, "n-2")]);
   assert.deepEqual([facts(scene).fenced, facts(scene).unfenced], [false, "n-2"]);
   assert.equal(facts(scene, ["n-1"]).fenced, true);
   const [question] = (scene.step(), scene.questions("n-2"));
@@ -46,7 +46,7 @@
 
 test("a start without an answer stands against a handoff until it is settled", () => {
   const scene = new ClusterFixture(EAST);
-  scene.s.jobSeen(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
+  scene.s.jobReleased(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
   scene.step(["n-1", "n-2", "n-3"]);
   assert.equal(facts(scene).obstacle?._tag, "CommandInDoubt");
   for (let i = 0; i < 6; i++) scene.step();
@@ -55,7 +55,7 @@
 
 test("a gang that is being assembled, or saves, stands against a handoff; one that runs doesn't", () => {
   const scene = new ClusterFixture(EAST);
-  scene.s.jobSeen(spec({ id: GANG, kind: "gang", tasks: 3, cpus: 4 }), 20, instant(scene.now));
+  scene.s.jobReleased(spec({ id: GANG, kind: "gang", tasks: 3, cpus: 4 }), 20, instant(scene.now));
   for (let i = 0; i < 4; i++) scene.step();
   const shows = (state: TaskState): string | undefined => {
     for (const tasks of scene.tasks.values())
--- a/test/unhealthy-machines.test.ts
+++ b/test/unhealthy-machines.test.ts
@@ -6,7 +6,7 @@
 import { Scheduler } from "../src/core/scheduler/scheduler.js";
 import { fencingTokenOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
-import { ZoneWatch } from "../src/core/leases/zones.js";
+import { ZoneMembership } from "../src/core/leases/zone-membership.js";
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
 import { ClusterFixture, EAST } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
@@ -14,7 +14,7 @@
 
 test("a machine that fails every task is cordoned; a job that fails everywhere cordons none", () => {
   const sick = new ClusterFixture(EAST);
-  sick.scheduler.jobSeen(spec({ tasks: 6 }), 20, instant(0));
+  sick.scheduler.jobReleased(spec({ tasks: 6 }), 20, instant(0));
   sick.step();
   sick.endTasks("n-1", "error");
   sick.step();
@@ -26,7 +26,7 @@
   assert.deepEqual(aside(sick), ["n-1"]);
 
   const faulty = new ClusterFixture(EAST);
-  faulty.scheduler.jobSeen(spec({ tasks: 6 }), 20, instant(0));
+  faulty.scheduler.jobReleased(spec({ tasks: 6 }), 20, instant(0));
   for (let i = 0; i < 200; i++) {
     faulty.step();
     for (const { id } of EAST) faulty.endTasks(id, "error");
@@ -39,13 +39,13 @@
 
 test("a machine that hears nothing gets no new work, troubles no other, and is returned", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ tasks: 60, image: "x" }), 20, instant(0));
   let why = "";
   for (let i = 0; i < 60 && why === ""; i++) {
     // its heartbeats go on, but orders and answers don't reach it
     fixture.step(["n-2"]);
     for (const { id } of EAST) if (id !== "n-2") fixture.endTasks(id, "done");
-    for (const decision of fixture.scheduler.stepFleet(instant(fixture.now)))
+    for (const decision of fixture.scheduler.stepAutoscaler(instant(fixture.now)))
       if (decision.kind === "release" && decision.machines.includes("n-2")) why = decision.reason;
   }
   assert.equal(why, "doesn't hear");
@@ -70,7 +70,7 @@
 
 test("a machine whose heartbeats reach nobody, though it answers commands, gets no new work and goes before its lease ends", () => {
   const fixture = new ClusterFixture(EAST);
-  fixture.scheduler.jobSeen(spec({ tasks: 60, image: "x" }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ tasks: 60, image: "x" }), 20, instant(0));
   const renewedAll = (but: string): void => {
     const answered = EAST.filter(({ id }) => id !== but).map(({ id }) => ({
       machine: id,
@@ -78,8 +78,8 @@
     }));
     const now = instant(fixture.now);
     const termNumber = fixture.scheduler.term.number;
-    fixture.scheduler.leasesAcknowledged(
-      { member: "a", incarnation: 1, termNumber, completeUpTo: now, answered },
+    fixture.scheduler.leaseRenewalsReported(
+      { member: "a", incarnation: 1, termNumber, completeUpTo: now, renewals: answered },
       now,
     );
   };
@@ -95,7 +95,7 @@
         .slice(before)
         .filter((sent) => sent.machine === "n-2" && sent.command.op === "start").length;
     for (const { id } of EAST) fixture.endTasks(id, "done");
-    for (const decision of fixture.scheduler.stepFleet(instant(fixture.now)))
+    for (const decision of fixture.scheduler.stepAutoscaler(instant(fixture.now)))
       if (decision.kind === "release" && decision.machines.includes("n-2")) why = decision.reason;
   }
   assert.equal(why, "reaches no controller");
@@ -107,7 +107,7 @@
 
 test("a machine much slower than others at the same job is cordoned, and its tasks start anew once", () => {
   const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east" }]);
-  fixture.scheduler.jobSeen(spec({ tasks: 40 }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ tasks: 40 }), 20, instant(0));
   for (let i = 0; i < 60; i++) {
     // tasks take 5 s, but on n-2 they don't end
     if (i % 10 === 9) for (const id of ["n-1", "n-3", "n-4"]) fixture.endTasks(id, "done");
@@ -129,7 +129,7 @@
       2,
     );
   const released = fixture.scheduler
-    .stepFleet(instant(fixture.now))
+    .stepAutoscaler(instant(fixture.now))
     .filter((decision) => decision.kind === "release");
   assert.ok(released.some((d) => d.machines.includes("n-2") && d.reason === "slow"));
 });
@@ -142,7 +142,7 @@
   for (const [i, id] of ["n-1", "n-2", "n-3", "n-4"].entries())
     for (const index of [2 * i, 2 * i + 1]) present(fixture.tasks.get(id)).set(`${index}`, running(index));
   for (const id of fixture.tasks.keys()) fixture.report(id);
-  fixture.scheduler.jobSeen(spec({ tasks: 8 }), 20, instant(0));
+  fixture.scheduler.jobReleased(spec({ tasks: 8 }), 20, instant(0));
   fixture.step();
   for (const id of ["n-1", "n-2", "n-3"]) fixture.endTasks(id, "done");
   for (let i = 0; i < 40; i++) fixture.step();
@@ -155,7 +155,7 @@
 
 test("behind a cut machines are kept until just before their leases end, also by a leader that never heard them", () => {
   const lease = Duration.toMillis(TIMINGS.workerLease);
-  const zones = new ZoneWatch();
+  const zones = new ZoneMembership();
   const member = (name: string, zone: string) => ({ name, incarnation: 1, zone });
   const both = {
     number: 1,
@@ -163,12 +163,12 @@
     leader: "a",
     members: [member("a", "east"), member("b", "west")],
   };
-  zones.seen(both, instant(0));
+  zones.termObserved(both, instant(0));
   const alone = { number: 2, leaderRevision: 10, leader: "a", members: [member("a", "east")] };
   const lostAt = 100_000;
-  zones.seen(alone, instant(lostAt));
-  assert.equal(zones.lostSince("west"), lostAt);
-  assert.equal(zones.lostSince("east"), null);
+  zones.termObserved(alone, instant(lostAt));
+  assert.equal(zones.memberlessSince("west"), lostAt);
+  assert.equal(zones.memberlessSince("east"), null);
   const options = {
     timings: TIMINGS,
     teams: new Map(TEAMS.map((team) => [team.name, team])),
@@ -176,12 +176,17 @@
     startLatencyObjectives: new Map(),
   };
   const scheduler = new Scheduler(options, alone, 10, instant(lostAt + 2000), zones);
-  scheduler.setTypes(TYPES);
+  scheduler.setMachineTypes(TYPES);
   for (let i = 0; i < 6; i++)
-    scheduler.recorded(`n-${i}`, { type: "small", zone: "west", spot: false, addr: "x" }, instant(lostAt));
+    scheduler.machineRecorded(
+      `n-${i}`,
+      { type: "small", zone: "west", spot: false, addr: "x" },
+      instant(lostAt),
+    );
   let releasedAt = 0;
   for (let t = lostAt + 2000; releasedAt === 0 && t < lostAt + 3 * lease; t += 250)
-    for (const decision of scheduler.stepFleet(instant(t))) if (decision.kind === "release") releasedAt = t;
+    for (const decision of scheduler.stepAutoscaler(instant(t)))
+      if (decision.kind === "release") releasedAt = t;
   // the last answers may be older than the loss by a heartbeat and by the member's own lease
   const oldest =
     lostAt - Duration.toMillis(TIMINGS.memberLease) - Duration.toMillis(TIMINGS.heartbeatInterval);
@@ -207,7 +212,7 @@
     startLatencyObjectives: new Map(),
   };
   const scheduler = new Scheduler(options, term, 10, instant(0));
-  scheduler.setTypes(TYPES);
+  scheduler.setMachineTypes(TYPES);
   const seqs = new Map<string, number>();
   const heartbeat = (machine: string, via: string, at: number): void => {
     const sequence = (seqs.get(machine) ?? 0) + 1;
@@ -227,15 +232,15 @@
     );
   };
   for (let i = 0; i < 8; i++) {
-    scheduler.recorded(`n-${i}`, { type: "small", zone: "east", spot: false, addr: "x" }, instant(0));
+    scheduler.machineRecorded(`n-${i}`, { type: "small", zone: "east", spot: false, addr: "x" }, instant(0));
     heartbeat(`n-${i}`, i === 0 ? "a" : "b", 100);
   }
   const ways = new Set<string | null>();
   for (let t = 200; t < 20_000; t += 100) {
     for (let i = 1; i < 8; i++) if (t % 1000 === 0) heartbeat(`n-${i}`, "b", t);
     for (const member of ["a", "b"])
-      scheduler.leasesAcknowledged(
-        { member, incarnation: 1, termNumber: 1, completeUpTo: null, answered: [] },
+      scheduler.leaseRenewalsReported(
+        { member, incarnation: 1, termNumber: 1, completeUpTo: null, renewals: [] },
         instant(t),
       );
     for (const decision of scheduler.step(instant(t))) {
@@ -251,7 +256,7 @@
         instant(t),
       );
     }
-    for (const decision of scheduler.stepFleet(instant(t)))
+    for (const decision of scheduler.stepAutoscaler(instant(t)))
       assert.notEqual(decision.kind, "release", `released after ${t} ms`);
   }
   assert.deepEqual(ways, new Set(["a", "b"]));
