--- a/src/core/autoscaling/arrival-forecast.ts
+++ b/src/core/autoscaling/arrival-forecast.ts
@@ -5,10 +5,10 @@
 import { type Instant, hasElapsed } from "../time.js";
 
 /** Arrivals of so long ago say what is to come. */
-const WINDOW = Duration.seconds(45);
+const ARRIVAL_WINDOW = Duration.seconds(45);
 /** Remembered arrivals; beyond that the oldest are dropped, so many at a time. */
 const MAX_ARRIVALS = 2000;
-const DROPPED_AT_ONCE = 1000;
+const ARRIVALS_DROPPED_AT_ONCE = 1000;
 
 /** So many tasks of a job. */
 export interface TaskDemand {
@@ -24,22 +24,22 @@
   constructor(private readonly warmFor: Duration.Duration) {}
 
   /** A job was released. */
-  arrived(job: Job): void {
+  recordArrival(job: Job): void {
     this.arrivals.push(job);
-    if (this.arrivals.length > MAX_ARRIVALS) this.arrivals.splice(0, DROPPED_AT_ONCE);
+    if (this.arrivals.length > MAX_ARRIVALS) this.arrivals.splice(0, ARRIVALS_DROPPED_AT_ONCE);
   }
 
   /** Work expected soon, a row for each class of jobs; none for the lowest rank, which can wait. */
-  expected(now: Instant): TaskDemand[] {
-    this.arrivals = this.arrivals.filter((job) => !hasElapsed(now, job.releasedAt, WINDOW));
+  expectedTasks(now: Instant): TaskDemand[] {
+    this.arrivals = this.arrivals.filter((job) => !hasElapsed(now, job.releasedAt, ARRIVAL_WINDOW));
     const byClass = new Map<string, { spec: JobSpec; tasks: number }>();
     for (const { spec, rank } of this.arrivals) {
       if (rank === RANK.low) continue;
-      const row = byClass.get(spec.className);
-      if (row === undefined) byClass.set(spec.className, { spec, tasks: spec.tasks });
-      else row.tasks += spec.tasks;
+      const demand = byClass.get(spec.className);
+      if (demand === undefined) byClass.set(spec.className, { spec, tasks: spec.tasks });
+      else demand.tasks += spec.tasks;
     }
-    const share = Duration.toMillis(this.warmFor) / Duration.toMillis(WINDOW);
+    const share = Duration.toMillis(this.warmFor) / Duration.toMillis(ARRIVAL_WINDOW);
     return [...byClass.values()]
       .map(({ spec, tasks }) => ({ spec, tasks: Math.ceil(tasks * share) }))
       .filter((row) => row.tasks > 0);
@@ -47,6 +47,6 @@
 
   /** Processors that the expected work needs. */
   expectedCpus(now: Instant): number {
-    return this.expected(now).reduce((sum, { spec, tasks }) => sum + spec.cpus * tasks, 0);
+    return this.expectedTasks(now).reduce((sum, { spec, tasks }) => sum + spec.cpus * tasks, 0);
   }
 }
--- a/src/core/autoscaling/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -20,20 +20,20 @@
 
   /** `queue`: says which jobs wait, and in which order they are served. */
   constructor(
-    private readonly scope: SchedulerContext,
+    private readonly context: SchedulerContext,
     private readonly autoscaler: Autoscaler,
     private readonly scaleIn: ScaleIn,
     private readonly queue: JobQueue,
   ) {
-    this.eviction = new GracefulEviction(scope);
+    this.eviction = new GracefulEviction(context);
   }
 
   /** Releases of machines that are faulty, silent, emptied or idle (S3); and which machines are to be emptied. */
   release(now: Instant): Decision[] {
-    const { cluster, machineTypeByName: typeByName } = this.scope;
+    const { cluster, machineTypeByName: typeByName } = this.context;
     const plan = this.scaleIn.step(now);
     const surplus = this.autoscaler.surplusMachines(cluster, typeByName, now, (machine) =>
-      this.scope.isSchedulable(machine, now),
+      this.context.isSchedulable(machine, now),
     );
     if (surplus.length > 0)
       plan.set(
@@ -52,7 +52,7 @@
 
   private releaseBatch(machines: string[], reason: ScaleInReason, now: Instant): Decision {
     for (const id of machines) {
-      const machine = this.scope.cluster.machines.get(id);
+      const machine = this.context.cluster.machines.get(id);
       if (machine !== undefined) machine.releaseRequestedAt = now;
     }
     return { kind: "release", machines, reason };
@@ -60,9 +60,9 @@
 
   /** Requests for what neither free nor booting machines will hold (S10). */
   scaleOut(now: Instant): Decision[] {
-    const { cluster, machineTypes: types } = this.scope;
+    const { cluster, machineTypes: types } = this.context;
     const isUsable = (machine: Machine): boolean =>
-      this.scope.isSchedulable(machine, now) || this.scope.isReconnecting(machine, now);
+      this.context.isSchedulable(machine, now) || this.context.isReconnecting(machine, now);
     const requests = this.autoscaler.scaleOut(cluster, this.waitingTasks(now), types, now, isUsable);
     return requests.map((rent) => ({ kind: "rent", rent }));
   }
@@ -71,9 +71,9 @@
   private waitingTasks(now: Instant): WaitingTasks[] {
     const waiting: WaitingTasks[] = [];
     for (const job of this.queue.sorted(now)) {
-      const team = this.scope.options.teams.get(job.spec.team);
+      const team = this.context.options.teams.get(job.spec.team);
       if (team === undefined) continue;
-      const withinLimit = tasksWithinLimit(team, this.scope.usageOf(job.spec.team), job.spec);
+      const withinLimit = tasksWithinLimit(team, this.context.usageOf(job.spec.team), job.spec);
       const tasks = Math.min(startableTaskCount(job, now), withinLimit);
       if (tasks > 0) waiting.push({ job, tasks });
     }
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import type { Cluster, Job, Machine } from "../cluster/cluster.js";
 import { freeCapacity, reserve, tasksThatFit } from "../placement/capacity.js";
-import { allowed } from "../placement/eligibility.js";
+import { allowsMachine } from "../placement/eligibility.js";
 import type { MachineType } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
 import { ArrivalForecast, type TaskDemand } from "./arrival-forecast.js";
@@ -29,13 +29,13 @@
 interface OutstandingRequest {
   readonly offer: Offer;
   readonly count: number;
-  readonly at: Instant;
+  readonly requestedAt: Instant;
 }
 
 /** Remembers refusals, arrivals and requests under way. Pure: time comes in as an argument. */
 export class Autoscaler {
   /** Requests without an answer, by the name under which each is stored (S10). */
-  readonly outstanding = new Map<string, OutstandingRequest>();
+  readonly outstandingRequests = new Map<string, OutstandingRequest>();
   private readonly catalog = new OfferCatalog();
   private readonly forecast: ArrivalForecast;
 
@@ -45,13 +45,13 @@
   }
 
   /** The cloud has no more machines of an offer for the moment; `key`: see `offerKey`. */
-  refused(key: string, now: Instant): void {
-    this.catalog.refused(key, now);
+  markRefused(key: string, now: Instant): void {
+    this.catalog.markRefused(key, now);
   }
 
   /** A job was released. */
-  arrived(job: Job): void {
-    this.forecast.arrived(job);
+  recordArrival(job: Job): void {
+    this.forecast.recordArrival(job);
   }
 
   /** Processors that work likely to arrive soon needs. */
@@ -69,11 +69,11 @@
   ): ScaleOutRequest[] {
     const plan = new ScaleOutPlan((spec) => this.catalog.offersFor(types, spec, now));
     plan.addMachines(cluster.machines.values(), types, this.options.reuse, now, isUsable);
-    for (const { offer, count } of this.outstanding.values()) plan.addRequested(offer, count);
+    for (const { offer, count } of this.outstandingRequests.values()) plan.addRequested(offer, count);
     for (const { job, tasks } of waiting)
       plan.provideFor({ spec: job.spec, tasks }, job.spec.kind === "array");
-    for (const demand of this.forecast.expected(now)) plan.provideFor(demand, false);
-    return plan.result;
+    for (const demand of this.forecast.expectedTasks(now)) plan.provideFor(demand, false);
+    return plan.scaleOutRequests;
   }
 
   /** Idle machines to return: never more than leaves capacity for the expected arrivals. */
@@ -86,7 +86,7 @@
     const idle = this.idleMachines(cluster, types, now);
     if (idle.length === 0) return [];
     const usable = [...cluster.machines.values()].filter(isUsable);
-    const needed = machinesNeededFor(this.forecast.expected(now), usable);
+    const needed = machinesNeededFor(this.forecast.expectedTasks(now), usable);
     return idle.filter((machine) => !needed.has(machine.id));
   }
 
@@ -95,7 +95,7 @@
     const idle: Machine[] = [];
     for (const machine of cluster.machines.values()) {
       if (machine.idleSince === null || machine.releaseRequestedAt !== null) continue;
-      const boot = types.get(machine.type)?.boot ?? Duration.zero;
+      const boot = types.get(machine.type)?.bootTime ?? Duration.zero;
       if (hasElapsed(now, machine.idleSince, Duration.times(boot, this.options.idleBoots)))
         idle.push(machine);
     }
@@ -113,7 +113,7 @@
     let left = tasks;
     for (const { machine, free } of pools) {
       if (left <= 0) break;
-      if (!allowed(spec, machine)) continue;
+      if (!allowsMachine(spec, machine)) continue;
       const fitting = Math.min(left, tasksThatFit(spec, free));
       if (fitting <= 0) continue;
       reserve(spec, free, fitting);
--- a/src/core/autoscaling/graceful-eviction.ts
+++ b/src/core/autoscaling/graceful-eviction.ts
@@ -7,23 +7,23 @@
 import { isWaitingForCapacity } from "../heartbeats/attempt-results.js";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
 import { freeCapacity, type Capacity, tasksThatFit, reserve } from "../placement/capacity.js";
-import { allowed } from "../placement/eligibility.js";
+import { allowsMachine } from "../placement/eligibility.js";
 import type { JobSpec } from "../records.js";
 import { isMovableReplica } from "../scheduler/reconciler.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import type { Instant } from "../time.js";
 
 /** Share of all machines from which replicas may be moving at once. */
-const MOVING_SHARE = 0.02;
+const MAX_MOVING_SHARE = 0.02;
 /** Machines that begin to be emptied in one step: the larger of a number and a share of all machines. */
-const EVICTED_PER_STEP = 4;
-const EVICTED_PER_STEP_SHARE = 0.0025;
+const EVICTIONS_PER_STEP = 4;
+const EVICTIONS_PER_STEP_SHARE = 0.0025;
 /** Processors kept free beyond what is expected, as a share of those in use. */
 const SPARE_SHARE = 0.1;
 /** A machine is underused if at most this share of its processors is in use. */
 const UNDERUSED_SHARE = 0.5;
 
-interface Target {
+interface EvictionTarget {
   readonly machine: Machine;
   /** Free capacity that no replica was promised yet. */
   readonly free: Capacity;
@@ -36,11 +36,11 @@
 
 /** Decides which machines are being emptied; what is on them is moved by the reconciler. */
 export class GracefulEviction {
-  constructor(private readonly scope: SchedulerContext) {}
+  constructor(private readonly context: SchedulerContext) {}
 
   /** `expectedCpus`: processors that work likely to arrive soon will need. */
   step(now: Instant, expectedCpus: number): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const draining = [...cluster.machines.values()].filter((machine) => machine.draining);
     if (
       [...cluster.pendingJobs].some((job) => job.spec.kind !== "service" && isWaitingForCapacity(job, now))
@@ -49,14 +49,14 @@
       if (draining.length > 0) cluster.capacityVersion++;
       return;
     }
-    const ready = [...cluster.byLastHeartbeat].filter((machine) => this.scope.isSchedulable(machine, now));
+    const ready = [...cluster.byLastHeartbeat].filter((machine) => this.context.isSchedulable(machine, now));
     const moving = draining.filter((machine) => [...machine.attempts.values()].some(isReplica)).length;
     this.evict(ready, moving, expectedCpus, now);
   }
 
   /** `movingNow`: machines from which replicas are moving already. */
   private evict(ready: readonly Machine[], movingNow: number, expectedCpus: number, now: Instant): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     let freeCpus = 0;
     let usedCpus = 0;
     for (const machine of ready) {
@@ -65,16 +65,16 @@
     }
     const targets = this.targets(ready);
     const cpusToKeep = expectedCpus + usedCpus * SPARE_SHARE;
-    const mayMove = Math.max(1, cluster.machines.size * MOVING_SHARE);
+    const maxMoving = Math.max(1, cluster.machines.size * MAX_MOVING_SHARE);
     let moving = movingNow;
-    let evictionsLeft = Math.max(EVICTED_PER_STEP, cluster.machines.size * EVICTED_PER_STEP_SHARE);
-    for (const machine of this.mostWasteful(ready)) {
+    let evictionsLeft = Math.max(EVICTIONS_PER_STEP, cluster.machines.size * EVICTIONS_PER_STEP_SHARE);
+    for (const machine of this.mostExpensiveUnderused(ready)) {
       if (evictionsLeft <= 0) return;
       // what runs on it goes elsewhere, or comes back elsewhere
       if (freeCpus - machine.cpus < cpusToKeep) continue;
       const replicas = replicasOn(machine);
       if (replicas.length > 0) {
-        if (moving >= mayMove || !this.canMove(machine, replicas, targets, now)) continue;
+        if (moving >= maxMoving || !this.canMove(machine, replicas, targets, now)) continue;
         moving++;
       }
       freeCpus -= machine.cpus;
@@ -85,27 +85,27 @@
   }
 
   /** Underused machines, the one first whose unused processors cost the most. */
-  private mostWasteful(ready: readonly Machine[]): Machine[] {
+  private mostExpensiveUnderused(ready: readonly Machine[]): Machine[] {
     return ready
       .filter((machine) => machine.attempts.size > 0 && machine.used.cpus <= machine.cpus * UNDERUSED_SHARE)
       .map((machine) => ({
         machine,
-        wasted: this.price(machine) * (1 - machine.used.cpus / machine.cpus),
+        unusedCost: this.price(machine) * (1 - machine.used.cpus / machine.cpus),
       }))
-      .sort((one, other) => other.wasted - one.wasted)
+      .sort((one, other) => other.unusedCost - one.unusedCost)
       .map(({ machine }) => machine);
   }
 
   private price(machine: Machine): number {
-    const type = this.scope.machineTypeByName.get(machine.type);
+    const type = this.context.machineTypeByName.get(machine.type);
     if (type === undefined) return 0;
     return machine.spot ? type.spotPrice : type.price;
   }
 
   /** Machines with free capacity beside other running work. */
-  private targets(ready: readonly Machine[]): Target[] {
+  private targets(ready: readonly Machine[]): EvictionTarget[] {
     return ready
-      .filter((machine) => this.scope.cluster.capacityIndex.has(machine) && machine.attempts.size > 0)
+      .filter((machine) => this.context.cluster.capacityIndex.has(machine) && machine.attempts.size > 0)
       .map((machine) => ({ machine, free: freeCapacity(machine) }));
   }
 
@@ -113,14 +113,15 @@
   private canMove(
     machine: Machine,
     replicas: readonly TaskAttempt[],
-    targets: readonly Target[],
+    targets: readonly EvictionTarget[],
     now: Instant,
   ): boolean {
     return replicas.every((attempt) => {
       const { spec } = attempt;
-      if (spec === null || !isMovableReplica(attempt, now) || spec.oneZone || spec.spread) return false;
-      if (!this.scope.cluster.jobs.has(attempt.job)) return false;
-      const target = targets.find((candidate) => candidate.machine !== machine && canTake(candidate, spec));
+      if (spec === null || !isMovableReplica(attempt, now) || spec.oneZone || spec.spreadOverZones)
+        return false;
+      if (!this.context.cluster.jobs.has(attempt.job)) return false;
+      const target = targets.find((candidate) => candidate.machine !== machine && canHost(candidate, spec));
       if (target === undefined) return false;
       reserve(spec, target.free, 1);
       return true;
@@ -128,8 +129,8 @@
   }
 }
 
-const canTake = ({ machine, free }: Target, spec: JobSpec): boolean =>
+const canHost = ({ machine, free }: EvictionTarget, spec: JobSpec): boolean =>
   !machine.draining &&
   machine.images.has(spec.image) &&
-  allowed(spec, machine) &&
+  allowsMachine(spec, machine) &&
   tasksThatFit(spec, free) > 0;
--- a/src/core/autoscaling/machine-intake.ts
+++ b/src/core/autoscaling/machine-intake.ts
@@ -14,31 +14,31 @@
 }
 
 /** Released machines that are remembered. Late lists and heartbeats may name machines that are gone; of the oldest nothing comes any more. */
-const MAX_GONE_MACHINES = 20_000;
+const MAX_REMEMBERED_RELEASES = 20_000;
 
 /** The machines: none is taken in again after its release was answered (S3). */
 export class MachineIntake {
-  private readonly gone = new Set<string>();
+  private readonly releasedMachines = new Set<string>();
 
-  constructor(private readonly scope: SchedulerContext) {}
+  constructor(private readonly context: SchedulerContext) {}
 
   /** A machine record read from the state service, or one just written; null if the machine is gone. */
-  recorded(id: string, record: MachineRecord, now: Instant): Machine | null {
-    if (this.gone.has(id)) return null;
-    const { cluster } = this.scope;
+  addRecorded(id: string, record: MachineRecord, now: Instant): Machine | null {
+    if (this.releasedMachines.has(id)) return null;
+    const { cluster } = this.context;
     const known = cluster.machines.get(id);
     const machine = known ?? newMachine(id, record, now);
     if (known === undefined) addMachine(cluster, machine);
     machine.recording = false;
     machine.addr ??= record.addr;
     setMachine(cluster, machine, { recorded: true });
-    if (known === undefined) this.scope.applyType(machine);
+    if (known === undefined) this.context.applyType(machine);
     return machine;
   }
 
   /** The write of a machine's record failed: it is decided on again. */
   recordFailed(id: string): void {
-    const machine = this.scope.cluster.machines.get(id);
+    const machine = this.context.cluster.machines.get(id);
     if (machine !== undefined) machine.recording = false;
   }
 
@@ -46,23 +46,23 @@
    * A machine that was rented, or found in a heartbeat or a list. Without a record no leader ever started anything on it
    * (S5), so it is confirmed; null if it is gone.
    */
-  discovered(id: string, record: MachineRecord, now: Instant): Machine | null {
-    if (this.gone.has(id)) return null;
-    const { cluster } = this.scope;
+  addDiscovered(id: string, record: MachineRecord, now: Instant): Machine | null {
+    if (this.releasedMachines.has(id)) return null;
+    const { cluster } = this.context;
     const known = cluster.machines.get(id);
     if (known !== undefined) return known;
     const machine = newMachine(id, record, now);
     addMachine(cluster, machine);
     setMachine(cluster, machine, { confirmed: true });
-    this.scope.applyType(machine);
+    this.context.applyType(machine);
     return machine;
   }
 
   /** The cloud's list of machines. */
-  listed(rows: readonly ListedMachine[], now: Instant): void {
+  mergeList(rows: readonly ListedMachine[], now: Instant): void {
     for (const row of rows) {
       const created = plus(now, Duration.millis(-row.ageMs));
-      const machine = this.discovered(row.id, row.record, created);
+      const machine = this.addDiscovered(row.id, row.record, created);
       if (machine === null) continue;
       if (machine.lastHeartbeatAt === null && created < machine.createdAt) machine.createdAt = created;
       machine.addr ??= row.record.addr;
@@ -71,26 +71,26 @@
   }
 
   /** Whether the machine was still known; it is gone from now on. */
-  released(id: string): boolean {
-    const { cluster } = this.scope;
+  removeReleased(id: string): boolean {
+    const { cluster } = this.context;
     const machine = cluster.machines.get(id);
     if (machine === undefined) return false;
-    this.gone.add(id);
-    this.forgetOldest();
+    this.releasedMachines.add(id);
+    this.forgetOldestRelease();
     removeMachine(cluster, machine);
     return true;
   }
 
   /** The release was not carried out: it is requested again a while from now. */
   releaseFailed(id: string, now: Instant): void {
-    const machine = this.scope.cluster.machines.get(id);
+    const machine = this.context.cluster.machines.get(id);
     if (machine !== undefined) machine.releaseRequestedAt = now;
   }
 
-  private forgetOldest(): void {
-    if (this.gone.size <= MAX_GONE_MACHINES) return;
-    for (const oldest of this.gone) {
-      this.gone.delete(oldest);
+  private forgetOldestRelease(): void {
+    if (this.releasedMachines.size <= MAX_REMEMBERED_RELEASES) return;
+    for (const oldest of this.releasedMachines) {
+      this.releasedMachines.delete(oldest);
       return;
     }
   }
--- a/src/core/autoscaling/offers.ts
+++ b/src/core/autoscaling/offers.ts
@@ -1,6 +1,6 @@
 /** What the cloud can be asked for, and what it refused a moment ago. */
 import * as Duration from "effect/Duration";
-import { allowsType, allowsZone } from "../placement/admission.js";
+import { fitsMachineType, allowsZone } from "../placement/admission.js";
 import type { JobSpec, MachineType } from "../records.js";
 import { type Instant, plus } from "../time.js";
 
@@ -21,22 +21,22 @@
   `${type} ${zone} ${spot ? "spot" : "ordinary"}`;
 
 /** After a refusal an offer isn't asked for again for so long. */
-const REFUSED_FOR = Duration.seconds(15);
+const AVOID_AFTER_REFUSAL = Duration.seconds(15);
 
 /** The offers that are worth asking for. */
 export class OfferCatalog {
   private readonly refusedUntil = new Map<string, Instant>();
 
   /** The cloud has no more machines of the offer for the moment. */
-  refused(key: string, now: Instant): void {
-    this.refusedUntil.set(key, plus(now, REFUSED_FOR));
+  markRefused(key: string, now: Instant): void {
+    this.refusedUntil.set(key, plus(now, AVOID_AFTER_REFUSAL));
   }
 
   /** Offers on which a task can run, spot machines before ordinary ones. */
   offersFor(types: readonly MachineType[], spec: JobSpec, now: Instant): Offer[] {
     const offers: Offer[] = [];
     for (const type of types) {
-      if (!allowsType(spec, type)) continue;
+      if (!fitsMachineType(spec, type)) continue;
       for (const zone of type.zones) {
         if (!allowsZone(spec, zone)) continue;
         for (const spot of spec.spot ? [true, false] : [false]) {
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -9,9 +9,9 @@
 import { SilenceRules } from "./silence-rules.js";
 
 /** How long the cloud may take to answer a release before it is requested again, with no other releases waiting. */
-const REPEAT_AFTER = Duration.seconds(5);
+const REPEAT_RELEASE_AFTER = Duration.seconds(5);
 /** Machines that the cloud releases in a second at the least, one request of a hundred. */
-const RELEASED_PER_SECOND = 100;
+const MIN_RELEASES_PER_SECOND = 100;
 /** How many boot times a machine has to come up. */
 const BOOT_TIMES_ALLOWED = 2.5;
 /** The boot time of a machine whose type isn't known. */
@@ -19,22 +19,22 @@
 
 /** Decides on releases, one look at each machine in a step. */
 export class ScaleIn {
-  private readonly silence: SilenceRules;
+  private readonly silenceRules: SilenceRules;
 
   /** `leaseExpiry`: says when a member's last update arrived. */
   constructor(
-    private readonly scope: SchedulerContext,
+    private readonly context: SchedulerContext,
     leaseExpiry: LeaseExpiry,
   ) {
-    this.silence = new SilenceRules(scope, leaseExpiry);
+    this.silenceRules = new SilenceRules(context, leaseExpiry);
   }
 
   /** Machines to be released now, by reason. */
   step(now: Instant): ScaleInPlan {
     const plan: ScaleInPlan = new Map();
-    const counts = countSilence(this.scope, now);
+    const counts = countSilence(this.context, now);
     const repeatAfter = this.repeatAfter();
-    for (const machine of this.scope.cluster.machines.values()) {
+    for (const machine of this.context.cluster.machines.values()) {
       if (machine.releaseRequestedAt !== null && !hasElapsed(now, machine.releaseRequestedAt, repeatAfter))
         continue;
       const reason = this.reasonFor(machine, now, counts);
@@ -49,9 +49,9 @@
   /** While many are released, requests wait for their turn: repeated sooner, they would only make the queue longer. */
   private repeatAfter(): Duration.Duration {
     let releasing = 0;
-    for (const machine of this.scope.cluster.machines.values())
+    for (const machine of this.context.cluster.machines.values())
       if (machine.releaseRequestedAt !== null) releasing++;
-    return Duration.sum(REPEAT_AFTER, Duration.seconds(releasing / RELEASED_PER_SECOND));
+    return Duration.sum(REPEAT_RELEASE_AFTER, Duration.seconds(releasing / MIN_RELEASES_PER_SECOND));
   }
 
   /** Faults come before silence, and silence before what may wait; the first reason that holds is the one logged. */
@@ -60,17 +60,17 @@
     if (machine.failed) return "failed";
     if (machine.lastHeartbeatAt === null) {
       if (machine.confirmed) return this.isBootOverdue(machine, now) ? "never came up" : null;
-      return this.silence.isLostSinceFailover(machine, now, counts) ? "silent since take-over" : null;
+      return this.silenceRules.isLostSinceFailover(machine, now, counts) ? "silent since take-over" : null;
     }
-    if (hasElapsed(now, machine.lastHeartbeatAt, this.scope.heartbeatMaxAge))
-      return this.silence.isDead(machine, machine.lastHeartbeatAt, now, counts) ? "silent" : null;
-    if (this.silence.isLeaseEnding(machine, now, counts)) return "reaches no controller";
-    if (this.silence.isDeaf(machine, now, counts)) return "doesn't hear";
+    if (hasElapsed(now, machine.lastHeartbeatAt, this.context.heartbeatMaxAge))
+      return this.silenceRules.isDead(machine, machine.lastHeartbeatAt, now, counts) ? "silent" : null;
+    if (this.silenceRules.isLeaseEnding(machine, now, counts)) return "reaches no controller";
+    if (this.silenceRules.isUnresponsive(machine, now, counts)) return "doesn't hear";
     return this.emptiedReason(machine);
   }
 
   private isBootOverdue(machine: Machine, now: Instant): boolean {
-    const boot = this.scope.machineTypeByName.get(machine.type)?.boot ?? UNKNOWN_BOOT_TIME;
+    const boot = this.context.machineTypeByName.get(machine.type)?.bootTime ?? UNKNOWN_BOOT_TIME;
     return hasElapsed(now, machine.createdAt, Duration.times(boot, BOOT_TIMES_ALLOWED));
   }
 
--- a/src/core/autoscaling/scale-out-plan.ts
+++ b/src/core/autoscaling/scale-out-plan.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import { type Machine, occupiesCapacity } from "../cluster/cluster.js";
 import { type Capacity, freeCapacity, reserve, tasksThatFit } from "../placement/capacity.js";
-import { allowed } from "../placement/eligibility.js";
+import { allowsMachine } from "../placement/eligibility.js";
 import { CAPACITY_EPSILON } from "../placement/quota.js";
 import type { JobSpec, MachineType } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
@@ -17,7 +17,7 @@
 /** Requests in one round. */
 const MAX_REQUESTS = 3;
 /** A machine that hasn't come up after so many boot times is counted on no longer. */
-const BOOT_TIMES_AWAITED = 2;
+const MAX_BOOT_TIMES = 2;
 /** Costs per task closer than this count as equal: the earlier offer stays. */
 const COST_EPSILON = 1e-9;
 
@@ -41,7 +41,7 @@
   machine.confirmed &&
   machine.releaseRequestedAt === null &&
   !machine.failed &&
-  !hasElapsed(now, machine.createdAt, Duration.times(type.boot, BOOT_TIMES_AWAITED));
+  !hasElapsed(now, machine.createdAt, Duration.times(type.bootTime, MAX_BOOT_TIMES));
 
 /** `reuse`: share of what short tasks occupy that counts as capacity to come. */
 const reusableCapacity = (machine: Machine, reuse: number): Capacity => {
@@ -92,23 +92,23 @@
    * kind is requested together: requests are few, machines many. `mayReuse`: the tasks may wait until short ones end.
    */
   provideFor({ spec, tasks }: TaskDemand, mayReuse: boolean): void {
-    let left = this.pack(spec, tasks, mayReuse);
+    let left = this.packOntoPools(spec, tasks, mayReuse);
     while (left > 0) {
-      const request = this.cheapest(spec, left);
+      const request = this.cheapestRequest(spec, left);
       if (request === null) return;
       const key = offerKey(request.type.name, request.zone, request.spot);
       this.requests.set(key, { ...request, count: request.count + (this.requests.get(key)?.count ?? 0) });
       this.addRequested(request, request.count);
-      left = this.pack(spec, left, false);
+      left = this.packOntoPools(spec, left, false);
     }
   }
 
   /** Reserves capacity for as many tasks as fit; says how many are left over. */
-  private pack(spec: JobSpec, tasks: number, mayReuse: boolean): number {
+  private packOntoPools(spec: JobSpec, tasks: number, mayReuse: boolean): number {
     let left = tasks;
     for (const pool of this.pools) {
       if (left <= 0) break;
-      if (!allowed(spec, pool)) continue;
+      if (!allowsMachine(spec, pool)) continue;
       for (const capacity of mayReuse ? [pool.free, pool.reusable] : [pool.free]) {
         const fitting = Math.min(left, tasksThatFit(spec, capacity));
         reserve(spec, capacity, fitting);
@@ -119,14 +119,14 @@
   }
 
   /** The request for some of the tasks that costs the least per task; null: nothing more can be asked for. */
-  private cheapest(spec: JobSpec, tasks: number): ScaleOutRequest | null {
+  private cheapestRequest(spec: JobSpec, tasks: number): ScaleOutRequest | null {
     let best: ScaleOutRequest | null = null;
     let bestCost = Infinity;
     for (const offer of this.offersFor(spec)) {
       const { type, zone, spot } = offer;
       const tasksPerMachine = tasksThatFit(spec, type);
-      const allowance = this.machinesLeft(offerKey(type.name, zone, spot));
-      const count = Math.min(allowance, Math.ceil(tasks / tasksPerMachine));
+      const requestable = this.requestableMachines(offerKey(type.name, zone, spot));
+      const count = Math.min(requestable, Math.ceil(tasks / tasksPerMachine));
       if (count <= 0) continue;
       const price = spot ? type.spotPrice : type.price;
       const costPerTask = (price * count) / Math.min(tasks, tasksPerMachine * count);
@@ -139,14 +139,14 @@
   }
 
   /** How many machines of an offer may still be asked for in this round. */
-  private machinesLeft(key: string): number {
+  private requestableMachines(key: string): number {
     const count = this.requests.get(key)?.count;
     if (count !== undefined) return MAX_MACHINES_PER_REQUEST - count;
     return this.requests.size < MAX_REQUESTS ? MAX_MACHINES_PER_REQUEST : 0;
   }
 
   /** Requests for what neither free nor booting machines will hold. */
-  get result(): ScaleOutRequest[] {
+  get scaleOutRequests(): ScaleOutRequest[] {
     return [...this.requests.values()];
   }
 }
--- a/src/core/autoscaling/silence-counts.ts
+++ b/src/core/autoscaling/silence-counts.ts
@@ -11,7 +11,7 @@
 /** Above this share, right after members changed, it looks like workers that have yet to find another controller. */
 const NOTICEABLE_SHARE = 0.05;
 /** So few machines are never many, however small the cluster. */
-const ALWAYS_FEW_MACHINES = 2;
+const NEGLIGIBLE_MACHINES = 2;
 
 /** Numbers of machines, counted once in a step of the scale-in. */
 export interface SilenceCounts {
@@ -28,25 +28,28 @@
 }
 
 /** Whether so many machines of a whole are too many to be at fault themselves. */
-export const isWidespread = (count: number, all: number): boolean =>
-  count > Math.max(ALWAYS_FEW_MACHINES, all * WIDESPREAD_SHARE);
+export const isWidespread = (count: number, total: number): boolean =>
+  count > Math.max(NEGLIGIBLE_MACHINES, total * WIDESPREAD_SHARE);
 
 /** Whether so many machines of a whole may be explained by a change of members a moment ago. */
-export const isNoticeable = (count: number, all: number): boolean =>
-  count > Math.max(ALWAYS_FEW_MACHINES, all * NOTICEABLE_SHARE);
+export const isNoticeable = (count: number, total: number): boolean =>
+  count > Math.max(NEGLIGIBLE_MACHINES, total * NOTICEABLE_SHARE);
 
 /** Counts the machines that are out of touch. */
-export const countSilence = (scope: SchedulerContext, now: Instant): SilenceCounts => {
-  const { byLastHeartbeat, unconfirmed, unreachable } = scope.cluster;
+export const countSilence = (context: SchedulerContext, now: Instant): SilenceCounts => {
+  const { byLastHeartbeat, unconfirmed, unreachable } = context.cluster;
   let silent = 0;
   // the longest silent come first
   for (const machine of byLastHeartbeat) {
-    if (machine.lastHeartbeatAt === null || !hasElapsed(now, machine.lastHeartbeatAt, scope.heartbeatMaxAge))
+    if (
+      machine.lastHeartbeatAt === null ||
+      !hasElapsed(now, machine.lastHeartbeatAt, context.heartbeatMaxAge)
+    )
       break;
     silent++;
   }
   let renewalOverdue = 0;
-  for (const machine of byLastHeartbeat) if (scope.isLeaseRenewalOverdue(machine, now)) renewalOverdue++;
+  for (const machine of byLastHeartbeat) if (context.isLeaseRenewalOverdue(machine, now)) renewalOverdue++;
   let neverHeard = 0;
   for (const machine of unconfirmed) if (machine.lastHeartbeatAt === null) neverHeard++;
   return { heard: byLastHeartbeat.size, silent, neverHeard, renewalOverdue, unreachable: unreachable.size };
--- a/src/core/commands/pending-commands.ts
+++ b/src/core/commands/pending-commands.ts
@@ -41,7 +41,7 @@
   /** Tells a task to stop, with the time that it needs to save. */
   stop(
     taskAttempt: TaskAttempt,
-    gracePeriodSeconds = taskAttempt.spec === null ? 0 : Duration.toSeconds(taskAttempt.spec.save),
+    gracePeriodSeconds = taskAttempt.spec === null ? 0 : Duration.toSeconds(taskAttempt.spec.saveDuration),
   ): void {
     taskAttempt.stopping = true;
     const { job, index, attempt } = taskAttempt;
--- a/src/core/heartbeats/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -74,7 +74,7 @@
     if (known !== undefined) return known;
     if (!isCurrent) return null;
     const { type, zone, spot, addr } = heartbeat;
-    return this.machineIntake.discovered(heartbeat.machine, { type, zone, spot, addr }, now);
+    return this.machineIntake.addDiscovered(heartbeat.machine, { type, zone, spot, addr }, now);
   }
 
   /** After a gap (an outage, a take-over) it isn't known when its tasks began and ended. */
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -11,18 +11,18 @@
 /** A job's longest task may run for so many times its estimate. */
 const LONGEST_TASK_FACTOR = 1.5;
 /** What a job's place in the queue and its image may take. */
-const START_TAKES = Duration.seconds(15);
+const START_ALLOWANCE = Duration.seconds(15);
 
 /** How long a job with capacity for all its tasks takes until the last of them is done. */
-export const timeFor = (spec: JobSpec): Duration.Duration =>
-  Duration.sum(Duration.times(spec.estimate, LONGEST_TASK_FACTOR), START_TAKES);
+export const estimatedJobDuration = (spec: JobSpec): Duration.Duration =>
+  Duration.sum(Duration.times(spec.estimate, LONGEST_TASK_FACTOR), START_ALLOWANCE);
 
 /** An unfinished job. */
-interface Node {
+interface JobNode {
   readonly id: string;
   readonly ownRank: number;
   /** How long it takes from its start on. */
-  readonly time: Duration.Duration;
+  readonly duration: Duration.Duration;
   /** Its own deadline, from its submission on. */
   ownDeadline: Instant | null;
   /** The jobs that it names, known or not; what would close a cycle is left out. */
@@ -38,19 +38,19 @@
   return other === null || one <= other ? one : other;
 };
 
-const deadlineOf = (node: Node): Instant | null => earlierOf(node.ownDeadline, node.inheritedDeadline);
+const deadlineOf = (node: JobNode): Instant | null => earlierOf(node.ownDeadline, node.inheritedDeadline);
 
 /** When the jobs before this one have to be done. */
-const latestStart = (node: Node): Instant | null => {
+const latestStart = (node: JobNode): Instant | null => {
   const deadline = deadlineOf(node);
-  return deadline === null ? null : minus(deadline, node.time);
+  return deadline === null ? null : minus(deadline, node.duration);
 };
 
 /** The unfinished jobs, by what they need; each has the rank and the deadline that those which need it ask of it. */
 export class DependencyGraph {
-  private readonly nodes = new Map<string, Node>();
+  private readonly nodes = new Map<string, JobNode>();
   /** Known jobs by the jobs that they name, known or not: a child may be heard of before its parent. */
-  private readonly children = new Map<string, Set<Node>>();
+  private readonly children = new Map<string, Set<JobNode>>();
   private readonly changed = new Set<string>();
   /** How many jobs were looked at since the start, for tests of the work that an event takes. */
   visits = 0;
@@ -71,12 +71,12 @@
   }
 
   /** When it has to be done for the sake of the jobs that need it; null: no such deadline. */
-  inner(id: string): Instant | null {
+  inheritedDeadline(id: string): Instant | null {
     return this.nodes.get(id)?.inheritedDeadline ?? null;
   }
 
   /** Its own deadline or the inherited one, whichever is earlier; null: it has neither. */
-  due(id: string): Instant | null {
+  effectiveDeadline(id: string): Instant | null {
     const node = this.nodes.get(id);
     return node === undefined ? null : deadlineOf(node);
   }
@@ -89,17 +89,17 @@
   }
 
   /** A job that isn't over. Known already: it was released, or the moment of its submission is known better. */
-  add(spec: JobSpec, accepted: Instant): void {
-    const ownDeadline = spec.deadline === null ? null : plus(accepted, spec.deadline);
+  add(spec: JobSpec, acceptedAt: Instant): void {
+    const ownDeadline = spec.deadline === null ? null : plus(acceptedAt, spec.deadline);
     const known = this.nodes.get(spec.id);
     if (known !== undefined) {
       this.setOwnDeadline(known, ownDeadline);
       return;
     }
-    const node: Node = {
+    const node: JobNode = {
       id: spec.id,
       ownRank: RANK[spec.priority],
-      time: timeFor(spec),
+      duration: estimatedJobDuration(spec),
       ownDeadline,
       parents: new Set(),
       rank: RANK[spec.priority],
@@ -119,7 +119,7 @@
     this.propagateStricter(node);
   }
 
-  private setOwnDeadline(node: Node, ownDeadline: Instant | null): void {
+  private setOwnDeadline(node: JobNode, ownDeadline: Instant | null): void {
     if (node.ownDeadline === ownDeadline) return;
     const isEarlier = ownDeadline !== null && (node.ownDeadline === null || ownDeadline < node.ownDeadline);
     node.ownDeadline = ownDeadline;
@@ -128,11 +128,11 @@
     else this.propagateLooser(node.parents);
   }
 
-  private addParents(node: Node, dependsOn: readonly string[]): void {
+  private addParents(node: JobNode, dependsOn: readonly string[]): void {
     // a job that nobody named before can't close a cycle, and that is what usually happens
     const isNamed = this.children.has(node.id);
     for (const parent of dependsOn) {
-      if (parent === node.id || (isNamed && this.needs(parent, node.id))) continue;
+      if (parent === node.id || (isNamed && this.isDependentOn(parent, node.id))) continue;
       node.parents.add(parent);
       const siblings = this.children.get(parent);
       if (siblings === undefined) this.children.set(parent, new Set([node]));
@@ -155,7 +155,7 @@
   }
 
   /** Whether `id` needs `other`, directly or through others. */
-  private needs(id: string, other: string): boolean {
+  private isDependentOn(id: string, other: string): boolean {
     const seen = new Set([id]);
     for (const current of seen) {
       if (current === other) return true;
@@ -166,7 +166,7 @@
   }
 
   /** More is asked of a job: what it needs inherits that, as far as it changes anything there. */
-  private propagateStricter(from: Node): void {
+  private propagateStricter(from: JobNode): void {
     const work = new Set([from]);
     // a set goes on to what is added meanwhile; taken out first, a job may come up again
     for (const node of work) {
@@ -194,7 +194,7 @@
     }
   }
 
-  private recompute(node: Node): boolean {
+  private recompute(node: JobNode): boolean {
     let rank = node.ownRank;
     let deadline: Instant | null = null;
     for (const child of this.children.get(node.id) ?? []) {
@@ -208,7 +208,7 @@
   }
 
   /** Whether the values changed. */
-  private inherit(node: Node, rank: number, deadline: Instant | null): boolean {
+  private inherit(node: JobNode, rank: number, deadline: Instant | null): boolean {
     if (rank === node.rank && deadline === node.inheritedDeadline) return false;
     node.rank = rank;
     node.inheritedDeadline = deadline;
--- a/src/core/jobs/fanin.ts
+++ b/src/core/jobs/fanin.ts
@@ -22,20 +22,20 @@
   joined: readonly string[],
   stateOf: (parent: string) => ParentState,
 ): FaninStep => {
-  const members = new Set(joined);
-  let hasMore = false;
+  const newJoined = new Set(joined);
+  let hasNewlyDone = false;
   for (const parent of dependsOn) {
-    if (members.has(parent)) continue;
+    if (newJoined.has(parent)) continue;
     const state = stateOf(parent);
     if (state === "cancelled") return { kind: "cancel" };
     if (state !== "done") continue;
-    members.add(parent);
-    hasMore = true;
+    newJoined.add(parent);
+    hasNewlyDone = true;
   }
-  const fills = dependsOn.every((parent) => members.has(parent));
+  const fills = dependsOn.every((parent) => newJoined.has(parent));
   // a set that is full and has released nothing can't be, but a job must not wait for ever for want of one more add
-  return hasMore || fills
-    ? { kind: "join", joined: dependsOn.filter((parent) => members.has(parent)), fills }
+  return hasNewlyDone || fills
+    ? { kind: "join", joined: dependsOn.filter((parent) => newJoined.has(parent)), fills }
     : { kind: "wait" };
 };
 
--- a/src/core/jobs/job-intake.ts
+++ b/src/core/jobs/job-intake.ts
@@ -31,13 +31,13 @@
   }
 
   /** A released job; null if it was known already. Its waiting record may be heard of before or after this (S12). */
-  released(spec: JobSpec, revision: number, accepted: Instant, released: Instant): Job | null {
+  addReleased(spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant): Job | null {
     if (this.cluster.jobs.has(spec.id)) return null;
-    const job = addJob(this.cluster, spec, revision, accepted, released);
+    const job = addJob(this.cluster, spec, revision, acceptedAt, releasedAt);
     this.blocked.delete(spec.id);
-    this.dependencies.add(spec, accepted);
+    this.dependencies.add(spec, acceptedAt);
     job.rank = this.dependencies.rank(spec.id) ?? job.rank;
-    job.deadlineAt = this.dependencies.due(spec.id);
+    job.deadlineAt = this.dependencies.effectiveDeadline(spec.id);
     this.updateInherited();
     for (const [index, attempts] of job.attempts)
       if (attempts.some((attempt) => attempt.exitReason === "done")) finishTask(this.cluster, job, index);
@@ -45,22 +45,22 @@
   }
 
   /** A job that depends on others: it is not started, and counts only for the jobs that it needs. */
-  waiting(spec: JobSpec, accepted: Instant): void {
+  addBlocked(spec: JobSpec, acceptedAt: Instant): void {
     if (this.cluster.jobs.has(spec.id)) return;
     this.blocked.add(spec.id);
-    this.dependencies.add(spec, accepted);
+    this.dependencies.add(spec, acceptedAt);
     this.updateInherited();
   }
 
   /** A job is blocked no longer: it was released or cancelled. */
-  waitingOver(id: string): void {
+  removeBlocked(id: string): void {
     if (!this.blocked.delete(id)) return;
     this.dependencies.remove(id);
     this.updateInherited();
   }
 
   /** The job has its commit. */
-  over(id: string): void {
+  removeEnded(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (job !== undefined) removeJob(this.cluster, job);
     this.blocked.delete(id);
@@ -69,7 +69,7 @@
   }
 
   /** Finishes that are in the state service (S7): workers may forget these tasks. */
-  stored(id: string, ranges: readonly Range[]): void {
+  markRangesStored(id: string, ranges: readonly Range[]): void {
     const job = this.cluster.jobs.get(id);
     if (job === undefined) return;
     const isWholeGang = job.spec.kind === "gang" && ranges.length > 0;
@@ -102,7 +102,7 @@
       const job = this.cluster.jobs.get(id);
       const rank = this.dependencies.rank(id);
       if (job === undefined || rank === null) continue;
-      const deadline = this.dependencies.due(id);
+      const deadline = this.dependencies.effectiveDeadline(id);
       if (job.rank === rank && job.deadlineAt === deadline) continue;
       job.rank = rank;
       job.deadlineAt = deadline;
--- a/src/core/jobs/progress.ts
+++ b/src/core/jobs/progress.ts
@@ -15,7 +15,7 @@
   private readonly changes: Change[] = [];
 
   /** A job's progress changed; several changes in a row of one job count as one. */
-  changed(job: string): void {
+  recordChange(job: string): void {
     this.version++;
     if (this.changes.at(-1)?.job === job) this.changes.pop();
     this.changes.push({ version: this.version, job });
@@ -23,7 +23,7 @@
   }
 
   /** Jobs changed after `version`, the latest first; null: that is too long ago, or below 0, so all must be told. */
-  since(version: number): Set<string> | null {
+  changedSince(version: number): Set<string> | null {
     const first = this.changes[0];
     if (version < 0 || (first !== undefined && version < first.version - 1)) return null;
     const jobs = new Set<string>();
--- a/src/core/members/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -4,18 +4,18 @@
  */
 import * as Duration from "effect/Duration";
 import type { StoredFinishes } from "./member-update.js";
-import { type Range, RangeSet, windows } from "../ranges.js";
+import { type Range, RangeSet, splitIntoWindows } from "../ranges.js";
 import { keys } from "../records.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** Finishes of a job that isn't known here as open are given up after so long. */
-const GIVE_UP_AFTER = Duration.seconds(30);
+const DROP_UNKNOWN_AFTER = Duration.seconds(30);
 /** A write that the state service refuses as it is gives way to other jobs' for so long. */
-const REFUSED_PAUSE = Duration.seconds(30);
+const PAUSE_AFTER_REFUSAL = Duration.seconds(30);
 /** Several times as many as may be unfinished at once. */
 const MAX_JOBS = 20_000;
 
-interface Finishes {
+interface JobFinishes {
   readonly known: RangeSet;
   readonly stored: RangeSet;
   /** Stored, and the leader hasn't been told. */
@@ -31,7 +31,7 @@
   unansweredWrites: number;
 }
 
-const noFinishes = (): Finishes => ({
+const noFinishes = (): JobFinishes => ({
   known: new RangeSet(),
   stored: new RangeSet(),
   unreported: new RangeSet(),
@@ -46,7 +46,7 @@
 export interface FinishPut {
   readonly key: string;
   /** Which window of task numbers it holds. */
-  readonly chunk: number;
+  readonly window: number;
   /** Its ranges as text, to compare with what was written before. */
   readonly text: string;
   readonly ranges: Range[];
@@ -59,22 +59,22 @@
 }
 
 /**
- * What became of one job's writes: `stored`; `over`: its commit exists, so they aren't needed; `failed`: not carried out,
+ * What became of one job's writes: `markStored`; `over`: its commit exists, so they aren't needed; `failed`: not carried out,
  * or may be yet; `refused`: not to be sent like this again.
  */
 export type StoreResult = "stored" | "over" | "failed" | "refused";
 
 /** The finishes of all jobs that this member heard of. */
 export class FinishStore {
-  private readonly finishesByJob = new Map<string, Finishes>();
+  private readonly finishesByJob = new Map<string, JobFinishes>();
   private readonly unstoredJobs = new Set<string>();
   private readonly unreportedJobs = new Set<string>();
 
   constructor(
     /** Bytes that one range record may have. */
-    private readonly valueBytes: number,
+    private readonly maxValueBytes: number,
     /** How long a finish may wait for others of its job before it is stored. */
-    private readonly gatherTime: Duration.Duration,
+    private readonly batchingDelay: Duration.Duration,
   ) {}
 
   /** Whether there are stored finishes that the leader hasn't been told of. */
@@ -83,7 +83,7 @@
   }
 
   /** Another leader knows of none of them: all that is stored is reported anew. */
-  reportAllAnew(): void {
+  reportAllAgain(): void {
     for (const [job, finishes] of this.finishesByJob)
       if (finishes.stored.size > 0) {
         finishes.unreported = RangeSet.of(finishes.stored.ranges());
@@ -92,7 +92,7 @@
   }
 
   /** A worker reported a task as done. */
-  finished(job: string, index: number, now: Instant): void {
+  addFinish(job: string, index: number, now: Instant): void {
     let finishes = this.finishesByJob.get(job);
     if (finishes === undefined) {
       if (this.finishesByJob.size >= MAX_JOBS) return;
@@ -106,7 +106,7 @@
   }
 
   /** The job has its commit, or its record is gone: its finishes are of no more use. */
-  jobOver(job: string): void {
+  forgetJob(job: string): void {
     this.finishesByJob.delete(job);
     this.unstoredJobs.delete(job);
     this.unreportedJobs.delete(job);
@@ -116,32 +116,37 @@
    * Finishes to be stored now, at most `maxPuts` puts; each job's writes are under way until answered. Those of jobs
    * that aren't open (over, or not heard of yet) wait, and are given up in the end.
    */
-  toStore(writer: string, maxPuts: number, now: Instant, isOpen: (job: string) => boolean): FinishWrite[] {
+  beginWrites(
+    writer: string,
+    maxPuts: number,
+    now: Instant,
+    isOpen: (job: string) => boolean,
+  ): FinishWrite[] {
     const writes: FinishWrite[] = [];
-    let room = maxPuts;
-    for (const [job, finishes] of this.unstoredInOrder()) {
-      if (room <= 0 || (finishes.isRefused && writes.length > 0)) break;
+    let putsLeft = maxPuts;
+    for (const [job, finishes] of this.unstoredInWriteOrder()) {
+      if (putsLeft <= 0 || (finishes.isRefused && writes.length > 0)) break;
       const { waitingSince } = finishes;
-      if (finishes.isWriting || waitingSince === null || !hasElapsed(now, waitingSince, this.gatherTime))
+      if (finishes.isWriting || waitingSince === null || !hasElapsed(now, waitingSince, this.batchingDelay))
         continue;
-      if (finishes.isRefused) room = 1;
+      if (finishes.isRefused) putsLeft = 1;
       if (!isOpen(job)) {
-        if (hasElapsed(now, waitingSince, GIVE_UP_AFTER)) this.jobOver(job);
+        if (hasElapsed(now, waitingSince, DROP_UNKNOWN_AFTER)) this.forgetJob(job);
         continue;
       }
-      const puts = this.putsOf(job, finishes, writer, room);
+      const puts = this.changedPuts(job, finishes, writer, putsLeft);
       if (puts.length === 0) continue;
       finishes.isWriting = true;
-      room -= puts.length;
+      putsLeft -= puts.length;
       writes.push({ job, puts });
     }
     return writes;
   }
 
   /** What was refused by itself comes last and alone: in one write with others it would hold them up again. */
-  private unstoredInOrder(): [job: string, finishes: Finishes][] {
-    const others: [string, Finishes][] = [];
-    const refused: [string, Finishes][] = [];
+  private unstoredInWriteOrder(): [job: string, finishes: JobFinishes][] {
+    const others: [string, JobFinishes][] = [];
+    const refused: [string, JobFinishes][] = [];
     for (const job of this.unstoredJobs) {
       const finishes = this.finishesByJob.get(job);
       if (finishes !== undefined) (finishes.isRefused ? refused : others).push([job, finishes]);
@@ -149,27 +154,27 @@
     return [...others, ...refused];
   }
 
-  private putsOf(job: string, finishes: Finishes, writer: string, maxPuts: number): FinishPut[] {
+  private changedPuts(job: string, finishes: JobFinishes, writer: string, maxPuts: number): FinishPut[] {
     const { unansweredWrites } = finishes;
     // a write without an answer may be carried out after newer ones: no later one goes to its key
     const keyWriter = unansweredWrites === 0 ? writer : `${writer}.${unansweredWrites}`;
     const puts: FinishPut[] = [];
-    for (const [chunk, ranges] of windows(finishes.known.ranges(), this.valueBytes)) {
+    for (const [window, ranges] of splitIntoWindows(finishes.known.ranges(), this.maxValueBytes)) {
       const text = JSON.stringify(ranges);
-      if (finishes.written.get(chunk) !== text && puts.length < maxPuts)
-        puts.push({ key: keys.rangesOf(job, keyWriter, chunk), chunk, text, ranges });
+      if (finishes.written.get(window) !== text && puts.length < maxPuts)
+        puts.push({ key: keys.rangesOf(job, keyWriter, window), window: window, text, ranges });
     }
     return puts;
   }
 
   /** The answer to one job's writes. */
-  storeAnswered(write: FinishWrite, result: StoreResult, now: Instant): void {
+  writeAnswered(write: FinishWrite, result: StoreResult, now: Instant): void {
     const finishes = this.finishesByJob.get(write.job);
     if (finishes === undefined) return;
     finishes.isWriting = false;
     switch (result) {
       case "over": {
-        this.jobOver(write.job);
+        this.forgetJob(write.job);
         return;
       }
       case "failed":
@@ -177,19 +182,19 @@
         return;
       case "refused":
         finishes.isRefused = true;
-        finishes.waitingSince = plus(now, REFUSED_PAUSE);
+        finishes.waitingSince = plus(now, PAUSE_AFTER_REFUSAL);
         return;
       case "stored": {
-        this.stored(write, finishes, now);
+        this.markStored(write, finishes, now);
         return;
       }
     }
   }
 
-  private stored(write: FinishWrite, finishes: Finishes, now: Instant): void {
+  private markStored(write: FinishWrite, finishes: JobFinishes, now: Instant): void {
     finishes.isRefused = false;
     for (const put of write.puts) {
-      finishes.written.set(put.chunk, put.text);
+      finishes.written.set(put.window, put.text);
       for (const [from, to] of put.ranges)
         for (let index = from; index < to; index++)
           if (!finishes.stored.has(index)) {
@@ -207,16 +212,16 @@
    * with `putBack`.
    */
   takeUnreported(maxRanges: number): StoredFinishes[] {
-    let room = maxRanges;
+    let rangesLeft = maxRanges;
     const taken: StoredFinishes[] = [];
     for (const job of this.unreportedJobs) {
-      if (room <= 0) break;
+      if (rangesLeft <= 0) break;
       this.unreportedJobs.delete(job);
       const finishes = this.finishesByJob.get(job);
       if (finishes === undefined) continue;
       const all = finishes.unreported.ranges();
-      const ranges = all.slice(0, room);
-      room -= ranges.length;
+      const ranges = all.slice(0, rangesLeft);
+      rangesLeft -= ranges.length;
       taken.push({ job, ranges });
       finishes.unreported = RangeSet.of(all.slice(ranges.length));
       if (finishes.unreported.size > 0) this.unreportedJobs.add(job);
--- a/src/core/members/worker-partition.ts
+++ b/src/core/members/worker-partition.ts
@@ -26,7 +26,7 @@
 }
 
 /** A worker that comes back within this time after it was redirected is taken in. */
-const COMES_BACK_WITHIN = Duration.seconds(30);
+const ADOPT_IF_BACK_WITHIN = Duration.seconds(30);
 /** Items of each other kind that go with each heartbeat when little fits into a message. */
 const ITEMS_PER_HEARTBEAT = 4;
 /** Tasks in the heartbeats of one message: a new leader is told everything, which doesn't fit into one (4 MiB). */
@@ -53,36 +53,37 @@
   last.tasks.every((status, position) => isSameStatus(status, heartbeat.tasks[position]));
 
 /** The name of the member that answers a machine's heartbeats; null: there is none. */
-export type OwnerLookup = (term: TermRecord, machine: string, zone: string) => string | null;
+export type OwnerNameLookup = (term: TermRecord, machine: string, zone: string) => string | null;
 
-const rendezvousLookup: OwnerLookup = (term, machine, zone) => ownerOf(term, machine, zone)?.name ?? null;
+const rendezvousOwnerName: OwnerNameLookup = (term, machine, zone) =>
+  ownerOf(term, machine, zone)?.name ?? null;
 
 /** One member's view of its workers. */
 export class WorkerPartition {
   /** The newest term that `setTerm` was told of; null: none yet. */
   term: TermRecord | null = null;
   /** Where explicit ownership is used, it takes the place of the rendezvous hash. */
-  ownerName: OwnerLookup = rendezvousLookup;
+  lookUpOwner: OwnerNameLookup = rendezvousOwnerName;
   private readonly workers = new Map<string, Worker>();
   /** Machines that were redirected to another member, to which, and when. */
-  private readonly redirected = new Map<string, { readonly to: string; readonly at: Instant }>();
+  private readonly redirections = new Map<string, { readonly to: string; readonly at: Instant }>();
   /** Machines that can't reach the member that they belong to, and which that is. */
-  private readonly adopted = new Map<string, string>();
+  private readonly adoptedFrom = new Map<string, string>();
   /** Workers whose heartbeat the leader hasn't been told; the same for when they were heard and answered. */
-  private readonly unsentHeartbeats = new Set<string>();
-  private readonly unsentContacts = new Set<string>();
+  private readonly unreportedHeartbeats = new Set<string>();
+  private readonly unreportedContacts = new Set<string>();
   /** Finished tasks, until their jobs are over. */
   readonly finishes: FinishStore;
   /** Outcomes of command batches that the leader hasn't been told. */
-  private commandResults: CommandResult[] = [];
+  private unreportedResults: CommandResult[] = [];
 
   constructor(
     readonly member: string,
-    valueBytes: number,
+    maxValueBytes: number,
     /** How long a finish may wait for others of its job before it is stored. */
-    gatherTime: Duration.Duration,
+    batchingDelay: Duration.Duration,
   ) {
-    this.finishes = new FinishStore(valueBytes, gatherTime);
+    this.finishes = new FinishStore(maxValueBytes, batchingDelay);
   }
 
   /** A new term. Another leader, or one that takes this process for another, is told everything anew. */
@@ -92,15 +93,15 @@
     const isSameLeader =
       this.term?.leaderRevision === term.leaderRevision && incarnationIn(this.term) === incarnationIn(term);
     this.term = term;
-    this.adopted.clear();
-    this.redirected.clear();
+    this.adoptedFrom.clear();
+    this.redirections.clear();
     if (isSameLeader) return;
-    this.commandResults = [];
+    this.unreportedResults = [];
     for (const [machine, worker] of this.workers) {
-      this.unsentContacts.add(machine);
-      if (worker.heartbeat !== null) this.unsentHeartbeats.add(machine);
+      this.unreportedContacts.add(machine);
+      if (worker.heartbeat !== null) this.unreportedHeartbeats.add(machine);
     }
-    this.finishes.reportAllAnew();
+    this.finishes.reportAllAgain();
   }
 
   private worker(machine: string): Worker {
@@ -117,17 +118,17 @@
    * redirected can't reach its member, and is taken in until the next term.
    */
   private redirectTarget(term: TermRecord, { machine, zone }: Heartbeat, now: Instant): string | null {
-    const owner = this.ownerName(term, machine, zone);
-    if (owner === null || owner === this.member || this.adopted.get(machine) === owner) return null;
-    const redirected = this.redirected.get(machine);
-    if (redirected?.to === owner && !hasElapsed(now, redirected.at, COMES_BACK_WITHIN)) {
-      this.adopted.set(machine, owner);
+    const owner = this.lookUpOwner(term, machine, zone);
+    if (owner === null || owner === this.member || this.adoptedFrom.get(machine) === owner) return null;
+    const redirection = this.redirections.get(machine);
+    if (redirection?.to === owner && !hasElapsed(now, redirection.at, ADOPT_IF_BACK_WITHIN)) {
+      this.adoptedFrom.set(machine, owner);
       return null;
     }
-    this.redirected.set(machine, { to: owner, at: now });
-    if (this.redirected.size > MAX_REDIRECTED) {
-      const [oldest] = this.redirected.keys();
-      if (oldest !== undefined) this.redirected.delete(oldest);
+    this.redirections.set(machine, { to: owner, at: now });
+    if (this.redirections.size > MAX_REDIRECTED) {
+      const [oldest] = this.redirections.keys();
+      if (oldest !== undefined) this.redirections.delete(oldest);
     }
     return owner;
   }
@@ -152,7 +153,7 @@
     this.recordHeartbeat(heartbeat, now);
     // a late copy is answered as well, and the proof by time must reckon with that; it is no sign of life
     this.worker(heartbeat.machine).lastAnswerAt = now;
-    this.unsentContacts.add(heartbeat.machine);
+    this.unreportedContacts.add(heartbeat.machine);
     // an outage may keep the leader's stop from a machine that is still answered: whoever answers it knows as well
     const stopCommands = heartbeat.tasks
       .filter((task) => task.state !== "exited" && isOver(task.job))
@@ -181,34 +182,34 @@
     )
       return;
     worker.lastHeartbeatAt = now;
-    this.unsentContacts.add(heartbeat.machine);
+    this.unreportedContacts.add(heartbeat.machine);
     if (last !== null && isUnchanged(last, heartbeat)) {
       // most heartbeats say nothing new: what they are made of needn't outlive them
       worker.heartbeat = { ...heartbeat, tasks: last.tasks };
       return;
     }
     worker.heartbeat = heartbeat;
-    this.unsentHeartbeats.add(heartbeat.machine);
+    this.unreportedHeartbeats.add(heartbeat.machine);
     for (const task of heartbeat.tasks)
       if (task.state === "exited" && task.exitReason === "done")
-        this.finishes.finished(task.job, task.index, now);
+        this.finishes.addFinish(task.job, task.index, now);
   }
 
   /** Forgets workers that have not come for long. */
-  prune(now: Instant, after: Duration.Duration): void {
+  prune(now: Instant, maxSilence: Duration.Duration): void {
     for (const [machine, worker] of this.workers) {
       const last = instant(Math.max(worker.lastAnswerAt ?? 0, worker.lastHeartbeatAt ?? 0));
-      if (!hasElapsed(now, last, after)) continue;
+      if (!hasElapsed(now, last, maxSilence)) continue;
       this.workers.delete(machine);
-      this.unsentHeartbeats.delete(machine);
-      this.unsentContacts.delete(machine);
+      this.unreportedHeartbeats.delete(machine);
+      this.unreportedContacts.delete(machine);
     }
   }
 
   /** A batch of the leader's commands has its outcome; `heartbeat`: what the worker answered with, if it did. */
   commandsAnswered(id: number, outcome: CommandOutcome, heartbeat: Heartbeat | null, now: Instant): void {
     if (heartbeat !== null) this.recordHeartbeat(heartbeat, now);
-    this.commandResults.push({
+    this.unreportedResults.push({
       id,
       outcome,
       workerEpoch: heartbeat?.workerEpoch ?? 0,
@@ -219,14 +220,14 @@
   /** Heartbeats for one message; the others go with the next ones. */
   private takeHeartbeats(now: Instant, maxHeartbeats: number): AgedHeartbeat[] {
     const heartbeats: AgedHeartbeat[] = [];
-    let room = MAX_TASKS_IN_UPDATE;
-    for (const machine of this.unsentHeartbeats) {
-      if (heartbeats.length >= maxHeartbeats || room <= 0) break;
-      this.unsentHeartbeats.delete(machine);
+    let tasksLeft = MAX_TASKS_IN_UPDATE;
+    for (const machine of this.unreportedHeartbeats) {
+      if (heartbeats.length >= maxHeartbeats || tasksLeft <= 0) break;
+      this.unreportedHeartbeats.delete(machine);
       const { heartbeat, lastHeartbeatAt } = this.worker(machine);
       if (heartbeat === null) continue;
       heartbeats.push({ heartbeat, ageMs: Math.max(0, now - (lastHeartbeatAt ?? now)) });
-      room -= HEARTBEAT_WEIGHT + heartbeat.tasks.length;
+      tasksLeft -= HEARTBEAT_WEIGHT + heartbeat.tasks.length;
     }
     return heartbeats;
   }
@@ -235,42 +236,44 @@
   takeUpdate(now: Instant, maxHeartbeats = Infinity): MemberUpdate {
     const maxItems = maxHeartbeats * ITEMS_PER_HEARTBEAT;
     const heartbeats = this.takeHeartbeats(now, maxHeartbeats);
-    const age = (at: Instant | null): number => (at === null ? -1 : Math.max(0, now - at));
+    const ageOf = (at: Instant | null): number => (at === null ? -1 : Math.max(0, now - at));
     const contacts: WorkerContact[] = [];
-    for (const machine of this.unsentContacts) {
+    for (const machine of this.unreportedContacts) {
       if (contacts.length >= maxItems) break;
-      this.unsentContacts.delete(machine);
+      this.unreportedContacts.delete(machine);
       const worker = this.workers.get(machine);
       if (worker !== undefined)
         contacts.push({
           machine,
-          answerAgeMs: age(worker.lastAnswerAt),
-          heartbeatAgeMs: age(worker.lastHeartbeatAt),
+          answerAgeMs: ageOf(worker.lastAnswerAt),
+          heartbeatAgeMs: ageOf(worker.lastHeartbeatAt),
         });
     }
     const storedFinishes = this.finishes.takeUnreported(maxItems);
-    const commandResults = this.commandResults.slice(0, maxItems);
-    this.commandResults = this.commandResults.slice(commandResults.length);
+    const commandResults = this.unreportedResults.slice(0, maxItems);
+    this.unreportedResults = this.unreportedResults.slice(commandResults.length);
     return { heartbeats, contacts, storedFinishes, commandResults };
   }
 
   /** Whether the last update named every worker answered before; only then does it prove anything of the others (S3). */
   isUpdateComplete(): boolean {
-    return this.unsentContacts.size === 0;
+    return this.unreportedContacts.size === 0;
   }
 
   /** This update didn't reach the leader. */
   putBack(update: MemberUpdate): void {
     for (const { heartbeat } of update.heartbeats)
-      if (this.workers.has(heartbeat.machine)) this.unsentHeartbeats.add(heartbeat.machine);
+      if (this.workers.has(heartbeat.machine)) this.unreportedHeartbeats.add(heartbeat.machine);
     for (const { machine } of update.contacts)
-      if (this.workers.has(machine)) this.unsentContacts.add(machine);
+      if (this.workers.has(machine)) this.unreportedContacts.add(machine);
     this.finishes.putBack(update.storedFinishes);
-    this.commandResults = [...update.commandResults, ...this.commandResults];
+    this.unreportedResults = [...update.commandResults, ...this.unreportedResults];
   }
 
   /** Whether there is something that the leader waits for; signs of life alone can wait. */
   hasUpdate(): boolean {
-    return this.unsentHeartbeats.size > 0 || this.finishes.hasUnreported || this.commandResults.length > 0;
+    return (
+      this.unreportedHeartbeats.size > 0 || this.finishes.hasUnreported || this.unreportedResults.length > 0
+    );
   }
 }
--- a/src/core/placement/admission.ts
+++ b/src/core/placement/admission.ts
@@ -6,7 +6,7 @@
 const TYPE_SIZE_EPSILON = 1e-9;
 
 /** Whether a task fits an empty machine of the type, and the job's wishes allow it. */
-export const allowsType = (job: JobSpec, type: MachineType): boolean =>
+export const fitsMachineType = (job: JobSpec, type: MachineType): boolean =>
   (job.types === null || job.types.includes(type.name)) &&
   job.cpus <= type.cpus + TYPE_SIZE_EPSILON &&
   job.gpus <= type.gpus + TYPE_SIZE_EPSILON &&
@@ -24,11 +24,11 @@
   const team = teams.get(job.team);
   if (team === undefined) return `no such team: ${job.team}`;
   const fits = types.some(
-    (type) => allowsType(job, type) && type.zones.some((zone) => allowsZone(job, zone)),
+    (type) => fitsMachineType(job, type) && type.zones.some((zone) => allowsZone(job, zone)),
   );
   if (!fits) return "a task fits no allowed machine type";
   // the tasks of an array may run one after the other
-  const atOnce = job.kind === "array" ? 1 : job.tasks;
-  if (!isWithinLimit(team, { cpus: 0, gpus: 0 }, job, atOnce)) return "more than the team's limit";
+  const concurrentTasks = job.kind === "array" ? 1 : job.tasks;
+  if (!isWithinLimit(team, { cpus: 0, gpus: 0 }, job, concurrentTasks)) return "more than the team's limit";
   return null;
 };
--- a/src/core/placement/bin-packing.ts
+++ b/src/core/placement/bin-packing.ts
@@ -3,13 +3,13 @@
 import type { Cluster, Job, Machine } from "../cluster/cluster.js";
 import { type Instant, hasElapsed } from "../time.js";
 import { fits, freeCapacity, tasksThatFit } from "./capacity.js";
-import { allowed } from "./eligibility.js";
-import { compareScores, machineScorer, type PartCapacity } from "./machine-score.js";
-import { zoneRule } from "./zone-rules.js";
+import { allowsMachine } from "./eligibility.js";
+import { compareScores, machineScorer, type PartitionFreeCpus } from "./machine-score.js";
+import { zonePredicate } from "./zone-rules.js";
 
 /** A job keeps away from a machine where it failed; where there is no other, it is tried there again sooner. */
 const AVOID_AFTER_FAILURE = Duration.seconds(60);
-const LAST_RESORT_AFTER = Duration.seconds(10);
+const MIN_AVOID_AFTER_FAILURE = Duration.seconds(10);
 /** A job keeps away for so long from a machine whose worker refused it. */
 const AVOID_AFTER_REFUSAL = Duration.seconds(5);
 
@@ -18,7 +18,7 @@
   /** Machines that may be given work now. */
   readonly candidates: Iterable<Machine>;
   readonly now: Instant;
-  readonly partCapacity: PartCapacity;
+  readonly partitionFreeCpus: PartitionFreeCpus;
 }
 
 /** So many tasks for one machine. */
@@ -28,26 +28,30 @@
 }
 
 const happenedWithin = (
-  memory: ReadonlyMap<string, Instant>,
+  times: ReadonlyMap<string, Instant>,
   machine: Machine,
   now: Instant,
   span: Duration.Duration,
 ): boolean => {
-  const at = memory.get(machine.id);
+  const at = times.get(machine.id);
   return at !== undefined && !hasElapsed(now, at, span);
 };
 
 /** Machines on which one task of the job fits and may run. */
 const fittingMachines = (cluster: Cluster, job: Job, { candidates, now }: MachineSearch): Machine[] => {
-  const zoneAllows = zoneRule(cluster, job);
+  const zoneAllows = zonePredicate(cluster, job);
   const fitting: Machine[] = [];
   const lastResort: Machine[] = [];
   for (const machine of candidates) {
-    if (!fits(job.spec, freeCapacity(machine)) || !allowed(job.spec, machine) || !zoneAllows(machine.zone))
+    if (
+      !fits(job.spec, freeCapacity(machine)) ||
+      !allowsMachine(job.spec, machine) ||
+      !zoneAllows(machine.zone)
+    )
       continue;
     if (happenedWithin(job.refusedOn, machine, now, AVOID_AFTER_REFUSAL)) continue;
     if (!happenedWithin(job.failedOn, machine, now, AVOID_AFTER_FAILURE)) fitting.push(machine);
-    else if (!happenedWithin(job.failedOn, machine, now, LAST_RESORT_AFTER)) lastResort.push(machine);
+    else if (!happenedWithin(job.failedOn, machine, now, MIN_AVOID_AFTER_FAILURE)) lastResort.push(machine);
   }
   // the autoscaler counts that capacity, so nothing more is rented: a job must not wait for its memory to end
   return fitting.length > 0 ? fitting : lastResort;
@@ -55,14 +59,14 @@
 
 /** The best machine for one task. */
 export const chooseMachine = (cluster: Cluster, job: Job, search: MachineSearch): Machine | null => {
-  const score = machineScorer(cluster, job, search.partCapacity);
+  const score = machineScorer(cluster, job, search.partitionFreeCpus);
   let best: Machine | null = null;
   let bestScore: number[] = [];
   for (const machine of fittingMachines(cluster, job, search)) {
-    const mine = score(machine);
-    if (best === null || compareScores(mine, bestScore) < 0) {
+    const machineScore = score(machine);
+    if (best === null || compareScores(machineScore, bestScore) < 0) {
       best = machine;
-      bestScore = mine;
+      bestScore = machineScore;
     }
   }
   return best;
@@ -75,7 +79,7 @@
   search: MachineSearch,
   tasks: number,
 ): PackedTasks[] => {
-  const score = machineScorer(cluster, job, search.partCapacity);
+  const score = machineScorer(cluster, job, search.partitionFreeCpus);
   const scored = fittingMachines(cluster, job, search).map((machine) => ({ machine, score: score(machine) }));
   scored.sort((one, other) => compareScores(one.score, other.score));
   const packed: PackedTasks[] = [];
--- a/src/core/placement/capacity.ts
+++ b/src/core/placement/capacity.ts
@@ -4,7 +4,7 @@
 import { CAPACITY_EPSILON } from "./quota.js";
 
 /** Keeps a task that asks for nothing of a kind from dividing by zero. */
-const LEAST_DEMAND = 1e-9;
+const MIN_DEMAND = 1e-9;
 
 /** An amount of each resource. */
 export interface Capacity {
@@ -32,9 +32,9 @@
     0,
     Math.floor(
       Math.min(
-        (capacity.cpus + CAPACITY_EPSILON) / Math.max(spec.cpus, LEAST_DEMAND),
+        (capacity.cpus + CAPACITY_EPSILON) / Math.max(spec.cpus, MIN_DEMAND),
         spec.gpus > 0 ? (capacity.gpus + CAPACITY_EPSILON) / spec.gpus : Infinity,
-        (capacity.memoryGb + CAPACITY_EPSILON) / Math.max(spec.memoryGb, LEAST_DEMAND),
+        (capacity.memoryGb + CAPACITY_EPSILON) / Math.max(spec.memoryGb, MIN_DEMAND),
       ),
     ),
   );
--- a/src/core/placement/eligibility.ts
+++ b/src/core/placement/eligibility.ts
@@ -16,7 +16,7 @@
 }
 
 /** Whether the job's own wishes allow this machine. */
-export const allowed = (spec: JobSpec, machine: MachineKind): boolean =>
+export const allowsMachine = (spec: JobSpec, machine: MachineKind): boolean =>
   (spec.types === null || spec.types.includes(machine.type)) &&
   allowsZone(spec, machine.zone) &&
   (spec.spot || !machine.spot);
@@ -30,14 +30,14 @@
   failed.types === null &&
   failed.zone === null;
 
-/** Whether the machine's last heartbeat is younger than `freshFor` and it may be given new work (S3, S5). */
-export const isUsable = (machine: Machine, now: Instant, freshFor: Duration.Duration): boolean =>
+/** Whether the machine's last heartbeat is younger than `maxHeartbeatAge` and it may be given new work (S3, S5). */
+export const isUsable = (machine: Machine, now: Instant, maxHeartbeatAge: Duration.Duration): boolean =>
   isInService(machine) &&
   machine.cpus > 0 &&
   machine.addr !== null &&
   machine.unansweredBatches < UNREACHABLE_AFTER_BATCHES &&
   machine.lastHeartbeatAt !== null &&
-  !hasElapsed(now, machine.lastHeartbeatAt, freshFor);
+  !hasElapsed(now, machine.lastHeartbeatAt, maxHeartbeatAge);
 
 /** Whether the machine is known for certain, works, and isn't about to go. */
 const isInService = (machine: Machine): boolean =>
--- a/src/core/placement/gang-placer.ts
+++ b/src/core/placement/gang-placer.ts
@@ -8,13 +8,13 @@
 import { type Instant, hasElapsed } from "../time.js";
 import { chooseMachine } from "./bin-packing.js";
 import { freeCapacity, tasksThatFit } from "./capacity.js";
-import { allowed } from "./eligibility.js";
+import { allowsMachine } from "./eligibility.js";
 import type { PlacementRound } from "./placement-round.js";
 import { isWithinLimit } from "./quota.js";
 import type { TaskStarter } from "./task-starter.js";
 
 /** Smaller jobs would take all capacity that gets free: after this long a gang holds up those of its rank and below. */
-const HOLDS_UP_OTHERS_AFTER = Duration.seconds(15);
+const HOLD_BACK_OTHERS_AFTER = Duration.seconds(15);
 /** Stands for the zone of every machine where a gang's zones don't matter. */
 const ANY_ZONE = "";
 
@@ -22,19 +22,19 @@
 export class GangPlacer {
   /** `starter`: the one that numbers all of the leader's attempts. */
   constructor(
-    private readonly scope: SchedulerContext,
+    private readonly context: SchedulerContext,
     private readonly starter: TaskStarter,
   ) {}
 
   /** Starts the gang, or lets it hold up others if it has waited for long and could run on the machines there are. */
-  placeOrHoldUpOthers(job: Job, team: Team, round: PlacementRound): void {
+  placeOrHoldBackOthers(job: Job, team: Team, round: PlacementRound): void {
     const isPlaced = this.place(job, team, round);
     if (isPlaced) round.startsLeft -= job.spec.tasks;
     else if (
-      hasElapsed(round.now, job.releasedAt, HOLDS_UP_OTHERS_AFTER) &&
+      hasElapsed(round.now, job.releasedAt, HOLD_BACK_OTHERS_AFTER) &&
       this.fitsEmptyMachines(job, round.now)
     )
-      round.heldUpRank = job.rank;
+      round.highestHeldRank = job.rank;
   }
 
   /** A broken gang is taken down whole before its next attempt. */
@@ -42,7 +42,7 @@
     const { spec } = job;
     if (stopGang([...job.attempts.values()].flat(), round.pendingCommands) > 0) return false;
     if (job.pending.size < spec.tasks) return false;
-    const used = round.mostUsed(this.scope.usageOf(spec.team));
+    const used = round.usageUpperBound(this.context.usageOf(spec.team));
     if (!isWithinLimit(team, used, spec, spec.tasks)) return false;
     if (!spec.oneZone) return this.placeOn(job, round.candidates, round);
     const zones = new Set(round.candidates.map((machine) => machine.zone));
@@ -56,24 +56,28 @@
   /** Tries to place a whole gang on the given machines; leaves nothing behind if it doesn't fit. */
   private placeOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { spec } = job;
-    const { now, partCapacity } = round;
+    const { now, partitionFreeCpus: partitionFreeCpus } = round;
     let fitting = 0;
     for (const machine of candidates)
-      if (allowed(spec, machine)) fitting += tasksThatFit(spec, freeCapacity(machine));
+      if (allowsMachine(spec, machine)) fitting += tasksThatFit(spec, freeCapacity(machine));
     if (fitting < spec.tasks) return false;
     const attempt = this.starter.nextAttempt();
-    const trial = new PendingCommands();
+    const trialCommands = new PendingCommands();
     const started: TaskAttempt[] = [];
-    for (const index of job.pending.take(spec.tasks)) {
-      const machine = chooseMachine(this.scope.cluster, job, { candidates, now, partCapacity });
+    for (const index of job.pending.smallest(spec.tasks)) {
+      const machine = chooseMachine(this.context.cluster, job, {
+        candidates,
+        now,
+        partitionFreeCpus: partitionFreeCpus,
+      });
       if (machine === null) break;
-      started.push(this.starter.start({ job, index, attempt, machine }, now, trial));
+      started.push(this.starter.start({ job, index, attempt, machine }, now, trialCommands));
     }
     if (started.length === spec.tasks) {
-      trial.appendTo(round.pendingCommands);
+      trialCommands.appendTo(round.pendingCommands);
       return true;
     }
-    for (const taskAttempt of started) removeAttempt(this.scope.cluster, taskAttempt);
+    for (const taskAttempt of started) removeAttempt(this.context.cluster, taskAttempt);
     return false;
   }
 
@@ -81,8 +85,8 @@
   private fitsEmptyMachines(job: Job, now: Instant): boolean {
     const { spec } = job;
     const tasksByZone = new Map<string, number>();
-    for (const machine of this.scope.cluster.byLastHeartbeat) {
-      if (!this.scope.isSchedulable(machine, now) || !allowed(spec, machine)) continue;
+    for (const machine of this.context.cluster.byLastHeartbeat) {
+      if (!this.context.isSchedulable(machine, now) || !allowsMachine(spec, machine)) continue;
       const zone = spec.oneZone ? machine.zone : ANY_ZONE;
       tasksByZone.set(zone, (tasksByZone.get(zone) ?? 0) + tasksThatFit(spec, machine));
     }
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -5,32 +5,32 @@
 import * as Duration from "effect/Duration";
 import { isSuspectedFaulty } from "../heartbeats/attempt-results.js";
 import type { Job } from "../cluster/cluster.js";
-import { timeFor } from "../jobs/dependency-graph.js";
+import { estimatedJobDuration } from "../jobs/dependency-graph.js";
 import { isWithinGuarantee, type Usage } from "./quota.js";
 import { RANK } from "../records.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** A job that waited this long without a single start goes before others of its rank, and with those above. */
-const LONG_WAIT = Duration.seconds(100);
+const LONG_WAIT_AFTER = Duration.seconds(100);
 /**
  * A job that waited this long without a single start goes before all others with its first task: within four minutes the
  * largest have to begin, also those of a team without a guarantee. Its other tasks wait as before.
  */
-const OVERDUE_AFTER = Duration.seconds(180);
+const START_OVERDUE_AFTER = Duration.seconds(180);
 /** While a job above the lowest rank has waited this long without a start, no deadline brings lower jobs forward. */
 const STARVED_AFTER = Duration.seconds(40);
 
 /** What a waiting job is sorted by. */
-interface Entry {
+interface QueueEntry {
   readonly job: Job;
-  readonly isOverdue: boolean;
+  readonly isStartOverdue: boolean;
   readonly rank: number;
   readonly isGuaranteed: boolean;
 }
 
-const compareEntries = (one: Entry, other: Entry): number =>
-  Number(other.isOverdue) - Number(one.isOverdue) ||
+const compareEntries = (one: QueueEntry, other: QueueEntry): number =>
+  Number(other.isStartOverdue) - Number(one.isStartOverdue) ||
   other.rank - one.rank ||
   Number(other.isGuaranteed) - Number(one.isGuaranteed) ||
   one.job.revision - other.job.revision;
@@ -48,22 +48,22 @@
   private guaranteed: ReadonlySet<Job> = new Set();
   /** `Cluster.jobSetVersion` when `guaranteed` was worked out. */
   private guaranteedAtVersion = -1;
-  private someStarved = false;
+  private hasStarvedJob = false;
 
-  constructor(private readonly scope: SchedulerContext) {}
+  constructor(private readonly context: SchedulerContext) {}
 
   /** Waiting jobs that may be started now, the first to be served first. */
   sorted(now: Instant): Job[] {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     this.updateGuaranteed();
     const waiting = [...cluster.pendingJobs];
-    this.someStarved = waiting.some((job) => isStarved(job, now));
+    this.hasStarvedJob = waiting.some((job) => isStarved(job, now));
     return waiting
       .filter((job) => job.retryAt === null || now >= job.retryAt)
       .map((job) => ({
         job,
-        isOverdue: this.isOverdue(job, now),
-        rank: this.rankNow(job, now),
+        isStartOverdue: this.isStartOverdue(job, now),
+        rank: this.effectiveRank(job, now),
         isGuaranteed: this.guaranteed.has(job),
       }))
       .sort(compareEntries)
@@ -76,31 +76,31 @@
   }
 
   /** Whether the job waited so long for its first start that one task of it goes before all others. */
-  isOverdue(job: Job, now: Instant): boolean {
-    return hasElapsed(now, job.releasedAt, OVERDUE_AFTER) && !hasStarted(job, now);
+  isStartOverdue(job: Job, now: Instant): boolean {
+    return hasElapsed(now, job.releasedAt, START_OVERDUE_AFTER) && !hasStarted(job, now);
   }
 
   /** Started now it can just be done by its deadline: waiting behind what has no deadline would be for nothing. */
-  isUrgent(job: Job, now: Instant): boolean {
+  mustStartNow(job: Job, now: Instant): boolean {
     const { deadlineAt, spec } = job;
-    if (deadlineAt === null || this.someStarved || now >= deadlineAt) return false;
-    return plus(now, timeFor(spec)) >= deadlineAt;
+    if (deadlineAt === null || this.hasStarvedJob || now >= deadlineAt) return false;
+    return plus(now, estimatedJobDuration(spec)) >= deadlineAt;
   }
 
-  private rankNow(job: Job, now: Instant): number {
-    const isLongWaiting = !hasStarted(job, now) && hasElapsed(now, job.releasedAt, LONG_WAIT);
-    return job.rank + (isLongWaiting || this.isUrgent(job, now) ? 1 : 0);
+  private effectiveRank(job: Job, now: Instant): number {
+    const isLongWaiting = !hasStarted(job, now) && hasElapsed(now, job.releasedAt, LONG_WAIT_AFTER);
+    return job.rank + (isLongWaiting || this.mustStartNow(job, now) ? 1 : 0);
   }
 
   private updateGuaranteed(): void {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     if (this.guaranteedAtVersion === cluster.jobSetVersion) return;
     this.guaranteedAtVersion = cluster.jobSetVersion;
     this.guaranteed = this.guaranteedJobs();
   }
 
   private guaranteedJobs(): Set<Job> {
-    const { cluster, options } = this.scope;
+    const { cluster, options } = this.context;
     const guaranteed = new Set<Job>();
     const usageByTeam = new Map<string, Usage>();
     const byAge = [...cluster.jobs.values()].sort((one, other) => one.revision - other.revision);
--- a/src/core/placement/placement-round.ts
+++ b/src/core/placement/placement-round.ts
@@ -16,66 +16,66 @@
   /** How many more tasks may be started in this step. */
   startsLeft: number;
   /** Jobs of this rank and below wait for the sake of a gang; -1: none does. */
-  heldUpRank = -1;
+  highestHeldRank = -1;
   private readonly freeCpusByMember = new Map<string | null, number>();
   /** Jobs for which a search found no machine in this step. */
   private readonly unplaceable: JobSpec[] = [];
   /** Jobs for which a search found nothing to preempt in this step. */
-  private readonly unpreemptable: Job[] = [];
+  private readonly withoutPreemptionCandidates: Job[] = [];
 
-  /** `notes`: lines for the log are added to it; `mostStarts`: a bound beside that of a step. */
+  /** `notes`: lines for the log are added to it; `maxStarts`: a bound beside that of a step. */
   constructor(
     readonly now: Instant,
     readonly pendingCommands: PendingCommands,
     readonly notes: string[],
     /** What may run on machines without this leader's knowledge: it counts against every limit (S6). */
-    private readonly unseenUsage: Usage,
-    mostStarts = Infinity,
+    private readonly unknownUsage: Usage,
+    maxStarts = Infinity,
   ) {
-    this.startsLeft = Math.min(MAX_STARTS_PER_STEP, mostStarts);
+    this.startsLeft = Math.min(MAX_STARTS_PER_STEP, maxStarts);
   }
 
   /** Free processors of the machines that a member relays for; null: of those that no member does. */
-  readonly partCapacity = (member: string | null): number => this.freeCpusByMember.get(member) ?? 0;
+  readonly partitionFreeCpus = (member: string | null): number => this.freeCpusByMember.get(member) ?? 0;
 
   /** Adds a machine that may be used. */
   addCandidate(machine: Machine): void {
     this.candidates.push(machine);
     this.freeCpusByMember.set(
       machine.relayedBy,
-      this.partCapacity(machine.relayedBy) + machine.cpus - machine.used.cpus,
+      this.partitionFreeCpus(machine.relayedBy) + machine.cpus - machine.used.cpus,
     );
   }
 
   /** A task was started in a member's part. */
-  takeFromPart(member: string | null, cpus: number): void {
-    this.freeCpusByMember.set(member, this.partCapacity(member) - cpus);
+  takeFromPartition(member: string | null, cpus: number): void {
+    this.freeCpusByMember.set(member, this.partitionFreeCpus(member) - cpus);
   }
 
   /** The most that a team may be using (S6). */
-  mostUsed(known: Usage): Usage {
-    return { cpus: known.cpus + this.unseenUsage.cpus, gpus: known.gpus + this.unseenUsage.gpus };
+  usageUpperBound(known: Usage): Usage {
+    return { cpus: known.cpus + this.unknownUsage.cpus, gpus: known.gpus + this.unknownUsage.gpus };
   }
 
   /** Whether a search for a job that is no harder to place has found nothing. */
-  isHopeless(spec: JobSpec): boolean {
+  isKnownUnplaceable(spec: JobSpec): boolean {
     return this.unplaceable.some((failed) => isAtLeastAsDemanding(spec, failed));
   }
 
   /** A search for machines found too few. */
-  foundNoCapacity(spec: JobSpec): void {
+  markUnplaceable(spec: JobSpec): void {
     this.unplaceable.push(spec);
   }
 
   /** Whether nothing could be preempted for a job of at least this rank that is no harder to place. */
-  hasNothingToPreempt(job: Job): boolean {
-    return this.unpreemptable.some(
+  hasNoPreemptionCandidates(job: Job): boolean {
+    return this.withoutPreemptionCandidates.some(
       (failed) => failed.rank >= job.rank && isAtLeastAsDemanding(job.spec, failed.spec),
     );
   }
 
   /** A search for tasks to preempt found none. */
-  foundNothingToPreempt(job: Job): void {
-    this.unpreemptable.push(job);
+  markNoPreemptionCandidates(job: Job): void {
+    this.withoutPreemptionCandidates.push(job);
   }
 }
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -7,7 +7,7 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed } from "../time.js";
 import { chooseMachine, packTasks } from "./bin-packing.js";
-import { allowed } from "./eligibility.js";
+import { allowsMachine } from "./eligibility.js";
 import { GangPlacer } from "./gang-placer.js";
 import type { JobQueue } from "./job-queue.js";
 import { PlacementRound } from "./placement-round.js";
@@ -17,7 +17,7 @@
 import { hasZoneConstraint } from "./zone-rules.js";
 
 /** When nothing changed, what didn't fit is tried again this often: heartbeats grow old, errors are forgiven. */
-const TRY_AGAIN_AFTER = Duration.millis(500);
+const RETRY_INTERVAL = Duration.millis(500);
 
 /** Places waiting tasks; a step looks at each waiting job, and only at machines with free capacity. */
 export class Placer {
@@ -29,17 +29,17 @@
   private triedAt: Instant | null = null;
 
   constructor(
-    private readonly scope: SchedulerContext,
+    private readonly context: SchedulerContext,
     private readonly queue: JobQueue,
   ) {
-    this.starter = new TaskStarter(scope);
-    this.preemption = new Preemption(scope, queue);
-    this.gangs = new GangPlacer(scope, this.starter);
+    this.starter = new TaskStarter(context);
+    this.preemption = new Preemption(context, queue);
+    this.gangs = new GangPlacer(context, this.starter);
   }
 
   /** The job has its commit. */
-  jobOver(id: string): void {
-    this.preemption.jobOver(id);
+  forgetJob(id: string): void {
+    this.preemption.forgetJob(id);
   }
 
   /** Whether this term has hardly any attempt numbers left (S4). */
@@ -54,19 +54,19 @@
     const round = this.newRound(queue, now, pendingCommands, notes);
     for (const job of queue) {
       if (round.startsLeft <= 0) break;
-      if (job.rank <= round.heldUpRank && !this.queue.isGuaranteed(job)) continue;
-      const team = this.scope.options.teams.get(job.spec.team);
-      if (team === undefined || this.isBlocked(job)) continue;
-      if (job.spec.kind === "gang") this.gangs.placeOrHoldUpOthers(job, team, round);
+      if (job.rank <= round.highestHeldRank && !this.queue.isGuaranteed(job)) continue;
+      const team = this.context.options.teams.get(job.spec.team);
+      if (team === undefined || this.mayRunOnUnconfirmed(job)) continue;
+      if (job.spec.kind === "gang") this.gangs.placeOrHoldBackOthers(job, team, round);
       else this.placeOrPreempt(job, team, round);
     }
   }
 
   private isWorthTrying(now: Instant): boolean {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     if (cluster.pendingJobs.size === 0) return false;
     const isUnchanged = this.triedVersion === cluster.capacityVersion;
-    if (isUnchanged && this.triedAt !== null && !hasElapsed(now, this.triedAt, TRY_AGAIN_AFTER)) return false;
+    if (isUnchanged && this.triedAt !== null && !hasElapsed(now, this.triedAt, RETRY_INTERVAL)) return false;
     this.triedVersion = cluster.capacityVersion;
     this.triedAt = now;
     return true;
@@ -82,65 +82,65 @@
       now,
       pendingCommands,
       notes,
-      this.unseenUsage(),
+      this.unknownUsage(),
       this.starter.startsLeft,
     );
-    const leastCpus = queue.reduce((least, job) => Math.min(least, job.spec.cpus), Infinity);
-    for (const machine of this.scope.cluster.capacityIndex.atLeast(leastCpus))
-      if (this.scope.canStartTasks(machine, now)) round.addCandidate(machine);
+    const minCpus = queue.reduce((least, job) => Math.min(least, job.spec.cpus), Infinity);
+    for (const machine of this.context.cluster.capacityIndex.atLeast(minCpus))
+      if (this.context.canStartTasks(machine, now)) round.addCandidate(machine);
     return round;
   }
 
   /** What may run on machines that sent no heartbeat in this term, or that have tasks of unknown size (S6). */
-  private unseenUsage(): Usage {
-    const { cluster } = this.scope;
-    const unseen = { cpus: 0, gpus: 0 };
+  private unknownUsage(): Usage {
+    const { cluster } = this.context;
+    const usage = { cpus: 0, gpus: 0 };
     for (const machine of cluster.unconfirmed) {
-      unseen.cpus += machine.cpus;
-      unseen.gpus += machine.gpus;
+      usage.cpus += machine.cpus;
+      usage.gpus += machine.gpus;
     }
     for (const machine of cluster.orphanedAttemptCounts.keys()) {
       if (!machine.recorded || !machine.confirmed) continue;
-      unseen.cpus += machine.cpus;
-      unseen.gpus += machine.gpus;
+      usage.cpus += machine.cpus;
+      usage.gpus += machine.gpus;
     }
-    return unseen;
+    return usage;
   }
 
   /** Whether a machine that sent no heartbeat in this term may run tasks of the job (S5). */
-  private isBlocked(job: Job): boolean {
-    if (job.revision > this.scope.leaderRevision) return false;
-    for (const machine of this.scope.cluster.unconfirmed) if (allowed(job.spec, machine)) return true;
+  private mayRunOnUnconfirmed(job: Job): boolean {
+    if (job.revision > this.context.leaderRevision) return false;
+    for (const machine of this.context.cluster.unconfirmed) if (allowsMachine(job.spec, machine)) return true;
     return false;
   }
 
   private placeOrPreempt(job: Job, team: Team, round: PlacementRound): void {
     const { spec } = job;
-    const used = round.mostUsed(this.scope.usageOf(spec.team));
-    const startable = this.queue.isOverdue(job, round.now) ? 1 : startableTaskCount(job, round.now);
+    const used = round.usageUpperBound(this.context.usageOf(spec.team));
+    const startable = this.queue.isStartOverdue(job, round.now) ? 1 : startableTaskCount(job, round.now);
     let left = Math.min(startable, round.startsLeft, tasksWithinLimit(team, used, spec));
     if (left <= 0) return;
-    if (!round.isHopeless(spec)) {
+    if (!round.isKnownUnplaceable(spec)) {
       const placed = this.placeTasks(job, left, round);
       round.startsLeft -= placed;
       left -= placed;
     }
     if (left <= 0) return;
     const isZoned = hasZoneConstraint(spec);
-    if (job.failedOn.size + job.refusedOn.size === 0 && !isZoned) round.foundNoCapacity(spec);
+    if (job.failedOn.size + job.refusedOn.size === 0 && !isZoned) round.markUnplaceable(spec);
     // with hundreds of jobs waiting, a search in vain for one isn't repeated for similar ones in the same step
     const isPlain = !this.queue.isGuaranteed(job) && !isZoned;
-    if (isPlain && round.hasNothingToPreempt(job)) return;
-    if (!this.preemption.preemptFor(job, round) && isPlain) round.foundNothingToPreempt(job);
+    if (isPlain && round.hasNoPreemptionCandidates(job)) return;
+    if (!this.preemption.preemptFor(job, round) && isPlain) round.markNoPreemptionCandidates(job);
   }
 
   /** Starts up to `tasks` of an array's or a service's tasks; says how many were started or have others preempted for them. */
   private placeTasks(job: Job, tasks: number, round: PlacementRound): number {
     if (job.spec.kind === "array" && !hasZoneConstraint(job.spec))
       return this.fillMachines(job, tasks, round);
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     let placed = 0;
-    for (const index of job.pending.take(tasks)) {
+    for (const index of job.pending.smallest(tasks)) {
       const machine = chooseMachine(cluster, job, round);
       if (machine === null) break;
       if (this.fetchTakesTooLong(job, machine) && this.preemption.preemptWhereCached(job, round))
@@ -153,8 +153,8 @@
 
   private fillMachines(job: Job, tasks: number, round: PlacementRound): number {
     let placed = 0;
-    for (const packed of packTasks(this.scope.cluster, job, round, tasks))
-      for (const index of job.pending.take(packed.tasks)) {
+    for (const packed of packTasks(this.context.cluster, job, round, tasks))
+      for (const index of job.pending.smallest(packed.tasks)) {
         this.startTask(job, index, packed.machine, round);
         placed++;
       }
@@ -162,15 +162,15 @@
   }
 
   private startTask(job: Job, index: number, machine: Machine, round: PlacementRound): void {
-    round.takeFromPart(machine.relayedBy, job.spec.cpus);
+    round.takeFromPartition(machine.relayedBy, job.spec.cpus);
     const attempt = this.starter.nextAttempt();
     this.starter.start({ job, index, attempt, machine }, round.now, round.pendingCommands);
   }
 
   /** Free capacity is no use to a job whose image takes longer to fetch than its start may take. */
   private fetchTakesTooLong(job: Job, machine: Machine): boolean {
-    const objective = this.scope.options.startLatencyObjectives.get(job.spec.className);
-    const type = this.scope.machineTypeByName.get(machine.type);
+    const objective = this.context.options.startLatencyObjectives.get(job.spec.className);
+    const type = this.context.machineTypeByName.get(machine.type);
     if (objective === undefined || type === undefined || machine.images.has(job.spec.image)) return false;
     return job.spec.imageGb / type.fetchGbPerS > Duration.toSeconds(objective);
   }
--- a/src/core/placement/preemption-candidates.ts
+++ b/src/core/placement/preemption-candidates.ts
@@ -10,40 +10,40 @@
 import type { JobSpec } from "../records.js";
 import type { Instant } from "../time.js";
 import { fits, freeCapacity, reserve } from "./capacity.js";
-import { allowed } from "./eligibility.js";
-import { zoneRule } from "./zone-rules.js";
+import { allowsMachine } from "./eligibility.js";
+import { zonePredicate } from "./zone-rules.js";
 
 /** What fetching the image costs, in the processor-seconds of work that would be thrown away instead. */
-const IMAGE_FETCH_COST = 20;
+const IMAGE_FETCH_COST_CPU_SECONDS = 20;
 const MS_PER_SECOND = 1000;
 
 /** An attempt of a job that this leader knows. */
-export type KnownAttempt = TaskAttempt & { readonly spec: JobSpec };
+export type AttemptWithSpec = TaskAttempt & { readonly spec: JobSpec };
 
-const isKnown = (attempt: TaskAttempt): attempt is KnownAttempt => attempt.spec !== null;
+const hasSpec = (attempt: TaskAttempt): attempt is AttemptWithSpec => attempt.spec !== null;
 
 /** Tasks on one machine whose end lets a task start there. */
 export interface PreemptionCandidates {
   readonly machine: Machine;
   readonly attempts: readonly TaskAttempt[];
   /** Processor-seconds of work that are lost. */
-  readonly cost: number;
+  readonly costCpuSeconds: number;
 }
 
 /** Attempts on the machine that may be stopped: the least important first, of these the ones that ran for the least time. */
-const stoppableAttempts = (
+const preemptibleAttempts = (
   cluster: Cluster,
   machine: Machine,
-  mayStop: (attempt: KnownAttempt) => boolean,
-): KnownAttempt[] =>
+  mayPreempt: (attempt: AttemptWithSpec) => boolean,
+): AttemptWithSpec[] =>
   [...machine.attempts.values()]
-    .filter(isKnown)
+    .filter(hasSpec)
     .filter(
       (attempt) =>
         occupiesCapacity(attempt) &&
         !attempt.stopping &&
         attempt.unacknowledgedToken === null &&
-        mayStop(attempt),
+        mayPreempt(attempt),
     )
     .sort((one, other) => rankOf(cluster, one) - rankOf(cluster, other) || other.stateSince - one.stateSince);
 
@@ -51,19 +51,21 @@
 const candidatesOn = (
   machine: Machine,
   job: Job,
-  stoppable: readonly KnownAttempt[],
+  preemptible: readonly AttemptWithSpec[],
   now: Instant,
 ): PreemptionCandidates | null => {
   const capacity = freeCapacity(machine);
   const attempts: TaskAttempt[] = [];
-  let cost = machine.images.has(job.spec.image) ? 0 : IMAGE_FETCH_COST;
-  for (const attempt of stoppable) {
+  let costCpuSeconds = machine.images.has(job.spec.image) ? 0 : IMAGE_FETCH_COST_CPU_SECONDS;
+  for (const attempt of preemptible) {
     if (fits(job.spec, capacity)) break;
     attempts.push(attempt);
     reserve(attempt.spec, capacity, -1);
-    cost += (attempt.spec.cpus * Math.max(1, now - attempt.stateSince)) / MS_PER_SECOND;
+    costCpuSeconds += (attempt.spec.cpus * Math.max(1, now - attempt.stateSince)) / MS_PER_SECOND;
   }
-  return attempts.length > 0 && fits(job.spec, capacity) ? { machine, attempts, cost } : null;
+  return attempts.length > 0 && fits(job.spec, capacity)
+    ? { machine, attempts, costCpuSeconds: costCpuSeconds }
+    : null;
 };
 
 /** The cheapest set of tasks on one machine whose end lets one task of `job` start there. */
@@ -72,14 +74,14 @@
   job: Job,
   machines: Iterable<Machine>,
   now: Instant,
-  mayStop: (attempt: KnownAttempt) => boolean,
+  mayPreempt: (attempt: AttemptWithSpec) => boolean,
 ): PreemptionCandidates | null => {
   let best: PreemptionCandidates | null = null;
-  const zoneAllows = zoneRule(cluster, job);
+  const zoneAllows = zonePredicate(cluster, job);
   for (const machine of machines) {
-    if (!allowed(job.spec, machine) || !zoneAllows(machine.zone)) continue;
-    const found = candidatesOn(machine, job, stoppableAttempts(cluster, machine, mayStop), now);
-    if (found !== null && (best === null || found.cost < best.cost)) best = found;
+    if (!allowsMachine(job.spec, machine) || !zoneAllows(machine.zone)) continue;
+    const found = candidatesOn(machine, job, preemptibleAttempts(cluster, machine, mayPreempt), now);
+    if (found !== null && (best === null || found.costCpuSeconds < best.costCpuSeconds)) best = found;
   }
   return best;
 };
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import { type TaskAttempt, type Job, type Machine, occupiesCapacity, rankOf } from "../cluster/cluster.js";
 import type { JobQueue } from "./job-queue.js";
-import { type KnownAttempt, findPreemptionCandidates } from "./preemption-candidates.js";
+import { type AttemptWithSpec, findPreemptionCandidates } from "./preemption-candidates.js";
 import type { PlacementRound } from "./placement-round.js";
 import { type JobSpec, RANK } from "../records.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
@@ -14,76 +14,77 @@
 /** Machines on which something was started lately, where stopping costs the least. */
 const MAX_RECENT_MACHINES = 64;
 /** Work of so long is cheap to throw away. */
-const CHEAP_LOSS = Duration.seconds(6);
+const CHEAP_LOSS_RUNTIME = Duration.seconds(6);
 /** How long stopped tasks may take until the capacity that they occupy counts as missing again. */
-const STOP_TAKES = Duration.millis(300);
+const STOP_DURATION = Duration.millis(300);
 /** A search costs far more than a look at a waiting job: searches for one job keep this distance. */
-const SEARCH_AGAIN_AFTER = Duration.millis(500);
-const SEARCH_ALL_AGAIN_AFTER = Duration.times(SEARCH_AGAIN_AFTER, 2);
+const SEARCH_INTERVAL = Duration.millis(500);
+const PAUSE_AFTER_FULL_SEARCH = Duration.times(SEARCH_INTERVAL, 2);
 
 /** Whether stopping a task throws away more than a moment's work. */
-const losesMuchWork = (attempt: KnownAttempt, now: Instant): boolean =>
-  Duration.toMillis(attempt.spec.checkpoint) === 0 &&
+const losesMuchWork = (attempt: AttemptWithSpec, now: Instant): boolean =>
+  Duration.toMillis(attempt.spec.checkpointInterval) === 0 &&
   attempt.state === "running" &&
-  hasElapsed(now, attempt.stateSince, CHEAP_LOSS);
+  hasElapsed(now, attempt.stateSince, CHEAP_LOSS_RUNTIME);
 
-const describe = (attempts: readonly TaskAttempt[]): string =>
+const taskNames = (attempts: readonly TaskAttempt[]): string =>
   attempts.map((attempt) => `${attempt.job}/${attempt.index}`).join(" ");
 
 /** Preempts for one task of a job at a time. */
 export class Preemption {
   /** Until when no search is made for a job: tasks are stopping for it, or a search has just been in vain. */
-  private readonly pausedUntil = new Map<string, Instant>();
-  private searchedAllAt: Instant | null = null;
+  private readonly searchPausedUntil = new Map<string, Instant>();
+  private lastFullSearchAt: Instant | null = null;
 
   constructor(
-    private readonly scope: SchedulerContext,
+    private readonly context: SchedulerContext,
     private readonly queue: JobQueue,
   ) {}
 
   /** The job has its commit. */
-  jobOver(id: string): void {
-    this.pausedUntil.delete(id);
+  forgetJob(id: string): void {
+    this.searchPausedUntil.delete(id);
   }
 
   /** Stops others on a machine where the job's image is cached; whether some are stopping. */
   preemptWhereCached(job: Job, round: PlacementRound): boolean {
-    const until = this.pausedUntil.get(job.spec.id);
+    const until = this.searchPausedUntil.get(job.spec.id);
     if (until !== undefined) return round.now < until;
     const cached = this.recentMachines(round.now).filter((machine) => machine.images.has(job.spec.image));
-    return this.stopFor(job, cached, round);
+    return this.preemptOn(job, cached, round);
   }
 
   /** Stops others for one task of a job, where anything may be stopped for it at all; false: nothing was found. */
   preemptFor(job: Job, round: PlacementRound): boolean {
     const { now } = round;
     const { id } = job.spec;
-    const until = this.pausedUntil.get(id);
+    const until = this.searchPausedUntil.get(id);
     if (until !== undefined && now < until) return true;
-    if (!this.mayStopAny(job)) return false;
-    if (this.stopFor(job, this.recentMachines(now), round)) return true;
-    this.pausedUntil.set(id, plus(now, SEARCH_AGAIN_AFTER));
+    if (!this.mayPreemptAny(job)) return false;
+    if (this.preemptOn(job, this.recentMachines(now), round)) return true;
+    this.searchPausedUntil.set(id, plus(now, SEARCH_INTERVAL));
     // nothing that started lately will do: now and then all machines are searched
-    if (this.searchedAllAt !== null && !hasElapsed(now, this.searchedAllAt, SEARCH_AGAIN_AFTER)) return false;
-    this.searchedAllAt = now;
-    const all = [...this.scope.cluster.byLastHeartbeat].filter((machine) =>
-      this.scope.canStartTasks(machine, now),
+    if (this.lastFullSearchAt !== null && !hasElapsed(now, this.lastFullSearchAt, SEARCH_INTERVAL))
+      return false;
+    this.lastFullSearchAt = now;
+    const all = [...this.context.cluster.byLastHeartbeat].filter((machine) =>
+      this.context.canStartTasks(machine, now),
     );
-    if (this.stopFor(job, all, round)) return true;
-    this.pausedUntil.set(id, plus(now, SEARCH_ALL_AGAIN_AFTER));
+    if (this.preemptOn(job, all, round)) return true;
+    this.searchPausedUntil.set(id, plus(now, PAUSE_AFTER_FULL_SEARCH));
     return false;
   }
 
   /** Whether some task has a lower rank, or some other team uses more than its guarantee. */
-  private mayStopAny(job: Job): boolean {
-    const hasLower = this.scope.cluster.attemptsByRank.some((tasks, rank) => rank < job.rank && tasks > 0);
-    return hasLower || (this.queue.isGuaranteed(job) && this.someOtherTeamBorrows(job.spec.team));
+  private mayPreemptAny(job: Job): boolean {
+    const hasLower = this.context.cluster.attemptsByRank.some((tasks, rank) => rank < job.rank && tasks > 0);
+    return hasLower || (this.queue.isGuaranteed(job) && this.isOtherTeamOverGuarantee(job.spec.team));
   }
 
-  private someOtherTeamBorrows(claimant: string): boolean {
-    for (const [name, team] of this.scope.options.teams) {
-      const usage = this.scope.usageOf(name);
-      if (name !== claimant && (usage.cpus > team.guaranteedCpus || usage.gpus > team.guaranteedGpus))
+  private isOtherTeamOverGuarantee(requestingTeam: string): boolean {
+    for (const [name, team] of this.context.options.teams) {
+      const usage = this.context.usageOf(name);
+      if (name !== requestingTeam && (usage.cpus > team.guaranteedCpus || usage.gpus > team.guaranteedGpus))
         return true;
     }
     return false;
@@ -92,47 +93,48 @@
   /** Machines on which something was started lately, and that may be given work. */
   private recentMachines(now: Instant): Machine[] {
     const found = new Set<Machine>();
-    const { recentStarts, machines } = this.scope.cluster;
+    const { recentStarts, machines } = this.context.cluster;
     for (let index = recentStarts.length - 1; index >= 0 && found.size < MAX_RECENT_MACHINES; index--) {
       const attempt = recentStarts[index];
       const machine = attempt === undefined ? undefined : machines.get(attempt.machine);
       if (attempt !== undefined && machine !== undefined && occupiesCapacity(attempt)) found.add(machine);
     }
-    return [...found].filter((machine) => this.scope.canStartTasks(machine, now));
+    return [...found].filter((machine) => this.context.canStartTasks(machine, now));
   }
 
   /** Stops the cheapest tasks on one of the given machines; false: there are none. */
-  private stopFor(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
+  private preemptOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { now, pendingCommands, notes } = round;
-    const found = findPreemptionCandidates(this.scope.cluster, job, candidates, now, (attempt) =>
-      this.mayStop(attempt, job, now),
+    const found = findPreemptionCandidates(this.context.cluster, job, candidates, now, (attempt) =>
+      this.mayPreempt(attempt, job, now),
     );
     if (found === null) return false;
     for (const attempt of found.attempts) pendingCommands.stop(attempt);
-    this.pausedUntil.set(job.spec.id, plus(now, STOP_TAKES));
-    notes.push(`stop ${describe(found.attempts)} on ${found.machine.id} for ${job.spec.id}`);
+    this.searchPausedUntil.set(job.spec.id, plus(now, STOP_DURATION));
+    notes.push(`stop ${taskNames(found.attempts)} on ${found.machine.id} for ${job.spec.id}`);
     return true;
   }
 
   /** Production may stop whatever is lower; gangs are never stopped. */
-  private mayStop(attempt: KnownAttempt, job: Job, now: Instant): boolean {
+  private mayPreempt(attempt: AttemptWithSpec, job: Job, now: Instant): boolean {
     if (attempt.spec.kind === "gang") return false;
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const owner = cluster.jobs.get(attempt.job);
     const isProduction = job.rank === RANK.production;
-    if (job.rank < RANK.production && owner !== undefined && this.queue.isUrgent(owner, now)) return false;
+    if (job.rank < RANK.production && owner !== undefined && this.queue.mustStartNow(owner, now))
+      return false;
     // below production, a start a little sooner isn't worth work that has run for a while
     const isLower = rankOf(cluster, attempt) < job.rank;
     if (isLower && (isProduction || !losesMuchWork(attempt, now))) return true;
-    return this.queue.isGuaranteed(job) && this.isBorrowed(attempt.spec, job.spec.team);
+    return this.queue.isGuaranteed(job) && this.exceedsGuarantee(attempt.spec, job.spec.team);
   }
 
   /** Whether a task of another team runs beyond that team's own guarantee. */
-  private isBorrowed(spec: JobSpec, claimant: string): boolean {
-    if (spec.team === claimant || spec.kind === "service") return false;
-    const team = this.scope.options.teams.get(spec.team);
+  private exceedsGuarantee(spec: JobSpec, requestingTeam: string): boolean {
+    if (spec.team === requestingTeam || spec.kind === "service") return false;
+    const team = this.context.options.teams.get(spec.team);
     if (team === undefined) return false;
-    const usage = this.scope.usageOf(spec.team);
+    const usage = this.context.usageOf(spec.team);
     return usage.cpus - spec.cpus >= team.guaranteedCpus && usage.gpus - spec.gpus >= team.guaranteedGpus;
   }
 }
--- a/src/core/placement/quota.ts
+++ b/src/core/placement/quota.ts
@@ -11,24 +11,25 @@
 }
 
 /** 0 means: no limit. */
-const within = (used: number, limit: number): boolean => limit <= 0 || used <= limit + CAPACITY_EPSILON;
+const isWithin = (used: number, limit: number): boolean => limit <= 0 || used <= limit + CAPACITY_EPSILON;
 
 /** Whether so many tasks more would keep the team within its limits. */
 export const isWithinLimit = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
-  within(used.cpus + job.cpus * tasks, team.maxCpus) && within(used.gpus + job.gpus * tasks, team.maxGpus);
+  isWithin(used.cpus + job.cpus * tasks, team.maxCpus) &&
+  isWithin(used.gpus + job.gpus * tasks, team.maxGpus);
 
 /** Whether so many tasks more would keep the team within its guarantee; a guarantee of 0 covers nothing. */
 export const isWithinGuarantee = (team: Team, used: Usage, job: JobSpec, tasks: number): boolean =>
   used.cpus + job.cpus * tasks <= team.guaranteedCpus + CAPACITY_EPSILON &&
   used.gpus + job.gpus * tasks <= team.guaranteedGpus + CAPACITY_EPSILON;
 
-/** How many tasks that need `each` one limit leaves space for. */
-const tasksWithin = (limit: number, used: number, each: number): number =>
-  limit <= 0 || each <= 0 ? Infinity : Math.floor((limit - used + CAPACITY_EPSILON) / each);
+/** How many tasks that need `perTask` one limit leaves space for. */
+const tasksWithinResourceLimit = (limit: number, used: number, perTask: number): number =>
+  limit <= 0 || perTask <= 0 ? Infinity : Math.floor((limit - used + CAPACITY_EPSILON) / perTask);
 
 /** How many tasks of an array its team's limit allows at once, next to `used`. */
 export const tasksWithinLimit = (team: Team, used: Usage, job: JobSpec): number => {
-  const byCpus = tasksWithin(team.maxCpus, used.cpus, job.cpus);
-  const byGpus = tasksWithin(team.maxGpus, used.gpus, job.gpus);
+  const byCpus = tasksWithinResourceLimit(team.maxCpus, used.cpus, job.cpus);
+  const byGpus = tasksWithinResourceLimit(team.maxGpus, used.gpus, job.gpus);
   return Math.max(0, Math.min(byCpus, byGpus));
 };
--- a/src/core/placement/task-starter.ts
+++ b/src/core/placement/task-starter.ts
@@ -8,7 +8,7 @@
 /** Latest starts that are remembered; half of them are dropped at a time. */
 const MAX_RECENT_STARTS = 512;
 /** With so many numbers left, a new term is due: it comes long before they are used up. */
-const RENEW_TERM_AT_ATTEMPTS_LEFT = 100_000;
+const NEW_TERM_AT_ATTEMPTS_LEFT = 100_000;
 /** Numbers kept back for gangs, whose trial placements use one each. */
 const RESERVED_ATTEMPTS = 1000;
 
@@ -26,7 +26,7 @@
   private attemptsUsed = 0;
   private termNumber = 0;
 
-  constructor(private readonly scope: SchedulerContext) {}
+  constructor(private readonly context: SchedulerContext) {}
 
   /** How many more tasks may be started in this term. */
   get startsLeft(): number {
@@ -35,16 +35,16 @@
 
   /** Whether the numbers of this term are about to be used up, so that the leader has to begin a new one. */
   get needsNewTerm(): boolean {
-    return this.attemptsLeft <= RENEW_TERM_AT_ATTEMPTS_LEFT;
+    return this.attemptsLeft <= NEW_TERM_AT_ATTEMPTS_LEFT;
   }
 
   private get attemptsLeft(): number {
-    return ATTEMPTS_PER_TERM - (this.termNumber === this.scope.term.number ? this.attemptsUsed : 0);
+    return ATTEMPTS_PER_TERM - (this.termNumber === this.context.term.number ? this.attemptsUsed : 0);
   }
 
   /** The attempt of the next start; all tasks of a gang share one. */
   nextAttempt(): number {
-    const { number } = this.scope.term;
+    const { number } = this.context.term;
     if (this.termNumber !== number) {
       this.termNumber = number;
       this.attemptsUsed = 0;
@@ -59,7 +59,7 @@
     now: Instant,
     pendingCommands: PendingCommands,
   ): TaskAttempt {
-    const { cluster } = this.scope;
+    const { cluster } = this.context;
     const taskAttempt: TaskAttempt = {
       job: job.spec.id,
       index,
--- a/src/core/ranges.ts
+++ b/src/core/ranges.ts
@@ -17,7 +17,7 @@
   }
 
   /** Index of the first segment that ends after `number`. */
-  private find(number: number): number {
+  private findSegment(number: number): number {
     let low = 0;
     let high = this.segments.length;
     while (low < high) {
@@ -31,14 +31,14 @@
 
   /** Whether a number is in the set. */
   has(number: number): boolean {
-    const segment = this.segments[this.find(number)];
+    const segment = this.segments[this.findSegment(number)];
     return segment !== undefined && segment[0] <= number;
   }
 
   /** Adds the numbers from `from` up to, but without, `to`. */
   add(from: number, to = from + 1): void {
     if (from >= to) return;
-    let first = this.find(from);
+    let first = this.findSegment(from);
     // one that ends where this begins is extended
     if (first > 0 && this.segments[first - 1]?.[1] === from) first--;
     let last = first;
@@ -58,25 +58,25 @@
 
   /** Takes one number out. */
   delete(number: number): void {
-    const at = this.find(number);
+    const at = this.findSegment(number);
     const segment = this.segments[at];
     if (segment === undefined || segment[0] > number) return;
-    const rest: [number, number][] = [];
-    if (segment[0] < number) rest.push([segment[0], number]);
-    if (number + 1 < segment[1]) rest.push([number + 1, segment[1]]);
-    this.segments.splice(at, 1, ...rest);
+    const remainder: [number, number][] = [];
+    if (segment[0] < number) remainder.push([segment[0], number]);
+    if (number + 1 < segment[1]) remainder.push([number + 1, segment[1]]);
+    this.segments.splice(at, 1, ...remainder);
     this.size--;
   }
 
-  /** Up to `most` of the smallest numbers in the set. */
-  take(most: number): number[] {
-    const smallest: number[] = [];
+  /** Up to `limit` of the smallest numbers in the set. */
+  smallest(limit: number): number[] {
+    const numbers: number[] = [];
     for (const [from, to] of this.segments)
       for (let number = from; number < to; number++) {
-        if (smallest.length >= most) return smallest;
-        smallest.push(number);
+        if (numbers.length >= limit) return numbers;
+        numbers.push(number);
       }
-    return smallest;
+    return numbers;
   }
 
   /** Whether all numbers from 0 up to, but without, `count` are in the set. */
@@ -92,17 +92,17 @@
 }
 
 /**
- * Splits ranges into windows of task numbers whose JSON stays under `bytes` each, whatever has finished.
+ * Splits ranges into windows of task numbers whose JSON stays under `maxBytes` each, whatever has finished.
  * A window's bounds never move, so rewriting one can't drop what another one held.
  */
-export const windows = (ranges: readonly Range[], bytes: number): Map<number, Range[]> => {
-  const perRange = 17; // "[100000,100001],"
-  const width = Math.max(1, Math.floor((bytes - 64) / perRange)) * 2;
+export const splitIntoWindows = (ranges: readonly Range[], maxBytes: number): Map<number, Range[]> => {
+  const bytesPerRange = 17; // "[100000,100001],"
+  const windowWidth = Math.max(1, Math.floor((maxBytes - 64) / bytesPerRange)) * 2;
   const rangesByWindow = new Map<number, Range[]>();
   for (const [from, to] of ranges)
     for (let at = from; at < to;) {
-      const window = Math.floor(at / width);
-      const end = Math.min(to, (window + 1) * width);
+      const window = Math.floor(at / windowWidth);
+      const end = Math.min(to, (window + 1) * windowWidth);
       const list = rangesByWindow.get(window);
       if (list === undefined) rangesByWindow.set(window, [[at, end]]);
       else list.push([at, end]);
--- a/src/core/rates/rate-limit-selector.ts
+++ b/src/core/rates/rate-limit-selector.ts
@@ -7,7 +7,7 @@
 import { type Instant, hasElapsed, plus } from "../time.js";
 
 /** What the state service allows all nodes together. */
-export interface Rate {
+export interface RequestRates {
   /** Requests a second. */
   readonly rps: number;
   /** Changes a second. */
@@ -15,37 +15,40 @@
 }
 
 /** How long the lower rates are kept after a refusal: at first, and at most. */
-const FIRST_SPAN = Duration.minutes(1);
-const LONGEST_SPAN = Duration.minutes(10);
+const FIRST_LOWERED_SPAN = Duration.minutes(1);
+const LONGEST_LOWERED_SPAN = Duration.minutes(10);
 /** A refusal within this time after going back up says that the lower rates hold. */
-const SOON = Duration.minutes(1);
+const REPEATED_REFUSAL_WITHIN = Duration.minutes(1);
 
 /** Says which rates this node keeps to at a moment. */
 export class RateLimitSelector {
-  private readonly lower: Rate;
-  private span = FIRST_SPAN;
+  private readonly lowerRates: RequestRates;
+  private loweredSpan = FIRST_LOWERED_SPAN;
   private loweredUntil: Instant | null = null;
 
   constructor(
-    private readonly today: Rate,
-    next: Rate = today,
+    private readonly currentRates: RequestRates,
+    futureRates: RequestRates = currentRates,
   ) {
-    const rps = Math.min(today.rps, next.rps);
-    const writeRps = Math.min(today.writeRps, next.writeRps);
+    const rps = Math.min(currentRates.rps, futureRates.rps);
+    const writeRps = Math.min(currentRates.writeRps, futureRates.writeRps);
     // the same object when nothing is lower: nothing ever changes then
-    this.lower = rps < today.rps || writeRps < today.writeRps ? { rps, writeRps } : today;
+    this.lowerRates =
+      rps < currentRates.rps || writeRps < currentRates.writeRps ? { rps, writeRps } : currentRates;
   }
 
   /** The rates in force; the same object as long as they are the same. */
-  at(now: Instant): Rate {
-    return this.loweredUntil !== null && now < this.loweredUntil ? this.lower : this.today;
+  ratesAt(now: Instant): RequestRates {
+    return this.loweredUntil !== null && now < this.loweredUntil ? this.lowerRates : this.currentRates;
   }
 
   /** The service said 429; whether to requests or to changes isn't known, so both go down. */
   refused(now: Instant): void {
-    if (this.lower === this.today || this.at(now) === this.lower) return;
-    const isSoon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, SOON);
-    this.span = isSoon ? Duration.min(LONGEST_SPAN, Duration.times(this.span, 2)) : FIRST_SPAN;
-    this.loweredUntil = plus(now, this.span);
+    if (this.lowerRates === this.currentRates || this.ratesAt(now) === this.lowerRates) return;
+    const isSoon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, REPEATED_REFUSAL_WITHIN);
+    this.loweredSpan = isSoon
+      ? Duration.min(LONGEST_LOWERED_SPAN, Duration.times(this.loweredSpan, 2))
+      : FIRST_LOWERED_SPAN;
+    this.loweredUntil = plus(now, this.loweredSpan);
   }
 }
--- a/src/core/records/jobs.ts
+++ b/src/core/records/jobs.ts
@@ -34,15 +34,15 @@
   /** All its tasks have to run in one zone. */
   readonly oneZone: boolean;
   /** Its tasks are spread over zones. */
-  readonly spread: boolean;
+  readonly spreadOverZones: boolean;
   /** It may run on machines that the cloud can take back. */
   readonly spot: boolean;
   /** How long a task is expected to run. */
   readonly estimate: Duration.Duration;
   /** Its checkpoint interval, as the user gave it; zero: it saves no progress. */
-  readonly checkpoint: Duration.Duration;
+  readonly checkpointInterval: Duration.Duration;
   /** How long saving takes. */
-  readonly save: Duration.Duration;
+  readonly saveDuration: Duration.Duration;
   /** Counts from the submission, also for a job that waits for others. */
   readonly deadline: Duration.Duration | null;
   /** Jobs that have to be done before any task of this one starts. */
--- a/src/core/records/machines.ts
+++ b/src/core/records/machines.ts
@@ -33,7 +33,7 @@
   readonly fetchGbPerS: number;
   readonly price: number;
   readonly spotPrice: number;
-  readonly boot: Duration.Duration;
+  readonly bootTime: Duration.Duration;
   readonly zones: readonly string[];
 }
 
--- a/src/core/records/state-keys.ts
+++ b/src/core/records/state-keys.ts
@@ -19,7 +19,7 @@
   fanin: (id: string) => `job-fanin/${id}`,
   commit: (id: string) => `commit/${id}`,
   ranges: "ranges/",
-  rangesOf: (id: string, writer: string, chunk: number) => `ranges/${id}/${writer}/${chunk}`,
+  rangesOf: (id: string, writer: string, window: number) => `ranges/${id}/${writer}/${window}`,
   machines: "machines/",
   machinesOf: (block: string) => `machines/${block}`,
   memberUpdates: "news/",
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -109,7 +109,7 @@
       }
       if (!canSave && spec.kind !== "service") continue;
       candidates ??= this.schedulableMachines(spec.cpus, now);
-      if (canSave || chooseMachine(cluster, job, { candidates, now, partCapacity: () => 0 }) !== null)
+      if (canSave || chooseMachine(cluster, job, { candidates, now, partitionFreeCpus: () => 0 }) !== null)
         pendingCommands.stop(attempt);
     }
   }
@@ -129,7 +129,7 @@
 
 /** Whether a task keeps checkpoints, and has the time to write one. */
 const canSaveWithin = (spec: JobSpec, availableMs: number): boolean =>
-  Duration.toMillis(spec.checkpoint) > 0 && availableMs >= Duration.toMillis(spec.save);
+  Duration.toMillis(spec.checkpointInterval) > 0 && availableMs >= Duration.toMillis(spec.saveDuration);
 
 /** Takes a gang down with time to save, all tasks at once; returns how many are still there. */
 export const stopGang = (attempts: readonly TaskAttempt[], pendingCommands: PendingCommands): number => {
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -116,30 +116,30 @@
 
   /** A released job. Its deadline and its age count from `acceptedAt` and `releasedAt`, under whatever leader. */
   jobReleased(spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant = acceptedAt): void {
-    const job = this.jobIntake.released(spec, revision, acceptedAt, releasedAt);
-    if (job !== null) this.autoscaler.arrived(job);
+    const job = this.jobIntake.addReleased(spec, revision, acceptedAt, releasedAt);
+    if (job !== null) this.autoscaler.recordArrival(job);
   }
 
   /** A job that waits for others (S12): it counts only for the jobs that it needs. */
   jobBlocked(spec: JobSpec, acceptedAt: Instant): void {
-    this.jobIntake.waiting(spec, acceptedAt);
+    this.jobIntake.addBlocked(spec, acceptedAt);
   }
 
   /** It waits no longer: cancelled, or released (whether this or `jobReleased` comes first doesn't matter). */
   jobUnblocked(id: string): void {
-    this.jobIntake.waitingOver(id);
+    this.jobIntake.removeBlocked(id);
   }
 
   /** The job record is gone: there is a commit, done or cancelled, and nothing of it may start again (S9). */
   jobEnded(id: string): void {
-    this.jobIntake.over(id);
-    this.placer.jobOver(id);
+    this.jobIntake.removeEnded(id);
+    this.placer.forgetJob(id);
     this.slowMachineDetector.forgetJob(id);
   }
 
   /** Finishes that are in the state service (S7). */
   finishesStored(id: string, ranges: readonly Range[]): void {
-    this.jobIntake.stored(id, ranges);
+    this.jobIntake.markRangesStored(id, ranges);
   }
 
   /** A commit that was decided on could not be made. */
@@ -149,7 +149,7 @@
 
   /** A machine record read from the state service, or one just written (S5). */
   machineRecorded(id: string, record: MachineRecord, now: Instant): Machine | null {
-    return this.machineIntake.recorded(id, record, now);
+    return this.machineIntake.addRecorded(id, record, now);
   }
 
   /** The write of a machine's record failed. */
@@ -160,14 +160,14 @@
   /** The cloud's list of machines. */
   machinesListed(rows: readonly ListedMachine[], now: Instant): void {
     this.hasCloudInventory = true;
-    this.machineIntake.listed(rows, now);
+    this.machineIntake.mergeList(rows, now);
   }
 
-  /** The cloud's answer to a release; `released`: it was carried out (S3). */
+  /** The cloud's answer to a release; `removeReleased`: it was carried out (S3). */
   releaseAnswered(ids: readonly string[], released: boolean, now: Instant): void {
     for (const id of ids) {
       if (!released) this.machineIntake.releaseFailed(id, now);
-      else if (this.machineIntake.released(id)) this.leaseExpiry.forgetMachine(id);
+      else if (this.machineIntake.removeReleased(id)) this.leaseExpiry.forgetMachine(id);
     }
   }
 
@@ -256,9 +256,9 @@
 
   /** The certain outcome of a recorded rental (S10). */
   rentalAnswered(name: string, record: RentalRecord, machines: readonly string[], now: Instant): void {
-    this.autoscaler.outstanding.delete(name);
+    this.autoscaler.outstandingRequests.delete(name);
     const { type, zone, spot, count } = record;
-    if (machines.length < count) this.autoscaler.refused(offerKey(type, zone, spot), now);
-    for (const id of machines) this.machineIntake.discovered(id, { type, zone, spot, addr: null }, now);
+    if (machines.length < count) this.autoscaler.markRefused(offerKey(type, zone, spot), now);
+    for (const id of machines) this.machineIntake.addDiscovered(id, { type, zone, spot, addr: null }, now);
   }
 }
--- a/src/core/shards/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -34,26 +34,26 @@
 
   /** What stands against handing the machines over, and whether they are fenced. */
   factsOf(machines: readonly Machine[]): ShardFacts {
-    const wanted = machines.filter((machine) => this.isWanted(machine));
-    const unfenced = wanted.find((machine) => !this.isFenced(machine));
+    const relevant = machines.filter((machine) => this.mayHaveCommands(machine));
+    const unfenced = relevant.find((machine) => !this.isFenced(machine));
     return {
-      machines: wanted.length,
-      obstacle: this.obstacleOf(wanted),
+      machines: relevant.length,
+      obstacle: this.obstacleOf(relevant),
       fenced: unfenced === undefined,
       unfenced: unfenced?.id ?? null,
     };
   }
 
   /** One that is being returned, or that never got a command, has none to wait for. */
-  private isWanted(machine: Machine): boolean {
+  private mayHaveCommands(machine: Machine): boolean {
     return machine.releaseRequestedAt === null && machine.recorded;
   }
 
   private isFenced(machine: Machine): boolean {
     const token = fencingTokenOf(this.context.term.number, machine.fencingTokenStep);
-    const isSeen = machine.confirmed && machine.fencingToken >= token;
-    if (isSeen) this.context.cluster.awaitingFence.delete(machine);
-    return isSeen && !machine.commandsInFlight;
+    const hasSeenToken = machine.confirmed && machine.fencingToken >= token;
+    if (hasSeenToken) this.context.cluster.awaitingFence.delete(machine);
+    return hasSeenToken && !machine.commandsInFlight;
   }
 
   private obstacleOf(machines: readonly Machine[]): Refusal | null {
--- a/src/io/codec/cloud.ts
+++ b/src/io/codec/cloud.ts
@@ -41,7 +41,7 @@
     fetchGbPerS: type.pull_gb_per_s ?? 1,
     price: type.rate,
     spotPrice: type.spot_price ?? type.rate,
-    boot: Duration.seconds(type.startup_s ?? 60),
+    bootTime: Duration.seconds(type.startup_s ?? 60),
     zones: type.districts,
   }));
 
--- a/src/io/state-pacer.ts
+++ b/src/io/state-pacer.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { RateLimiter } from "../core/rates/rate-limiter.js";
-import { type Rate, RateLimitSelector } from "../core/rates/rate-limit-selector.js";
+import { type RequestRates, RateLimitSelector } from "../core/rates/rate-limit-selector.js";
 import { now } from "./clock.js";
 import { Unavailable } from "./state-errors.js";
 
@@ -13,7 +13,7 @@
 export type Urgency = "vital" | "first" | "later";
 
 /** The requests and changes per second, and those that may come into force instead at any time. */
-export type RateLimits = Rate & { readonly next?: Rate };
+export type RateLimits = RequestRates & { readonly next?: RequestRates };
 
 /** What a request asks for. */
 export interface Admission {
@@ -40,7 +40,7 @@
   private readonly changes: RateLimiter;
   private readonly limitSelector: RateLimitSelector;
   /** The rates that this node's share is taken from, and that share. */
-  private inForce: Rate;
+  private inForce: RequestRates;
   private share: number;
   private shareOfChanges: number;
   /** Requests that wait for the share. */
@@ -52,7 +52,7 @@
     private readonly nodes: number,
   ) {
     this.limitSelector = new RateLimitSelector(limits, limits.next);
-    this.inForce = this.limitSelector.at(now());
+    this.inForce = this.limitSelector.ratesAt(now());
     this.share = 1 / nodes;
     this.shareOfChanges = this.share;
     this.requests = new RateLimiter(limits.rps / nodes);
@@ -79,7 +79,7 @@
   /** Succeeds once the request may be sent; fails when that takes too long, and then it must not be sent. */
   admit(admission: Admission): Effect.Effect<void, Unavailable> {
     const admitted = Effect.suspend(() => {
-      if (this.limitSelector.at(now()) !== this.inForce) this.setRates();
+      if (this.limitSelector.ratesAt(now()) !== this.inForce) this.setRates();
       return admission.urgency === "later" ? this.admitLater(admission.changes) : this.admitAhead(admission);
     });
     if (admission.patience === undefined) return admitted;
@@ -92,10 +92,10 @@
   /** Goes into debt rather than wait; but after a refusal those that aren't vital keep to the rate of changes. */
   private admitAhead({ urgency, changes, patience }: Admission): Effect.Effect<void, Unavailable> {
     const wait =
-      urgency === "first" && changes > 0 ? this.changes.turn(now(), changes, patience) : Duration.zero;
+      urgency === "first" && changes > 0 ? this.changes.urgentDelay(now(), changes, patience) : Duration.zero;
     if (wait === null) return Effect.fail(new Unavailable({ why: "too many changes wait" }));
-    this.requests.takeFirst(now());
-    if (changes > 0) this.changes.takeFirst(now(), changes);
+    this.requests.takeUrgent(now());
+    if (changes > 0) this.changes.takeUrgent(now(), changes);
     return isZero(wait) ? Effect.void : Effect.sleep(wait);
   }
 
@@ -115,7 +115,7 @@
 
   private setRates(): void {
     const at = now();
-    this.inForce = this.limitSelector.at(at);
+    this.inForce = this.limitSelector.ratesAt(at);
     this.requests.setRate(at, this.inForce.rps * this.share);
     this.changes.setRate(at, this.inForce.writeRps * this.shareOfChanges);
   }
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -143,7 +143,7 @@
   const member = buildMember(foundation, membership, workers);
   const { enabled } = foundation.settings.operator.shards;
   const shards = enabled ? buildShards(foundation, membership, workers) : null;
-  if (shards !== null) member.partition.ownerName = shards.ownerLookup(member.partition.ownerName);
+  if (shards !== null) member.partition.lookUpOwner = shards.ownerLookup(member.partition.lookUpOwner);
   return { jobCache, membership, member, shards };
 };
 
--- a/src/service/leader/command-dispatcher.ts
+++ b/src/service/leader/command-dispatcher.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { HeartbeatId } from "../../core/cluster/cluster.js";
-import { groups } from "../../core/packing.js";
+import { groupByWeight } from "../../core/packing.js";
 import type { Command, TermRecord } from "../../core/records.js";
 import type { CommandOutcome, Decision, Scheduler } from "../../core/scheduler/scheduler.js";
 import { hasElapsed, type Instant } from "../../core/time.js";
@@ -77,7 +77,7 @@
   /** Starts to send batches by a member, in as many messages as they need; null: by this node. */
   dispatch(via: string | null, batches: readonly CommandBatch[]): Effect.Effect<void> {
     return Effect.forEach(
-      groups(batches, commandWeight, MAX_COMMANDS_PER_MESSAGE),
+      groupByWeight(batches, commandWeight, MAX_COMMANDS_PER_MESSAGE),
       (message) => this.context.fork(this.send(via, message)),
       { discard: true },
     );
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -4,7 +4,7 @@
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { TXN_BYTES } from "../../core/packing.js";
+import { MAX_TXN_BYTES } from "../../core/packing.js";
 import { keys } from "../../core/records.js";
 import { hasElapsed, type Instant, plus } from "../../core/time.js";
 import { now } from "../../io/clock.js";
@@ -79,7 +79,7 @@
     const { staleKeys } = this.context;
     const room = {
       valueBytes: this.context.valueBytes,
-      txnBytes: TXN_BYTES,
+      txnBytes: MAX_TXN_BYTES,
       newKey: this.recorder.newKey,
     };
     const firstDeletes = ++this.sweeps % 2 === 0 ? Math.min(staleKeys.size, this.sweepOps) : 0;
--- a/src/service/leader/leader-context.ts
+++ b/src/service/leader/leader-context.ts
@@ -7,7 +7,7 @@
 import * as Fiber from "effect/Fiber";
 import type { FleetOptions } from "../../core/autoscaling/autoscaler.js";
 import type { LeaseTimings } from "../../core/leases/term.js";
-import { valueBytes } from "../../core/packing.js";
+import { maxValueBytes } from "../../core/packing.js";
 import type { Team } from "../../core/records.js";
 import type { Scheduler } from "../../core/scheduler/scheduler.js";
 import type { MachineOwnership } from "../../core/scheduler/scheduler-context.js";
@@ -79,7 +79,7 @@
     readonly services: LeaderServices,
   ) {
     this.rejections = new RejectionBackoff(services.log);
-    this.valueBytes = valueBytes(options.valueKb);
+    this.valueBytes = maxValueBytes(options.valueKb);
   }
 
   /** The number of the term in force as far as this node knows. */
--- a/src/service/leader/machine-record-store.ts
+++ b/src/service/leader/machine-record-store.ts
@@ -14,7 +14,7 @@
  * - A late rewrite of a chunk that was split brings the chunk back, with more machines than are left of it: machines
  *   that are gone, or that are in a piece as well. The next leader reads it and deletes it in time.
  */
-import { jsonBytes, pack } from "../../core/packing.js";
+import { jsonBytes, splitRecord } from "../../core/packing.js";
 import type { MachineRecord } from "../../core/records.js";
 import type { Instant } from "../../core/time.js";
 
@@ -145,7 +145,7 @@
   private fitted(rewrite: Rewrite, room: Room, ops: number, bytes: number): Rewrite | null {
     const { key, machines } = rewrite;
     if (machines === null || jsonBytes({ machines }) <= room.valueBytes) return rewrite;
-    const parts = pack(Object.entries(machines), room.valueBytes);
+    const parts = splitRecord(Object.entries(machines), room.valueBytes);
     if (parts.length < 2) return rewrite;
     if (1 + parts.length > ops || jsonBytes(machines) + BYTES_BESIDE_MACHINES * parts.length > bytes)
       return null;
--- a/src/service/leader/machine-recorder.ts
+++ b/src/service/leader/machine-recorder.ts
@@ -1,7 +1,7 @@
 /** Machine records: a machine is stored, with many others in one record, before anything starts on it (S5). */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { pack } from "../../core/packing.js";
+import { splitRecord } from "../../core/packing.js";
 import { keys, type MachineRecord, type MachinesRecord } from "../../core/records.js";
 import { now } from "../../io/clock.js";
 import type { CommitResult } from "../../io/state-client.js";
@@ -62,7 +62,7 @@
     return Effect.gen(this, function* () {
       yield* Effect.sleep(GATHER);
       const next = this.unrecorded.slice(0, MAX_MACHINES_PER_RECORD);
-      const machines = pack(
+      const machines = splitRecord(
         next.map(({ id, record }) => [id, record] as const),
         this.recordBytes,
       )[0];
--- a/src/service/leader/progress-reporter.ts
+++ b/src/service/leader/progress-reporter.ts
@@ -20,7 +20,7 @@
   /** A new scheduler's progress is told from the start. */
   follow(scheduler: Scheduler): void {
     this.progress = new ProgressLog();
-    scheduler.cluster.onProgress = (job) => this.progress.changed(job.spec.id);
+    scheduler.cluster.onProgress = (job) => this.progress.recordChange(job.spec.id);
   }
 
   /** A job has its commit as done. */
@@ -30,12 +30,12 @@
       const oldest = this.finishedJobs.keys().next();
       if (oldest.done !== true) this.finishedJobs.delete(oldest.value);
     }
-    this.progress.changed(id);
+    this.progress.recordChange(id);
   }
 
   /** What changed after `version`; everything where that is no longer known. */
   since(scheduler: Scheduler, version: number): JobProgress[] {
-    const changed = this.progress.since(version);
+    const changed = this.progress.changedSince(version);
     const out: JobProgress[] = [];
     for (const id of changed ?? scheduler.cluster.jobs.keys()) {
       const job = scheduler.cluster.jobs.get(id);
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -28,11 +28,13 @@
       const name = `r-${term.number}-${++this.requests}`;
       const { type, zone, spot, count } = rent;
       this.context.schedulerLock.with((scheduler) =>
-        scheduler.autoscaler.outstanding.set(name, { offer: rent, count, at: now() }),
+        scheduler.autoscaler.outstandingRequests.set(name, { offer: rent, count, requestedAt: now() }),
       );
       const record: RentalRecord = { type: type.name, zone, spot, count };
       if (!(yield* this.store(name, record, leadership))) {
-        this.context.schedulerLock?.with((scheduler) => scheduler.autoscaler.outstanding.delete(name));
+        this.context.schedulerLock?.with((scheduler) =>
+          scheduler.autoscaler.outstandingRequests.delete(name),
+        );
         return;
       }
       log.info(
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -5,7 +5,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { FinishStore, FinishWrite, StoreResult } from "../../core/members/finish-store.js";
-import { TXN_BYTES, valueBytes } from "../../core/packing.js";
+import { MAX_TXN_BYTES, maxValueBytes } from "../../core/packing.js";
 import { keys } from "../../core/records.js";
 import { now } from "../../io/clock.js";
 import type { Change, Condition } from "../../io/codec.js";
@@ -22,7 +22,7 @@
 
 /** How many bytes one range record may have, by the state service's limits: kB a value, and changes a transaction. */
 export const rangesBytes = (valueKb: number, txnOps: number): number =>
-  Math.min(MAX_RANGES_BYTES, valueBytes(valueKb), Math.floor(TXN_BYTES / txnOps) - OVERHEAD_BYTES);
+  Math.min(MAX_RANGES_BYTES, maxValueBytes(valueKb), Math.floor(MAX_TXN_BYTES / txnOps) - OVERHEAD_BYTES);
 
 /** What the state service said to one transaction of finishes. */
 type TransactionResult =
@@ -110,7 +110,7 @@
       const result = yield* this.commit(writes, changes);
       yield* this.adaptSize(result, changes.length);
       for (const write of writes)
-        this.options.finishes.storeAnswered(write, this.resultOf(write, result, changes.length), now());
+        this.options.finishes.writeAnswered(write, this.resultOf(write, result, changes.length), now());
       this.options.onWritten();
       return result.kind === "stored" || (result.kind === "conflict" && result.failedKeys.length > 0);
     });
@@ -124,7 +124,7 @@
     while (isAnswered && membership.leaseId !== null) {
       // a restarted member must not overwrite what its earlier process stored
       const writer = `${me}.${membership.incarnation}`;
-      const writes = finishes.toStore(writer, this.maxPuts, now(), isOpen);
+      const writes = finishes.beginWrites(writer, this.maxPuts, now(), isOpen);
       if (writes.length === 0) break;
       isAnswered = yield* this.write(writes);
     }
--- a/src/service/members/member.ts
+++ b/src/service/members/member.ts
@@ -123,7 +123,7 @@
 
   /** A job ended, and needs nothing more here. */
   jobOver(job: string): void {
-    this.partition.finishes.jobOver(job);
+    this.partition.finishes.forgetJob(job);
     this.sync.jobOver(job);
   }
 }
--- a/src/service/members/update-relay.ts
+++ b/src/service/members/update-relay.ts
@@ -5,7 +5,7 @@
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { jsonBytes, valueBytes } from "../../core/packing.js";
+import { jsonBytes, maxValueBytes } from "../../core/packing.js";
 import { keys } from "../../core/records.js";
 import type { WatchEvent } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
@@ -29,7 +29,7 @@
 
 /** The limits that follow from the state service's: kB a value, and changes a transaction. */
 export const fragmentLimits = (valueKb: number, txnOps: number): FragmentLimits => {
-  const textBytes = valueBytes(valueKb) - jsonBytes({ of: MAX_FRAGMENTS, data: "" });
+  const textBytes = maxValueBytes(valueKb) - jsonBytes({ of: MAX_FRAGMENTS, data: "" });
   // base64 writes three bytes as four characters
   return {
     maxBytes: Math.min(MAX_FRAGMENT_BYTES, Math.floor(textBytes / 4) * 3),
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -6,7 +6,7 @@
 import { shardKeys } from "../../core/shards/shard-keys.js";
 import type { MachineOwnership } from "../../core/scheduler/scheduler-context.js";
 import type { LeaseTimings } from "../../core/leases/term.js";
-import type { OwnerLookup } from "../../core/members/worker-partition.js";
+import type { OwnerNameLookup } from "../../core/members/worker-partition.js";
 import type { Change } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import type { ShardSettings } from "../../io/settings.js";
@@ -109,7 +109,7 @@
   }
 
   /** Who answers a machine's heartbeats; the rendezvous owner where shards aren't in force. */
-  ownerLookup(otherwise: OwnerLookup): OwnerLookup {
+  ownerLookup(otherwise: OwnerNameLookup): OwnerNameLookup {
     return (term, machine, zone) => {
       const owner = this.view.ownerOf(machine, zone);
       return owner === undefined ? otherwise(term, machine, zone) : owner;
--- a/test/core-state.test.ts
+++ b/test/core-state.test.ts
@@ -17,7 +17,7 @@
     else now += wait;
   }
   assert.ok(taken >= 100 && taken <= 111, `${taken}`);
-  budget.takeFirst(instant(now), 10);
+  budget.takeUrgent(instant(now), 10);
   assert.ok(Duration.toMillis(budget.take(instant(now))) > 900);
   budget.refused(instant(now), Duration.seconds(5));
   assert.ok(Duration.toMillis(budget.take(instant(now))) >= 5000);
@@ -55,13 +55,13 @@
 
 test("progress is told as changes, and whole to whoever missed too much", () => {
   const log = new ProgressLog();
-  assert.equal(log.since(-1), null);
-  for (const job of ["a", "b", "a"]) log.changed(job);
+  assert.equal(log.changedSince(-1), null);
+  for (const job of ["a", "b", "a"]) log.recordChange(job);
   const seen = log.version;
-  assert.deepEqual(log.since(seen), new Set());
-  log.changed("c");
-  assert.deepEqual(log.since(seen), new Set(["c"]));
-  for (let i = 0; i < 10_000; i++) log.changed(`j${i % 7}`);
-  assert.equal(log.since(seen), null);
-  assert.equal(log.since(log.version - 3)?.size, 3);
+  assert.deepEqual(log.changedSince(seen), new Set());
+  log.recordChange("c");
+  assert.deepEqual(log.changedSince(seen), new Set(["c"]));
+  for (let i = 0; i < 10_000; i++) log.recordChange(`j${i % 7}`);
+  assert.equal(log.changedSince(seen), null);
+  assert.equal(log.changedSince(log.version - 3)?.size, 3);
 });
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -5,7 +5,7 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
-import { groups, pack, valueBytes } from "../src/core/packing.js";
+import { groupByWeight, splitRecord, maxValueBytes } from "../src/core/packing.js";
 import type { MachineRecord, TaskStatus, TermRecord, Heartbeat } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler/scheduler.js";
 import { leaseTimingsOf, fencingTokenOf } from "../src/core/leases/term.js";
@@ -175,7 +175,7 @@
 
   test(`the records of ${machines} machines fit the smallest values, and those of machines gone are deleted`, () => {
     const entries = Array.from({ length: machines }, (_, n) => [nameOf(n), recordOf(n)] as const);
-    const blocks = pack(entries, valueBytes(LEAST_VALUE_KB), 40);
+    const blocks = splitRecord(entries, maxValueBytes(LEAST_VALUE_KB), 40);
     const largest = Math.max(...blocks.map((block) => JSON.stringify({ machines: block }).length));
     assert.ok(largest <= LEAST_VALUE_KB * 1024, `${largest} bytes`);
     assert.equal(blocks.flatMap((block) => Object.keys(block)).length, machines);
@@ -229,10 +229,13 @@
 
 test("commands for many machines go in messages of bounded size", () => {
   const items = Array.from({ length: 6000 }, (_, n) => ({ n, orders: TASKS_PER_MACHINE }));
-  const parts = groups(items, ({ orders: commands }) => 2 + commands, 10_000);
+  const parts = groupByWeight(items, ({ orders: commands }) => 2 + commands, 10_000);
   assert.deepEqual(parts.flat(), items);
   assert.ok(
     parts.every((part) => part.reduce((sum, { orders: commands }) => sum + 2 + commands, 0) <= 10_000),
   );
-  assert.deepEqual(groups([{ n: 0, orders: 20_000 }], ({ orders: commands }) => commands, 10_000).length, 1);
+  assert.deepEqual(
+    groupByWeight([{ n: 0, orders: 20_000 }], ({ orders: commands }) => commands, 10_000).length,
+    1,
+  );
 });
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -9,7 +9,12 @@
 
 test("a gang starts whole, with one attempt, and after a loss is taken down whole before the next", () => {
   const fixture = new ClusterFixture(EAST);
-  const gang = spec({ kind: "gang", tasks: 4, save: Duration.seconds(5), checkpoint: Duration.seconds(10) });
+  const gang = spec({
+    kind: "gang",
+    tasks: 4,
+    saveDuration: Duration.seconds(5),
+    checkpointInterval: Duration.seconds(10),
+  });
   fixture.scheduler.jobReleased(gang, 20, instant(0));
   fixture.step();
   const first = new Set(fixture.live().map((task) => task.attempt));
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -5,9 +5,9 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { Backoff } from "../src/core/rates/backoff.js";
-import { jsonBytes, pack, TXN_BYTES, valueBytes } from "../src/core/packing.js";
+import { jsonBytes, splitRecord, MAX_TXN_BYTES, maxValueBytes } from "../src/core/packing.js";
 import { WorkerPartition } from "../src/core/members/worker-partition.js";
-import { windows } from "../src/core/ranges.js";
+import { splitIntoWindows } from "../src/core/ranges.js";
 import type {
   CommitRecord,
   LeaderRecord,
@@ -104,7 +104,7 @@
   const everySecond = Array.from({ length: 50_000 }, (_, i) => [2 * i, 2 * i + 1] as const);
   for (const limits of LIMITS) {
     const bytes = rangesBytes(limits.valueKb, limits.txnOps);
-    const all = [...windows(everySecond, bytes).values()].map((ranges) => ({ ranges }));
+    const all = [...splitIntoWindows(everySecond, bytes).values()].map((ranges) => ({ ranges }));
     const largest = all.sort((a, b) => jsonBytes(b) - jsonBytes(a)).slice(0, limits.txnOps);
     assertFits(
       limits,
@@ -117,7 +117,7 @@
 test("machines are packed by what they measure", () => {
   const many = Array.from({ length: 300 }, (_, i) => machine(i));
   for (const limits of LIMITS) {
-    const pieces = pack(many, valueBytes(limits.valueKb), 40);
+    const pieces = splitRecord(many, maxValueBytes(limits.valueKb), 40);
     assert.deepEqual(Object.assign({}, ...pieces), Object.fromEntries(many));
     for (const machines of pieces) {
       assert.ok(Object.keys(machines).length <= 40);
@@ -126,12 +126,12 @@
     // no piece is begun before the one before it is nearly full
     assert.ok(
       pieces.length <=
-        2 + Math.max(300 / 40, (jsonBytes(Object.fromEntries(many)) * 1.2) / valueBytes(limits.valueKb)),
+        2 + Math.max(300 / 40, (jsonBytes(Object.fromEntries(many)) * 1.2) / maxValueBytes(limits.valueKb)),
     );
   }
-  assert.deepEqual(pack([], 100), []);
+  assert.deepEqual(splitRecord([], 100), []);
   // one that is too large by itself hides no other
-  assert.equal(pack([machine(1), machine(2)], 10).length, 2);
+  assert.equal(splitRecord([machine(1), machine(2)], 10).length, 2);
 });
 
 const newsOf = (count: number): { part: WorkerPartition; report: (n: number, seq: number) => Heartbeat } => {
@@ -212,13 +212,13 @@
     );
   done("req-1", 2);
   done("req-2", 3);
-  const next = (at: number) => part.finishes.toStore("a.1", 1, instant(at), () => true);
+  const next = (at: number) => part.finishes.beginWrites("a.1", 1, instant(at), () => true);
   const [first] = next(5000);
   assert.equal(first!.job, "req-1");
-  part.finishes.storeAnswered(first!, "refused", instant(5000));
+  part.finishes.writeAnswered(first!, "refused", instant(5000));
   const [second] = next(5001);
   assert.equal(second!.job, "req-2");
-  part.finishes.storeAnswered(second!, "stored", instant(5001));
+  part.finishes.writeAnswered(second!, "stored", instant(5001));
   assert.deepEqual(next(20_000), []);
   assert.equal(next(40_000)[0]!.job, "req-1");
 });
@@ -231,10 +231,10 @@
       { ...heartbeat(0, ++seq), tasks: [{ job, index, attempt: 1, state: "exited", exitReason: "done" }] },
       instant(0),
     );
-  const next = (at: number) => part.finishes.toStore("a.1", 20, instant(at), () => true);
+  const next = (at: number) => part.finishes.beginWrites("a.1", 20, instant(at), () => true);
   done("req-1", 0);
   const [first] = next(5000);
-  part.finishes.storeAnswered(first!, "refused", instant(5000));
+  part.finishes.writeAnswered(first!, "refused", instant(5000));
   for (const job of ["req-2", "req-3"]) done(job, 0);
   // long after its pause
   const others = next(60_000);
@@ -242,10 +242,10 @@
     others.map((write) => write.job),
     ["req-2", "req-3"],
   );
-  for (const write of others) part.finishes.storeAnswered(write, "stored", instant(60_000));
+  for (const write of others) part.finishes.writeAnswered(write, "stored", instant(60_000));
   const [again, ...more] = next(60_001);
   assert.deepEqual([again!.job, more], ["req-1", []]);
-  part.finishes.storeAnswered(again!, "stored", instant(60_001));
+  part.finishes.writeAnswered(again!, "stored", instant(60_001));
   done("req-1", 5);
   done("req-4", 0);
   assert.deepEqual(
@@ -302,7 +302,7 @@
     ][seed % 3]!;
     let names = 0;
     const newKey = (): string => `machines/1-${++names}`;
-    const room: Room = { valueBytes: valueBytes(limits.valueKb), txnBytes: TXN_BYTES, newKey };
+    const room: Room = { valueBytes: maxValueBytes(limits.valueKb), txnBytes: MAX_TXN_BYTES, newKey };
     /** The failed conditions; none: it was carried out. */
     const apply = (t: Txn): string[] => {
       const failed = t.absent.filter((key) => store.has(key));
@@ -331,7 +331,7 @@
         live.delete(id);
         blocks.remove(id);
       } else if (what < 5) {
-        const [machines] = pack(
+        const [machines] = splitRecord(
           Array.from({ length: 1 + upTo(12) }, () => machine(++made)),
           room.valueBytes,
         );
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -182,9 +182,9 @@
   const open = (job: string): boolean => world.jobs.has(job);
   const at = instant(world.now);
   const writer = `${node.name}.${node.incarnation}`;
-  for (const write of node.part.finishes.toStore(writer, 8, at, open)) {
+  for (const write of node.part.finishes.beginWrites(writer, 8, at, open)) {
     if (world.commits.has(write.job)) {
-      node.part.finishes.storeAnswered(write, "over", at);
+      node.part.finishes.writeAnswered(write, "over", at);
       continue;
     }
     const wrote = transact(
@@ -196,7 +196,7 @@
         world.stored.set(write.job, rows);
         for (const put of write.puts) {
           const set = RangeSet.of(put.ranges);
-          const key = world.without === "key" ? keys.rangesOf(write.job, writer, put.chunk) : put.key;
+          const key = world.without === "key" ? keys.rangesOf(write.job, writer, put.window) : put.key;
           const lost = (rows.get(key)?.ranges() ?? []).some(([from, to]) => {
             for (let n = from; n < to; n++) if (!set.has(n)) return true;
             return false;
@@ -207,6 +207,6 @@
         }
       },
     );
-    node.part.finishes.storeAnswered(write, world.random() < 0.1 || wrote !== true ? "failed" : "stored", at);
+    node.part.finishes.writeAnswered(write, world.random() < 0.1 || wrote !== true ? "failed" : "stored", at);
   }
 }
--- a/test/model/nodes.ts
+++ b/test/model/nodes.ts
@@ -51,7 +51,7 @@
 /** A new process of a member, which knows nothing. */
 export function newNode(world: WorldState, name: string, zone: string): Omit<Node, "version"> {
   const part = new WorkerPartition(name, 400, Duration.millis(300));
-  if (world.shards !== null) part.ownerName = world.shards.lookup(name);
+  if (world.shards !== null) part.lookUpOwner = world.shards.lookup(name);
   return {
     name,
     zone,
--- a/test/model/settings.ts
+++ b/test/model/settings.ts
@@ -67,7 +67,7 @@
     fetchGbPerS: 1,
     price: cpus / 16,
     spotPrice: cpus / 48,
-    boot: Duration.seconds(3),
+    bootTime: Duration.seconds(3),
     zones: ["east", "west"],
   }),
 );
--- a/test/model/shards.ts
+++ b/test/model/shards.ts
@@ -8,7 +8,7 @@
 import type { TermRecord } from "../../src/core/records.js";
 import type { Scheduler } from "../../src/core/scheduler/scheduler.js";
 import type { MachineOwnership } from "../../src/core/scheduler/scheduler-context.js";
-import type { OwnerLookup } from "../../src/core/members/worker-partition.js";
+import type { OwnerNameLookup } from "../../src/core/members/worker-partition.js";
 
 const MOVE_EVERY_MS = 700;
 const DRAIN_MS = 3000;
@@ -38,7 +38,7 @@
   ) {}
 
   /** Whom a controller takes for the owner of a machine. */
-  lookup(node: string): OwnerLookup {
+  lookup(node: string): OwnerNameLookup {
     return (term, machine, zone) => {
       const shard = shardOf(machine, zone);
       const owner = this.read(node).get(shard);
--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -171,7 +171,7 @@
   const options = { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(45) };
   const fleet = new Autoscaler(options);
   const job = addJob(newCluster(), spec({ priority: "low", tasks: 3 }), 20, instant(0), instant(100_000));
-  fleet.arrived(job);
+  fleet.recordArrival(job);
   const at = instant(110_000);
   assert.equal(fleet.expectedCpus(at), 0);
   job.rank = RANK.high;
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -4,7 +4,7 @@
 import * as Duration from "effect/Duration";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { DependencyGraph, timeFor } from "../src/core/jobs/dependency-graph.js";
+import { DependencyGraph, estimatedJobDuration } from "../src/core/jobs/dependency-graph.js";
 import { type JobSpec, type Priority, RANK } from "../src/core/records.js";
 import { type Instant, instant } from "../src/core/time.js";
 import { jobSpec } from "./specs.js";
@@ -26,7 +26,7 @@
   const walk = (at: string, takes: number): void => {
     for (const [child, row] of jobs) {
       if (!row.spec.dependsOn.includes(at)) continue;
-      const sum = takes + Duration.toMillis(timeFor(row.spec));
+      const sum = takes + Duration.toMillis(estimatedJobDuration(row.spec));
       longest.set(child, Math.max(longest.get(child) ?? 0, sum));
       walk(child, sum);
     }
@@ -42,9 +42,12 @@
   return { rank, inner };
 };
 
-const valuesOf = (p: DependencyGraph, id: string): Values => ({ rank: p.rank(id)!, inner: p.inner(id) });
+const valuesOf = (p: DependencyGraph, id: string): Values => ({
+  rank: p.rank(id)!,
+  inner: p.inheritedDeadline(id),
+});
 const seconds = (s: number): Instant => instant(s * 1000);
-const TAKES = Duration.toSeconds(timeFor(spec("x", [])));
+const TAKES = Duration.toSeconds(estimatedJobDuration(spec("x", [])));
 
 test("in random graphs, what flows back is right after each job that comes, goes or comes again, in any order", () => {
   let raised = 0;
@@ -91,7 +94,7 @@
         const own = row.spec.deadline;
         const dues = [right.inner, own === null ? null : row.accepted + Duration.toMillis(own)];
         const known = dues.filter((d) => d !== null);
-        assert.equal(p.due(id), known.length === 0 ? null : Math.min(...known));
+        assert.equal(p.effectiveDeadline(id), known.length === 0 ? null : Math.min(...known));
         events++;
         if (right.rank > RANK[row.spec.priority]) raised++;
         if (right.inner !== null) hurried++;
@@ -108,16 +111,16 @@
   p.add(spec("b", ["a"], { priority: "low" }), seconds(1));
   p.add(spec("c", ["b"]), seconds(2));
   assert.deepEqual([p.rank("a"), p.rank("b"), p.rank("c")], [RANK.normal, RANK.normal, RANK.normal]);
-  assert.equal(p.due("a"), null);
+  assert.equal(p.effectiveDeadline("a"), null);
   p.takeChanged();
 
   p.add(spec("d", ["c"], { priority: "high", deadline: Duration.seconds(600) }), seconds(100));
   assert.deepEqual(p.takeChanged().sort(), ["a", "b", "c", "d"]);
   assert.deepEqual([p.rank("a"), p.rank("b"), p.rank("c")], [RANK.high, RANK.high, RANK.high]);
-  assert.equal(p.due("d"), seconds(700));
-  assert.equal(p.inner("d"), null);
-  assert.equal(p.due("c"), seconds(700 - TAKES));
-  assert.equal(p.due("a"), seconds(700 - 3 * TAKES));
+  assert.equal(p.effectiveDeadline("d"), seconds(700));
+  assert.equal(p.inheritedDeadline("d"), null);
+  assert.equal(p.effectiveDeadline("c"), seconds(700 - TAKES));
+  assert.equal(p.effectiveDeadline("a"), seconds(700 - 3 * TAKES));
   // released: nothing is lost, nothing changes
   p.add(spec("c", ["b"]), seconds(2));
   assert.deepEqual(p.takeChanged(), []);
@@ -128,7 +131,7 @@
 
   p.remove("d");
   assert.deepEqual(p.takeChanged().sort(), ["b", "c"]);
-  assert.deepEqual([p.rank("b"), p.rank("c"), p.due("b")], [RANK.normal, RANK.normal, null]);
+  assert.deepEqual([p.rank("b"), p.rank("c"), p.effectiveDeadline("b")], [RANK.normal, RANK.normal, null]);
 });
 
 test("in a diamond the longer way counts; children may be known before their parents", () => {
@@ -139,15 +142,15 @@
     spec("right", ["start"]),
     spec("start", [], { priority: "low" }),
   ];
-  const longTakes = Duration.toSeconds(timeFor(jobs[1]!));
+  const longTakes = Duration.toSeconds(estimatedJobDuration(jobs[1]!));
   assert.ok(longTakes > TAKES);
   for (const command of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
     const p = new DependencyGraph();
     for (const job of command) p.add(job, seconds(0));
     assert.equal(p.rank("start"), RANK.high);
-    assert.equal(p.due("start"), seconds(900 - TAKES - longTakes));
+    assert.equal(p.effectiveDeadline("start"), seconds(900 - TAKES - longTakes));
     p.remove("left");
-    assert.equal(p.due("start"), seconds(900 - 2 * TAKES));
+    assert.equal(p.effectiveDeadline("start"), seconds(900 - 2 * TAKES));
   }
 });
 
@@ -167,13 +170,13 @@
     const visits = work(() => p.add(spec(`leaf-${n}`, ["hub"], due), seconds(n)));
     assert.ok(visits <= 4, `${visits} visits for child ${n}`);
   }
-  assert.equal(p.due("hub"), seconds(600 - TAKES));
+  assert.equal(p.effectiveDeadline("hub"), seconds(600 - TAKES));
   // the last one in decides nothing; the first decides all
   assert.ok(work(() => p.remove("leaf-499")) <= 510);
   assert.ok(work(() => p.remove("leaf-0")) <= 510);
-  assert.equal(p.due("hub"), seconds(601 - TAKES));
+  assert.equal(p.effectiveDeadline("hub"), seconds(601 - TAKES));
   for (let n = 1; n < 499; n++) p.remove(`leaf-${n}`);
-  assert.deepEqual([p.rank("first"), p.due("first")], [RANK.low, null]);
+  assert.deepEqual([p.rank("first"), p.effectiveDeadline("first")], [RANK.low, null]);
 
   // without deadlines one child of the same rank is enough to know that nothing changes
   for (let n = 0; n < 500; n++) p.add(spec(`plain-${n}`, ["hub"]), seconds(n));
@@ -201,7 +204,7 @@
   let before = p.visits;
   p.add(end, seconds(0));
   assert.ok(p.visits - before <= 2 * layers * wide * wide, `${p.visits - before} visits`);
-  assert.equal(p.due("l0-0"), seconds(3000 - layers * TAKES));
+  assert.equal(p.effectiveDeadline("l0-0"), seconds(3000 - layers * TAKES));
   before = p.visits;
   p.remove("end");
   assert.ok(p.visits - before <= 4 * layers * wide * wide, `${p.visits - before} visits`);
@@ -212,7 +215,7 @@
   const due = { priority: "high", deadline: Duration.seconds(600) } as const;
   const p = new DependencyGraph();
   p.add(spec("self", ["self"], due), seconds(0));
-  assert.deepEqual([p.rank("self"), p.inner("self")], [RANK.high, null]);
+  assert.deepEqual([p.rank("self"), p.inheritedDeadline("self")], [RANK.high, null]);
   p.add(spec("a", ["c"]), seconds(0));
   p.add(spec("b", ["a"], due), seconds(0));
   p.add(spec("c", ["b", "before"]), seconds(0));
@@ -221,6 +224,6 @@
   assert.equal(p.rank("before"), RANK.high);
   p.remove("after");
   for (const id of ["a", "b", "c"]) p.remove(id);
-  assert.deepEqual([p.rank("before"), p.due("before")], [RANK.low, null]);
+  assert.deepEqual([p.rank("before"), p.effectiveDeadline("before")], [RANK.low, null]);
   assert.equal(p.size, 2);
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -19,7 +19,7 @@
   for (let i = 0; i < 5; i++) one.step();
   assert.equal(new Set(zones(one, "req-000001")).size, 1);
   const two = new ClusterFixture(both);
-  two.scheduler.jobReleased(spec({ spread: true, tasks: 5, cpus: 1 }), 20, instant(0));
+  two.scheduler.jobReleased(spec({ spreadOverZones: true, tasks: 5, cpus: 1 }), 20, instant(0));
   for (let i = 0; i < 5; i++) two.step();
   const started = zones(two, "req-000001");
   assert.equal(started.length, 5);
@@ -150,7 +150,7 @@
 test("a machine that will be taken saves what can be saved and moves its replica", () => {
   const fixture = new ClusterFixture(EAST);
   fixture.scheduler.jobReleased(
-    spec({ checkpoint: Duration.seconds(10), save: Duration.seconds(3) }),
+    spec({ checkpointInterval: Duration.seconds(10), saveDuration: Duration.seconds(3) }),
     20,
     instant(0),
   );
--- a/test/ranges.test.ts
+++ b/test/ranges.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { RangeSet, windows } from "../src/core/ranges.js";
+import { RangeSet, splitIntoWindows } from "../src/core/ranges.js";
 
 test("a range set agrees with a plain set, whatever is added and taken out", () => {
   const random = xoroshiro128plus(7);
@@ -21,7 +21,7 @@
         for (let n = from; n < to; n++) plain.add(n);
       }
       assert.deepEqual(
-        ranges.take(1000),
+        ranges.smallest(1000),
         [...plain].sort((a, b) => a - b),
       );
       assert.equal(ranges.size, plain.size);
@@ -32,7 +32,7 @@
 
 test("the windows of a ranges record fit its limit and lose nothing, even for every second of 100,000 tasks", () => {
   const set = RangeSet.of(Array.from({ length: 50_000 }, (_, i) => [2 * i, 2 * i + 1] as const));
-  const parts = windows(set.ranges(), 3000);
+  const parts = splitIntoWindows(set.ranges(), 3000);
   for (const ranges of parts.values()) assert.ok(JSON.stringify({ ranges }).length <= 3000);
   assert.deepEqual(RangeSet.of([...parts.values()].flat()).ranges(), set.ranges());
 });
--- a/test/rates.test.ts
+++ b/test/rates.test.ts
@@ -20,7 +20,7 @@
     tokens = Math.min(limit, tokens + limit * 0.005);
     for (const n of nodes) {
       if (at < n.next) continue;
-      const rate = n.rates.at(instant(at)).writeRps;
+      const rate = n.rates.ratesAt(instant(at)).writeRps;
       if (rate !== n.rate) n.budget.setRate(instant(at), rate / 3);
       n.rate = rate;
       const wait = Duration.toMillis(n.budget.take(instant(at)));
@@ -66,10 +66,10 @@
     for (const one of due) {
       if (one.at > at) continue;
       if (!one.sent) {
-        const inForce = rates.at(instant(at)).writeRps;
+        const inForce = rates.ratesAt(instant(at)).writeRps;
         if (inForce !== rate) budget.setRate(instant(at), inForce);
         rate = inForce;
-        const turn = budget.turn(instant(at), 1);
+        const turn = budget.urgentDelay(instant(at), 1);
         one.at = at + (turn === null ? 250 : Duration.toMillis(turn));
         one.sent = turn !== null;
         if (one.at > at || !one.sent) continue;
@@ -103,13 +103,13 @@
 test("the lower rates stay for a minute, and for longer when a refusal follows soon", () => {
   const low = { rps: 80, writeRps: 18 };
   const rates = new RateLimitSelector({ rps: 100, writeRps: 25 }, low);
-  const lowAt = (s: number): boolean => rates.at(instant(s * 1000)).writeRps === 18;
+  const lowAt = (s: number): boolean => rates.ratesAt(instant(s * 1000)).writeRps === 18;
   const refused = (s: number): void => rates.refused(instant(s * 1000));
   assert.equal(lowAt(0), false);
   refused(0);
   refused(30);
   assert.deepEqual([lowAt(0), lowAt(59), lowAt(60)], [true, true, false]);
-  assert.deepEqual(rates.at(instant(0)), low);
+  assert.deepEqual(rates.ratesAt(instant(0)), low);
   refused(61);
   assert.deepEqual([lowAt(180), lowAt(181)], [true, false]);
   let at = 181;
@@ -129,6 +129,6 @@
     new RateLimitSelector(today, { rps: 200, writeRps: 25 }),
   ]) {
     rates.refused(instant(0));
-    assert.deepEqual(rates.at(instant(1)), today);
+    assert.deepEqual(rates.ratesAt(instant(1)), today);
   }
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -120,7 +120,7 @@
         type.memoryGb,
         type.price,
         type.spotPrice,
-        Duration.toMillis(type.boot),
+        Duration.toMillis(type.bootTime),
       ]),
       [["small", 4, 8, 1, 0.3, 1000]],
     );
@@ -210,7 +210,7 @@
     [2, "failed"],
     [3, "stored"],
   ] as const) {
-    const writings = part.finishes.toStore("north.7", 16, instant(seq), () => true);
+    const writings = part.finishes.beginWrites("north.7", 16, instant(seq), () => true);
     const puts = writings.flatMap((write) => write.puts);
     assert.ok(puts.length > 1);
     for (const { key, ranges } of puts) {
@@ -219,7 +219,7 @@
       assert.equal(key.split("/")[1], "req-000001");
       assert.equal(key.split("/").length, 4);
     }
-    for (const write of writings) part.finishes.storeAnswered(write, result, instant(seq));
+    for (const write of writings) part.finishes.writeAnswered(write, result, instant(seq));
   }
   const [largest] = recordsUnder<MachinesRecord>(keys.machines).sort(
     (a, b) => Object.keys(b.value.machines).length - Object.keys(a.value.machines).length,
--- a/test/worker-partition.test.ts
+++ b/test/worker-partition.test.ts
@@ -114,26 +114,30 @@
   const open = (): boolean => true;
   const told = () => part.takeUpdate(instant(9)).storedFinishes;
   assert.deepEqual(told(), []);
-  assert.deepEqual(part.finishes.toStore("b.2", 8, instant(1000), open), [], "others of its job may follow");
   assert.deepEqual(
-    part.finishes.toStore("b.2", 8, instant(5000), () => false),
+    part.finishes.beginWrites("b.2", 8, instant(1000), open),
+    [],
+    "others of its job may follow",
+  );
+  assert.deepEqual(
+    part.finishes.beginWrites("b.2", 8, instant(5000), () => false),
     [],
     "its job isn't open",
   );
-  const [writing] = part.finishes.toStore("b.2", 8, instant(5000), open);
+  const [writing] = part.finishes.beginWrites("b.2", 8, instant(5000), open);
   assert.deepEqual(
     present(writing).puts.map((p) => [p.key, p.ranges]),
     [["ranges/req-1/b.2/0", [[3, 4]]]],
   );
   assert.deepEqual(
-    part.finishes.toStore("b.2", 8, instant(5000), open),
+    part.finishes.beginWrites("b.2", 8, instant(5000), open),
     [],
     "a write under way is not repeated",
   );
-  part.finishes.storeAnswered(present(writing), "failed", instant(5000));
+  part.finishes.writeAnswered(present(writing), "failed", instant(5000));
   assert.deepEqual(told(), []);
-  part.finishes.storeAnswered(
-    present(part.finishes.toStore("b.2", 8, instant(5000), open)[0]),
+  part.finishes.writeAnswered(
+    present(part.finishes.beginWrites("b.2", 8, instant(5000), open)[0]),
     "stored",
     instant(5000),
   );
@@ -154,15 +158,15 @@
       }),
       instant(now),
     );
-  const write = (now: number) => present(part.finishes.toStore("b.2", 8, instant(now), () => true)[0]);
+  const write = (now: number) => present(part.finishes.beginWrites("b.2", 8, instant(now), () => true)[0]);
   const apply = (w: ReturnType<typeof write>): void => w.puts.forEach((p) => stored.set(p.key, p.ranges));
   finish(3, 10);
   const late = write(5000);
-  part.finishes.storeAnswered(late, "failed", instant(5100));
+  part.finishes.writeAnswered(late, "failed", instant(5100));
   finish(7, 5200);
   const next = write(10_000);
   apply(next);
-  part.finishes.storeAnswered(next, "stored", instant(10_100));
+  part.finishes.writeAnswered(next, "stored", instant(10_100));
   apply(late);
   const all = RangeSet.of([...stored.values()].flat());
   assert.ok(all.has(3) && all.has(7), JSON.stringify([...stored]));
