--- a/src/core/members/worker-partition.ts
+++ b/src/core/members/worker-partition.ts
@@ -135,7 +135,7 @@
 
   /**
    * A worker's own heartbeat. `mayAnswer`: this node may answer workers now (S1, S11); `incarnation`: this process's, as
-   * a term must name it; `isOver`: this job has its commit.
+   * a term must name it; `isEnded`: this job has its commit.
    */
   handleHeartbeat(
     heartbeat: Heartbeat,
--- a/src/service/api/health.ts
+++ b/src/service/api/health.ts
@@ -6,9 +6,9 @@
 /** Not ready while this node alone can't reach the state service: other nodes then serve users better. */
 export const answerHealth = (
   jobCache: Pick<JobCache, "ready">,
-  leader: Pick<Leader, "aloneWithoutState">,
+  leader: Pick<Leader, "isStateOutageLocal">,
 ): Answer => {
   if (!jobCache.ready) return retryLater("starting");
-  if (leader.aloneWithoutState()) return retryLater("no state service");
+  if (leader.isStateOutageLocal()) return retryLater("no state service");
   return answer(200, '{"ok":true}');
 };
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -176,7 +176,7 @@
       txnOps: settings.stateLimits.txnOps,
       valueKb: settings.stateLimits.valueKb,
       cloudRps: settings.cloudLimits.rps,
-      listEvery: Duration.seconds(Math.max(MIN_LIST_PAUSE_S, listLagS / 2)),
+      listInterval: Duration.seconds(Math.max(MIN_LIST_PAUSE_S, listLagS / 2)),
     },
     services,
   );
@@ -214,8 +214,8 @@
     leader.termChanged(term);
     member.termChanged();
   };
-  member.isOpen = (job) => jobCache.jobs.has(job);
-  member.isOver = (job) => jobCache.isOver(job);
+  member.isUnfinished = (job) => jobCache.jobs.has(job);
+  member.isEnded = (job) => jobCache.isOver(job);
   member.onDone = (job, tasks) => {
     status.remember(job, { outcome: "done", tasks });
     jobCache.remove(job);
--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -9,12 +9,12 @@
 import type { LeaderContext } from "./leader-context.js";
 
 /** How long the types may be missing in the state service before this node asks the cloud itself; how often it does. */
-const TYPES_MISSING_FOR = Duration.seconds(5);
-const ASK_FOR_TYPES_EVERY = Duration.seconds(30);
-const REFRESH_TYPES_EVERY = Duration.seconds(30);
+const MISSING_TYPES_DELAY = Duration.seconds(5);
+const MISSING_TYPES_FETCH_INTERVAL = Duration.seconds(30);
+const TYPES_REFRESH_INTERVAL = Duration.seconds(30);
 const RETRY_PAUSE = Duration.seconds(1);
 /** Machines in one answer of the cloud's list. */
-const LIST_PAGE = 500;
+const LIST_PAGE_SIZE = 500;
 /** The share of the cloud's rate that lists may take: the rest is for scaling. */
 const LIST_SHARE_OF_RATE = 0.5;
 
@@ -25,7 +25,7 @@
 /** Keeps the scheduler's list of machines and every node's machine types up to date. */
 export class CloudInventory {
   /** Whether the types have changed since they were last written. */
-  private typesUnwritten = false;
+  private hasUnwrittenTypes = false;
 
   constructor(private readonly context: LeaderContext) {}
 
@@ -33,7 +33,7 @@
     const rows = yield* this.context.services.cloud.list();
     this.context.schedulerLock?.with((scheduler) => scheduler.machinesListed(rows, now()));
     this.context.stepRequested.notify();
-    yield* Effect.sleep(Duration.max(this.context.options.listEvery, this.listPause(rows.length)));
+    yield* Effect.sleep(Duration.max(this.context.options.listInterval, this.listPause(rows.length)));
   });
 
   /** Lists the machines, for as long as this node leads. */
@@ -44,7 +44,7 @@
 
   /** So long that lists of this many machines take no more than their share of the cloud's rate. */
   private listPause(machines: number): Duration.Duration {
-    const requests = Math.ceil(machines / LIST_PAGE);
+    const requests = Math.ceil(machines / LIST_PAGE_SIZE);
     return Duration.seconds(requests / (this.context.options.cloudRps * LIST_SHARE_OF_RATE));
   }
 
@@ -53,11 +53,11 @@
     const rows = yield* cloud.types();
     const before = jobCache.types;
     jobCache.setTypes(rows);
-    this.typesUnwritten ||= !sameTypes(before, jobCache.types);
+    this.hasUnwrittenTypes ||= !sameTypes(before, jobCache.types);
     const { leadership } = membership;
-    if (leadership !== null && this.typesUnwritten) yield* this.writeTypes(rows, leadership);
+    if (leadership !== null && this.hasUnwrittenTypes) yield* this.writeTypes(rows, leadership);
     this.context.stepRequested.notify();
-    yield* Effect.sleep(REFRESH_TYPES_EVERY);
+    yield* Effect.sleep(TYPES_REFRESH_INTERVAL);
   });
 
   /** Asks for the machine types and stores them for the other nodes, for as long as this node leads. */
@@ -78,22 +78,22 @@
         [{ put: keys.types, value: rows }],
       );
       if (result.ok === null) rejections.refused("types", result.error);
-      else this.typesUnwritten = false;
+      else this.hasUnwrittenTypes = false;
     }).pipe(Effect.ignore);
   }
 
-  private readonly learnTypesOnce = Effect.gen(this, function* () {
+  private readonly fetchMissingTypesOnce = Effect.gen(this, function* () {
     const { cloud, jobCache, membership } = this.context.services;
-    yield* Effect.sleep(TYPES_MISSING_FOR);
+    yield* Effect.sleep(MISSING_TYPES_DELAY);
     if (jobCache.types.length > 0 || membership.leadership !== null) return;
     const rows = yield* cloud.types();
     jobCache.setTypes(rows);
-    yield* Effect.sleep(ASK_FOR_TYPES_EVERY);
+    yield* Effect.sleep(MISSING_TYPES_FETCH_INTERVAL);
   });
 
   /** Types that aren't in the state service, being too many for one value: a node that doesn't lead asks as well. */
-  readonly learnTypes: Effect.Effect<never> = this.learnTypesOnce.pipe(
-    Effect.catchAll(() => Effect.sleep(ASK_FOR_TYPES_EVERY)),
+  readonly fetchMissingTypes: Effect.Effect<never> = this.fetchMissingTypesOnce.pipe(
+    Effect.catchAll(() => Effect.sleep(MISSING_TYPES_FETCH_INTERVAL)),
     Effect.forever,
   );
 }
--- a/src/service/leader/command-dispatcher.ts
+++ b/src/service/leader/command-dispatcher.ts
@@ -14,7 +14,7 @@
 import type { LeaderContext } from "./leader-context.js";
 
 /** Commands of which nothing was heard for this long count as unknown: they may be carried out yet. */
-const ANSWER_TIMEOUT = Duration.seconds(6);
+const OUTCOME_TIMEOUT = Duration.seconds(6);
 const BATCHES_PER_TERM = 1_000_000_000;
 /** Commands in one message to a member: far below what a message may hold (4 MiB). */
 const MAX_COMMANDS_PER_MESSAGE = 10_000;
@@ -27,7 +27,7 @@
 /** Whether a member took a message: `unknown` if it was sent and the answer was lost. */
 type DeliveryOutcome = "accepted" | "not accepted" | "unknown";
 
-interface UnansweredBatch {
+interface PendingBatch {
   readonly machine: string;
   readonly commands: readonly Command[];
   readonly fencingToken: number;
@@ -37,13 +37,13 @@
 /** Sends the scheduler's commands and tells it what became of each. */
 export class CommandDispatcher {
   /** The oldest first. */
-  private readonly unanswered = new Map<number, UnansweredBatch>();
+  private readonly pendingBatches = new Map<number, PendingBatch>();
 
   constructor(private readonly context: LeaderContext) {}
 
   /** This node leads no longer: outcomes concern the next leader. */
   clear(): void {
-    this.unanswered.clear();
+    this.pendingBatches.clear();
   }
 
   /** The member that sends commands to a machine; null: this node itself. */
@@ -59,7 +59,7 @@
     const { machine, zone, addr, workerEpoch, fencingToken, commands } = decision;
     // not used again, also not by a later leader
     const id = (this.context.termNumber ?? 0) * BATCHES_PER_TERM + this.context.nextSequence();
-    this.unanswered.set(id, { machine, commands, fencingToken, sentAt: now() });
+    this.pendingBatches.set(id, { machine, commands, fencingToken, sentAt: now() });
     if (commands.length > 0) {
       shards?.commandsSent(machine, zone);
       this.logCommands(decision);
@@ -88,23 +88,23 @@
       const { member, membership } = this.context.services;
       const { term } = membership;
       if (term === null || this.context.schedulerLock === null) return;
-      const outcome = via === null ? "not accepted" : yield* this.deliverBy(via, term, batches);
+      const outcome = via === null ? "not accepted" : yield* this.deliverThrough(via, term, batches);
       if (outcome === "accepted") return;
       // the member can't be reached, or may not send: this node sends by itself. Commands that may have been sent aren't
       // sent twice; a batch without commands only asks for a heartbeat, which may be asked for twice
-      const own =
+      const ownBatches =
         outcome === "not accepted" ? batches : batches.filter((batch) => batch.commands.length === 0);
-      const receipt = yield* member.deliver({ term, batches: own });
+      const receipt = yield* member.deliver({ term, batches: ownBatches });
       this.context.schedulerLock?.with((scheduler) => {
         for (const batch of batches)
-          if (!own.includes(batch)) this.answered(scheduler, batch.id, "unknown");
-          else if (!receipt.accepted) this.answered(scheduler, batch.id, "barred");
+          if (!ownBatches.includes(batch)) this.recordOutcome(scheduler, batch.id, "unknown");
+          else if (!receipt.accepted) this.recordOutcome(scheduler, batch.id, "barred");
       });
       this.context.stepRequested.notify();
     });
   }
 
-  private deliverBy(
+  private deliverThrough(
     via: string,
     term: TermRecord,
     batches: readonly CommandBatch[],
@@ -116,10 +116,10 @@
   }
 
   /** The outcome of a batch, and the heartbeat that the worker answered with. Only the first one counts. */
-  answered(scheduler: Scheduler, id: number, outcome: CommandOutcome, answeredBy?: HeartbeatId): void {
-    const batch = this.unanswered.get(id);
+  recordOutcome(scheduler: Scheduler, id: number, outcome: CommandOutcome, answeredBy?: HeartbeatId): void {
+    const batch = this.pendingBatches.get(id);
     if (batch === undefined) return;
-    this.unanswered.delete(id);
+    this.pendingBatches.delete(id);
     const { machine, commands, fencingToken } = batch;
     scheduler.commandsAnswered(machine, commands, fencingToken, outcome, now(), answeredBy);
     if (outcome !== "done" && outcome !== "barred")
@@ -127,10 +127,10 @@
   }
 
   /** Batches that waited too long for an answer may be carried out yet. */
-  expireUnanswered(scheduler: Scheduler): void {
-    for (const [id, batch] of this.unanswered) {
-      if (!hasElapsed(now(), batch.sentAt, ANSWER_TIMEOUT)) return;
-      this.answered(scheduler, id, "unknown");
+  expirePending(scheduler: Scheduler): void {
+    for (const [id, batch] of this.pendingBatches) {
+      if (!hasElapsed(now(), batch.sentAt, OUTCOME_TIMEOUT)) return;
+      this.recordOutcome(scheduler, id, "unknown");
     }
   }
 }
--- a/src/service/leader/failover-recovery.ts
+++ b/src/service/leader/failover-recovery.ts
@@ -75,7 +75,7 @@
   restore(loaded: LoadedState): Scheduler {
     const { term, leadership, startedAt } = loaded;
     const scheduler = new Scheduler(this.context.options, term, leadership.revision, startedAt, this.zones);
-    this.progress.follow(scheduler);
+    this.progress.track(scheduler);
     this.restoreMachines(scheduler, loaded);
     scheduler.setMachineTypes(this.context.services.jobCache.types);
     this.restoreJobs(scheduler, loaded);
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -16,10 +16,10 @@
 import type { MachineRecorder } from "./machine-recorder.js";
 import { jobOfRanges } from "./stored-records.js";
 
-const SWEEP_EVERY = Duration.seconds(1);
-const SCAN_EVERY = Duration.seconds(30);
+const SWEEP_INTERVAL = Duration.seconds(1);
+const SCAN_INTERVAL = Duration.seconds(30);
 /** Records of machines changed in one sweep: they mustn't use up the rate of changes. */
-const MAX_REWRITES = 6;
+const MAX_REWRITES_PER_SWEEP = 6;
 
 /** What one transaction of a sweep does. */
 interface Sweep {
@@ -33,26 +33,26 @@
 export class GarbageCollector {
   private scannedAt: Instant = now();
   /** Changes in one sweep: fewer once one was refused. */
-  private sweepOps: number;
+  private maxSweepOps: number;
   private sweeps = 0;
 
   constructor(
     private readonly context: LeaderContext,
     private readonly recorder: MachineRecorder,
   ) {
-    this.sweepOps = context.options.txnOps;
+    this.maxSweepOps = context.options.txnOps;
   }
 
   private readonly sweepOnce = Effect.gen(this, function* () {
-    yield* Effect.sleep(SWEEP_EVERY);
+    yield* Effect.sleep(SWEEP_INTERVAL);
     const { leadership } = this.context.services.membership;
     if (leadership === null || this.context.schedulerLock === null) return;
-    if (hasElapsed(now(), this.scannedAt, SCAN_EVERY)) yield* this.scan();
+    if (hasElapsed(now(), this.scannedAt, SCAN_INTERVAL)) yield* this.scan();
     const sweep = this.nextSweep();
     if (sweep.deletes.length + sweep.rewrites.length === 0) return;
     const result = yield* this.write(sweep, leadership);
-    if (result.ok === null) yield* this.refused(sweep, result.error);
-    else this.answered(sweep, result);
+    if (result.ok === null) yield* this.handleRejection(sweep, result.error);
+    else this.handleResult(sweep, result);
   });
 
   /** For as long as this node leads. */
@@ -77,16 +77,16 @@
   /** A split may need a whole transaction, and so may stale keys: each goes first in its turn. */
   private nextSweep(): Sweep {
     const { staleKeys } = this.context;
-    const room = {
+    const limits = {
       valueBytes: this.context.valueBytes,
       txnBytes: MAX_TXN_BYTES,
       newKey: this.recorder.newKey,
     };
-    const firstDeletes = ++this.sweeps % 2 === 0 ? Math.min(staleKeys.size, this.sweepOps) : 0;
-    const maxRewrites = Math.min(MAX_REWRITES, this.sweepOps - firstDeletes);
-    const rewrites = this.recorder.store.changed(maxRewrites, room, now());
+    const reservedDeletes = ++this.sweeps % 2 === 0 ? Math.min(staleKeys.size, this.maxSweepOps) : 0;
+    const maxRewrites = Math.min(MAX_REWRITES_PER_SWEEP, this.maxSweepOps - reservedDeletes);
+    const rewrites = this.recorder.store.pendingRewrites(maxRewrites, limits, now());
     const rewriteOps = rewrites.reduce((sum, rewrite) => sum + opsOf(rewrite), 0);
-    const deletes = [...staleKeys].slice(0, this.sweepOps - rewriteOps);
+    const deletes = [...staleKeys].slice(0, this.maxSweepOps - rewriteOps);
     return { deletes, rewrites, rewriteOps };
   }
 
@@ -112,34 +112,34 @@
   }
 
   /** Too large for the service: the next sweep does half as much. */
-  private refused({ deletes, rewrites, rewriteOps }: Sweep, error: string): Effect.Effect<void> {
+  private handleRejection({ deletes, rewrites, rewriteOps }: Sweep, error: string): Effect.Effect<void> {
     const { rejections } = this.context;
     const { store } = this.recorder;
-    store.refused(rewrites);
+    store.markRejected(rewrites);
     const [first, ...others] = rewrites;
-    this.sweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
+    this.maxSweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
     if (first !== undefined && others.length + deletes.length === 0) {
       // the same would be refused again, and as the first in line it would hold up all others
       const pause = rejections.refused("record of machines gone", error, first.key);
-      store.putOff(first.key, plus(now(), pause));
+      store.postpone(first.key, plus(now(), pause));
       return Effect.void;
     }
     return Effect.sleep(rejections.refused("sweep", error));
   }
 
-  private answered({ deletes, rewrites }: Sweep, result: Exclude<CommitResult, { ok: null }>): void {
+  private handleResult({ deletes, rewrites }: Sweep, result: Exclude<CommitResult, { ok: null }>): void {
     const { options, rejections, staleKeys } = this.context;
     const { store } = this.recorder;
     rejections.accepted("sweep");
     for (const { key } of rewrites) rejections.accepted("record of machines gone", key);
     if (result.ok) {
-      this.sweepOps = Math.min(options.txnOps, this.sweepOps + 1);
+      this.maxSweepOps = Math.min(options.txnOps, this.maxSweepOps + 1);
       for (const key of deletes) staleKeys.delete(key);
-      store.written(rewrites);
+      store.markWritten(rewrites);
       return;
     }
     // a piece that exists: an earlier copy of its split, whose answer was lost, was carried out
     const { failed } = result;
-    store.written(rewrites.filter(({ pieces }) => pieces.some((piece) => failed.includes(piece.key))));
+    store.markWritten(rewrites.filter(({ pieces }) => pieces.some((piece) => failed.includes(piece.key))));
   }
 }
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -4,7 +4,7 @@
 import { type CommitRecord, keys } from "../../core/records.js";
 import type { CommitResult, StateError } from "../../io/state-client.js";
 import type { Leadership } from "../members/membership.js";
-import { LEADER_WRITE_TIMEOUT } from "./leader-write-timeout.js";
+import { LEADER_WRITE_ADMISSION_TIMEOUT } from "./leader-write-timeout.js";
 import type { LeaderContext } from "./leader-context.js";
 import type { ProgressReporter } from "./progress-reporter.js";
 
@@ -23,7 +23,7 @@
       const { leadership } = this.context.services.membership;
       if (leadership === null) return;
       yield* this.handleResult(id, tasks, yield* this.write(id, tasks, leadership));
-    }).pipe(Effect.catchAll((error) => this.delayed(id, error)));
+    }).pipe(Effect.catchAll((error) => this.handleFailure(id, error)));
   }
 
   private write(id: string, tasks: number, leadership: Leadership): Effect.Effect<CommitResult, StateError> {
@@ -41,7 +41,7 @@
         ...(jobCache.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
       ],
       "first",
-      LEADER_WRITE_TIMEOUT,
+      LEADER_WRITE_ADMISSION_TIMEOUT,
     );
   }
 
@@ -63,7 +63,7 @@
     });
   }
 
-  private delayed(id: string, error: StateError): Effect.Effect<void> {
+  private handleFailure(id: string, error: StateError): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       this.context.services.log.info({ job: id, reason: error.why }, "commit delayed");
       yield* Effect.sleep(RETRY_PAUSE);
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -18,23 +18,23 @@
 import type { BlockedJob, Fanin, JobCache } from "../job-cache.js";
 import { RejectionBackoff } from "../rejection-backoff.js";
 import { Signal } from "../signal.js";
-import { LEADER_WRITE_TIMEOUT } from "./leader-write-timeout.js";
+import { LEADER_WRITE_ADMISSION_TIMEOUT } from "./leader-write-timeout.js";
 import { commitIn } from "./stored-records.js";
 
-const CHECK_EVERY = Duration.seconds(1);
-const CHECK_ALL_EVERY = Duration.seconds(5);
+const CHECK_INTERVAL = Duration.seconds(1);
+const FULL_CHECK_INTERVAL = Duration.seconds(5);
 const MAX_CONCURRENT_CHECKS = 4;
 
 /** Releases jobs once all that they depend on is done, and cancels those that depend on a cancelled one. */
 export class JobReleaser {
-  private readonly changed = new Set<string>();
+  private readonly pendingChecks = new Set<string>();
   /** Those with a join that the state service didn't take: checked again after a moment. */
-  private readonly delayed = new Set<string>();
+  private readonly failedChecks = new Set<string>();
   private readonly checkRequested = new Signal();
-  private allCheckedAt: Instant | null = null;
+  private lastFullCheckAt: Instant | null = null;
   private running = false;
   /** Fan-in sets that the state service refused to have written, and until when that isn't tried again. */
-  private readonly refusedUntil = new Map<string, Instant>();
+  private readonly rejectedUntil = new Map<string, Instant>();
   private readonly rejections: RejectionBackoff;
 
   constructor(
@@ -47,52 +47,52 @@
   }
 
   /** A blocked job was heard of. */
-  waitingSeen(id: string): void {
+  requestCheck(id: string): void {
     if (!this.running) return;
-    this.changed.add(id);
+    this.pendingChecks.add(id);
     this.checkRequested.notify();
   }
 
   /** A job has its commit: those that depend on it are checked. */
-  over(id: string): void {
-    for (const child of this.jobCache.waiters.childrenOf(id)) this.waitingSeen(child);
+  jobEnded(id: string): void {
+    for (const child of this.jobCache.waiters.childrenOf(id)) this.requestCheck(child);
   }
 
   /** For as long as this node leads. */
   readonly run: Effect.Effect<never> = Effect.suspend(() => {
     this.running = true;
-    this.allCheckedAt = null;
-    return Effect.forever(this.round);
+    this.lastFullCheckAt = null;
+    return Effect.forever(this.checkRound);
   }).pipe(
     Effect.ensuring(
       Effect.sync(() => {
         this.running = false;
-        this.changed.clear();
-        this.delayed.clear();
+        this.pendingChecks.clear();
+        this.failedChecks.clear();
       }),
     ),
   );
 
-  private readonly round = Effect.gen(this, function* () {
-    if (this.allCheckedAt === null || hasElapsed(now(), this.allCheckedAt, CHECK_ALL_EVERY)) {
-      this.allCheckedAt = now();
-      for (const id of this.jobCache.waiting.keys()) this.changed.add(id);
+  private readonly checkRound = Effect.gen(this, function* () {
+    if (this.lastFullCheckAt === null || hasElapsed(now(), this.lastFullCheckAt, FULL_CHECK_INTERVAL)) {
+      this.lastFullCheckAt = now();
+      for (const id of this.jobCache.waiting.keys()) this.pendingChecks.add(id);
     }
-    const batch = [...this.changed];
-    this.changed.clear();
+    const batch = [...this.pendingChecks];
+    this.pendingChecks.clear();
     yield* Effect.forEach(batch, (id) => this.check(id), {
       concurrency: MAX_CONCURRENT_CHECKS,
       discard: true,
     });
     // what a write of this round led to goes on at once
-    if (this.changed.size === 0) yield* this.checkRequested.wait(CHECK_EVERY);
-    for (const id of this.delayed) this.changed.add(id);
-    this.delayed.clear();
+    if (this.pendingChecks.size === 0) yield* this.checkRequested.wait(CHECK_INTERVAL);
+    for (const id of this.failedChecks) this.pendingChecks.add(id);
+    this.failedChecks.clear();
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.zipRight(
         Effect.sync(() => this.log.error({ cause: cause.toString() }, "releasing blocked jobs failed")),
-        Effect.sleep(CHECK_EVERY),
+        Effect.sleep(CHECK_INTERVAL),
       ),
     ),
   );
@@ -102,23 +102,23 @@
     return Effect.gen(this, function* () {
       const job = this.jobCache.waiting.get(id);
       if (job === undefined) {
-        this.refusedUntil.delete(id);
+        this.rejectedUntil.delete(id);
         return;
       }
-      const until = this.refusedUntil.get(id);
-      if (until !== undefined && now() < until) return;
-      yield* this.step(id, job);
+      const retryAt = this.rejectedUntil.get(id);
+      if (retryAt !== undefined && now() < retryAt) return;
+      yield* this.advance(id, job);
     }).pipe(
       Effect.catchAll((error) =>
         Effect.sync(() => {
-          this.delayed.add(id);
+          this.failedChecks.add(id);
           this.log.debug({ job: id, reason: error.why }, "join delayed");
         }),
       ),
     );
   }
 
-  private step(id: string, job: BlockedJob): Effect.Effect<void, StateError> {
+  private advance(id: string, job: BlockedJob): Effect.Effect<void, StateError> {
     return Effect.gen(this, function* () {
       const { dependsOn, tasks } = job.spec;
       const parents = new Map<string, ParentState>();
@@ -188,13 +188,13 @@
             : []),
         ],
         "first",
-        LEADER_WRITE_TIMEOUT,
+        LEADER_WRITE_ADMISSION_TIMEOUT,
       );
-      yield* this.joinAnswered(id, after, released, result);
+      yield* this.handleJoinResult(id, after, released, result);
     });
   }
 
-  private joinAnswered(
+  private handleJoinResult(
     id: string,
     fanin: FaninRecord,
     released: object,
@@ -203,11 +203,11 @@
     return Effect.gen(this, function* () {
       if (result.ok === null) {
         // the same add would be refused again: ever longer pauses
-        this.refusedUntil.set(id, plus(now(), this.rejections.refused("fan-in", result.error, id)));
+        this.rejectedUntil.set(id, plus(now(), this.rejections.refused("fan-in", result.error, id)));
         return;
       }
       this.rejections.accepted("fan-in", id);
-      this.refusedUntil.delete(id);
+      this.rejectedUntil.delete(id);
       if (result.ok) {
         this.jobCache.putFanin(id, fanin, result.revision);
         if (!fanin.released) return;
--- a/src/service/leader/leader-context.ts
+++ b/src/service/leader/leader-context.ts
@@ -38,7 +38,7 @@
   /** Size of one value in the state service, at most, in KiB. */
   readonly valueKb: number;
   /** Pause between two lists of the cloud's machines, at least. */
-  readonly listEvery: Duration.Duration;
+  readonly listInterval: Duration.Duration;
   /** The cloud's limit of requests a second. */
   readonly cloudRps: number;
   /** Who owns which machine where shards decide that; absent: rendezvous hashing alone. */
--- a/src/service/leader/leader-write-timeout.ts
+++ b/src/service/leader/leader-write-timeout.ts
@@ -2,4 +2,4 @@
 import * as Duration from "effect/Duration";
 
 /** After refusals the leader's own changes wait in line: an attempt that gives up soon only comes again, out of turn. */
-export const LEADER_WRITE_TIMEOUT = Duration.seconds(10);
+export const LEADER_WRITE_ADMISSION_TIMEOUT = Duration.seconds(10);
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -29,10 +29,10 @@
 
 export type { LeaderOptions, LeaderServices } from "./leader-context.js";
 
-const MEMBERS_CHECKED_EVERY = Duration.millis(500);
+const MEMBERS_CHECK_INTERVAL = Duration.millis(500);
 const RETRY_PAUSE = Duration.millis(200);
 /** Members that come and go together get one new term. */
-const TERM_GATHER = Duration.millis(200);
+const NEW_TERM_PAUSE = Duration.millis(200);
 
 /** Why a leader begins a new term. */
 type NewTermReason = "members changed" | "attempt numbers run out";
@@ -75,20 +75,20 @@
     });
     this.memberSync = new MemberSync(context, this.dispatcher, this.progress);
     this.sync = this.memberSync.sync;
-    this.run = Effect.all([this.watchMembers, this.inventory.learnTypes], {
+    this.run = Effect.all([this.watchMembers, this.inventory.fetchMissingTypes], {
       concurrency: 2,
       discard: true,
     });
-    this.listen();
+    this.registerListeners();
   }
 
   /** What the job cache and the membership tell the leader. */
-  private listen(): void {
+  private registerListeners(): void {
     const { jobCache, membership } = this.context.services;
-    jobCache.onWaiting = (job) => this.waitingSeen(job);
+    jobCache.onWaiting = (job) => this.onBlockedJob(job);
     jobCache.onWaitingOver = (id) => this.withScheduler((scheduler) => scheduler.jobUnblocked(id));
-    jobCache.onJob = (job) => this.jobSeen(job);
-    jobCache.onOver = (id) => this.jobOver(id);
+    jobCache.onJob = (job) => this.onReleasedJob(job);
+    jobCache.onOver = (id) => this.onJobEnded(id);
     jobCache.onTypes = (types) => this.withScheduler((scheduler) => scheduler.setMachineTypes(types));
     membership.onLost = () => this.stop();
   }
@@ -98,7 +98,7 @@
     this.context.schedulerLock?.with(section);
   }
 
-  private jobSeen(job: CachedJob): void {
+  private onReleasedJob(job: CachedJob): void {
     if (this.context.schedulerLock === null || job.revision <= this.loadedRevision) return;
     this.withScheduler((scheduler) =>
       scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released),
@@ -106,15 +106,15 @@
     this.context.stepRequested.notify();
   }
 
-  private waitingSeen(job: BlockedJob): void {
+  private onBlockedJob(job: BlockedJob): void {
     this.withScheduler((scheduler) => scheduler.jobBlocked(job.spec, job.accepted));
-    this.context.services.jobReleaser.waitingSeen(job.spec.id);
+    this.context.services.jobReleaser.requestCheck(job.spec.id);
   }
 
-  private jobOver(id: string): void {
+  private onJobEnded(id: string): void {
     const { jobReleaser, member } = this.context.services;
-    member.jobOver(id);
-    jobReleaser.over(id);
+    member.jobEnded(id);
+    jobReleaser.jobEnded(id);
     if (this.context.schedulerLock === null) return;
     this.withScheduler((scheduler) => scheduler.jobEnded(id));
     this.context.stepRequested.notify();
@@ -129,8 +129,8 @@
   };
 
   /** Whether this node alone can't reach the state service, while others do. */
-  aloneWithoutState(): boolean {
-    return this.memberSync.aloneWithoutState();
+  isStateOutageLocal(): boolean {
+    return this.memberSync.isStateOutageLocal();
   }
 
   /** How many tasks of a job are done and running, as the leader last told this node. */
@@ -157,7 +157,7 @@
 
   private readonly watchOnce: Effect.Effect<void, StateError> = Effect.gen(this, function* () {
     const { membership } = this.context.services;
-    yield* membership.changed.wait(MEMBERS_CHECKED_EVERY);
+    yield* membership.changed.wait(MEMBERS_CHECK_INTERVAL);
     if (membership.leadership === null && !(yield* membership.campaign)) return;
     const { schedulerLock } = this.context;
     if (schedulerLock === null) yield* this.takeOver;
@@ -172,7 +172,7 @@
       if (this.context.schedulerLock === null) return;
       log.info({ reason }, "new term");
       yield* membership.writeTerm;
-      yield* Effect.sleep(TERM_GATHER);
+      yield* Effect.sleep(NEW_TERM_PAUSE);
     });
   }
 
@@ -208,14 +208,14 @@
     const loops: readonly Effect.Effect<unknown>[] = [
       ...resolutions,
       this.stepLoop.run,
-      this.stepLoop.scale,
+      this.stepLoop.autoscale,
       this.inventory.listMachines,
       this.inventory.refreshTypes,
       this.recorder.run(leadership),
       this.collector.run,
       jobReleaser.run,
       receiveUpdates(state, log, this.sync),
-      this.stepLoop.summaries,
+      this.stepLoop.logSummaries,
     ];
     return Effect.forEach(loops, (loop) => this.context.fork(loop), { discard: true });
   }
--- a/src/service/leader/machine-record-store.ts
+++ b/src/service/leader/machine-record-store.ts
@@ -19,7 +19,7 @@
 import type { Instant } from "../../core/time.js";
 
 /** Bytes of a transaction that a rewrite or a piece needs beside its machines: key, condition and names. */
-const BYTES_BESIDE_MACHINES = 250;
+const REWRITE_OVERHEAD_BYTES = 250;
 
 type Machines = Readonly<Record<string, MachineRecord>>;
 
@@ -41,7 +41,7 @@
 }
 
 /** How much one transaction may hold, and one value in it; and names for new chunks. */
-export interface Room {
+export interface RewriteLimits {
   readonly valueBytes: number;
   readonly txnBytes: number;
   readonly newKey: () => string;
@@ -55,7 +55,7 @@
   /** A piece of such a split: not to be written until that is answered. */
   awaitsSplit: boolean;
   /** Its write was refused by itself: until then it isn't written. */
-  putOffUntil: Instant | null;
+  postponedUntil: Instant | null;
 }
 
 /** Changes of a transaction that a rewrite takes. */
@@ -64,7 +64,7 @@
 const bytesOf = ({ machines, pieces }: Rewrite): number =>
   (machines === null ? 0 : jsonBytes(machines)) +
   pieces.reduce((sum, piece) => sum + jsonBytes(piece), 0) +
-  BYTES_BESIDE_MACHINES;
+  REWRITE_OVERHEAD_BYTES;
 
 /** Records written by a rewrite: those with the fewest go first. */
 const recordsWritten = ({ machines, pieces }: Rewrite): number => (machines === null ? 0 : 1) + pieces.length;
@@ -82,7 +82,7 @@
       version: 0,
       split: null,
       awaitsSplit,
-      putOffUntil: null,
+      postponedUntil: null,
     });
     for (const id of Object.keys(machines))
       this.keysByMachine.set(id, [...(this.keysByMachine.get(id) ?? []), key]);
@@ -101,27 +101,28 @@
   }
 
   /** This record was refused by itself: it gives way to the others until then. */
-  putOff(key: string, until: Instant): void {
+  postpone(key: string, until: Instant): void {
     const chunk = this.chunks.get(key);
-    if (chunk !== undefined) chunk.putOffUntil = until;
+    if (chunk !== undefined) chunk.postponedUntil = until;
   }
 
   /** Records to be written anew in up to `maxOps` changes, empty ones first: they cost the least. */
-  changed(maxOps: number, room?: Room, at?: Instant): Rewrite[] {
+  pendingRewrites(maxOps: number, limits?: RewriteLimits, at?: Instant): Rewrite[] {
     const candidates = this.candidates(at);
     candidates.sort((rewrite, other) => recordsWritten(rewrite) - recordsWritten(other));
     const chosen: Rewrite[] = [];
-    let ops = maxOps;
-    let bytes = room?.txnBytes ?? Infinity;
+    let opsLeft = maxOps;
+    let bytesLeft = limits?.txnBytes ?? Infinity;
     for (const candidate of candidates) {
-      if (ops < 1) break;
-      const rewrite = room === undefined ? candidate : this.fitted(candidate, room, ops, bytes);
-      if (rewrite === null || opsOf(rewrite) > ops) continue;
-      const needed = room === undefined ? 0 : bytesOf(rewrite);
-      if (needed > bytes) continue;
+      if (opsLeft < 1) break;
+      const rewrite =
+        limits === undefined ? candidate : this.splitIfTooLarge(candidate, limits, opsLeft, bytesLeft);
+      if (rewrite === null || opsOf(rewrite) > opsLeft) continue;
+      const needed = limits === undefined ? 0 : bytesOf(rewrite);
+      if (needed > bytesLeft) continue;
       chosen.push(rewrite);
-      ops -= opsOf(rewrite);
-      bytes -= needed;
+      opsLeft -= opsOf(rewrite);
+      bytesLeft -= needed;
     }
     return chosen;
   }
@@ -132,7 +133,7 @@
     for (const key of this.dirty) {
       const chunk = this.chunks.get(key);
       if (chunk === undefined || chunk.awaitsSplit) continue;
-      if (chunk.putOffUntil !== null && at !== undefined && at < chunk.putOffUntil) continue;
+      if (chunk.postponedUntil !== null && at !== undefined && at < chunk.postponedUntil) continue;
       const { machines, version, split } = chunk;
       if (split !== null) candidates.push({ key, machines: null, pieces: split, version });
       else if (machines.size === 0) candidates.push({ key, machines: null, pieces: [], version });
@@ -142,14 +143,19 @@
   }
 
   /** A chunk that is too large for one value is split if there is room for that; if not it stays for now: null. */
-  private fitted(rewrite: Rewrite, room: Room, ops: number, bytes: number): Rewrite | null {
+  private splitIfTooLarge(
+    rewrite: Rewrite,
+    limits: RewriteLimits,
+    opsLeft: number,
+    bytesLeft: number,
+  ): Rewrite | null {
     const { key, machines } = rewrite;
-    if (machines === null || jsonBytes({ machines }) <= room.valueBytes) return rewrite;
-    const parts = splitRecord(Object.entries(machines), room.valueBytes);
+    if (machines === null || jsonBytes({ machines }) <= limits.valueBytes) return rewrite;
+    const parts = splitRecord(Object.entries(machines), limits.valueBytes);
     if (parts.length < 2) return rewrite;
-    if (1 + parts.length > ops || jsonBytes(machines) + BYTES_BESIDE_MACHINES * parts.length > bytes)
+    if (1 + parts.length > opsLeft || jsonBytes(machines) + REWRITE_OVERHEAD_BYTES * parts.length > bytesLeft)
       return null;
-    const pieces = parts.map((part) => ({ key: room.newKey(), machines: part }));
+    const pieces = parts.map((part) => ({ key: limits.newKey(), machines: part }));
     const chunk = this.chunks.get(key);
     if (chunk !== undefined) chunk.split = pieces;
     for (const piece of pieces) this.add(piece.key, piece.machines, true);
@@ -157,7 +163,7 @@
   }
 
   /** They were carried out, by this transaction or, for a split whose pieces exist, by an earlier copy. */
-  written(rewrites: readonly Rewrite[]): void {
+  markWritten(rewrites: readonly Rewrite[]): void {
     for (const { key, machines, pieces, version } of rewrites) {
       const chunk = this.chunks.get(key);
       if (chunk === undefined) continue;
@@ -175,7 +181,7 @@
    * Too large for the service: another split may be tried. Should an earlier copy be carried out all the same, its
    * pieces hold all that is left of the chunk; nobody here writes them, and the next leader finds them.
    */
-  refused(rewrites: readonly Rewrite[]): void {
+  markRejected(rewrites: readonly Rewrite[]): void {
     for (const { key, pieces } of rewrites) {
       const chunk = this.chunks.get(key);
       if (chunk === undefined || pieces.length === 0) continue;
--- a/src/service/leader/machine-recorder.ts
+++ b/src/service/leader/machine-recorder.ts
@@ -10,7 +10,7 @@
 import { MachineRecordStore } from "./machine-record-store.js";
 
 /** Machines that come together are recorded together. */
-const GATHER = Duration.millis(100);
+const BATCHING_DELAY = Duration.millis(100);
 const RETRY_PAUSE = Duration.millis(300);
 /** Machines in one record, however many would fit: each that goes has the rest of them written anew. */
 const MAX_MACHINES_PER_RECORD = 40;
@@ -28,10 +28,10 @@
   store = new MachineRecordStore();
   private readonly unrecorded: UnrecordedMachine[] = [];
   /** Bytes in one record: fewer once one was refused. */
-  private recordBytes: number;
+  private maxRecordBytes: number;
 
   constructor(private readonly context: LeaderContext) {
-    this.recordBytes = context.valueBytes;
+    this.maxRecordBytes = context.valueBytes;
   }
 
   /** A new leader reads all records anew. */
@@ -60,27 +60,27 @@
 
   private recordOnce(leadership: Leadership): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      yield* Effect.sleep(GATHER);
+      yield* Effect.sleep(BATCHING_DELAY);
       const next = this.unrecorded.slice(0, MAX_MACHINES_PER_RECORD);
       const machines = splitRecord(
         next.map(({ id, record }) => [id, record] as const),
-        this.recordBytes,
+        this.maxRecordBytes,
       )[0];
       if (machines === undefined) return;
-      const batch = this.takeRecorded(machines);
+      const batch = this.takeBatch(machines);
       const key = this.newKey();
       // also when the answer is lost: what may be written has to be deleted some day
       this.store.add(key, machines);
       const result = yield* this.write(key, machines, leadership);
-      this.tellScheduler(batch, result?.ok === true);
+      this.notifyScheduler(batch, result?.ok === true);
       yield* this.pauseAfter(result);
     });
   }
 
   /** The machines at the head of the queue that are in `machines`. */
-  private takeRecorded(machines: MachinesRecord["machines"]): UnrecordedMachine[] {
-    const firstLeft = this.unrecorded.findIndex(({ id }) => !(id in machines));
-    return this.unrecorded.splice(0, firstLeft === -1 ? this.unrecorded.length : firstLeft);
+  private takeBatch(machines: MachinesRecord["machines"]): UnrecordedMachine[] {
+    const firstRemaining = this.unrecorded.findIndex(({ id }) => !(id in machines));
+    return this.unrecorded.splice(0, firstRemaining === -1 ? this.unrecorded.length : firstRemaining);
   }
 
   /** null: not carried out, or the answer was lost. */
@@ -100,7 +100,7 @@
       .pipe(Effect.orElseSucceed(() => null));
   }
 
-  private tellScheduler(batch: readonly UnrecordedMachine[], recorded: boolean): void {
+  private notifyScheduler(batch: readonly UnrecordedMachine[], recorded: boolean): void {
     this.context.schedulerLock?.with((scheduler) => {
       for (const { id, record } of batch)
         if (recorded) scheduler.machineRecorded(id, record, now());
@@ -116,7 +116,7 @@
       return Effect.void;
     }
     if (result?.ok !== null) return Effect.sleep(RETRY_PAUSE);
-    this.recordBytes = Math.max(MIN_RECORD_BYTES, Math.floor(this.recordBytes / 2));
+    this.maxRecordBytes = Math.max(MIN_RECORD_BYTES, Math.floor(this.maxRecordBytes / 2));
     return Effect.sleep(rejections.refused("record of machines", result.error));
   }
 }
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -10,7 +10,7 @@
 import type { ProgressReporter } from "./progress-reporter.js";
 
 /** Every node asks the state service for something more often than this, so it notices an outage within it. */
-const OUTAGE_NOTICED_WITHIN = Duration.millis(1200);
+const OUTAGE_DETECTION_TIME = Duration.millis(1200);
 
 const describeTasks = (heartbeat: Heartbeat): string =>
   heartbeat.tasks
@@ -68,7 +68,7 @@
     for (const { job, ranges } of request.storedFinishes) scheduler.finishesStored(job, ranges);
     this.applyContacts(scheduler, request, receivedAt);
     for (const { id, outcome, workerEpoch, sequence } of request.commandResults)
-      this.dispatcher.answered(scheduler, id, outcome, { workerEpoch, sequence });
+      this.dispatcher.recordOutcome(scheduler, id, outcome, { workerEpoch, sequence });
     if (request.heartbeats.length + request.storedFinishes.length + request.commandResults.length > 0)
       this.context.stepRequested.notify();
   }
@@ -103,13 +103,13 @@
    * Whether this node alone can't reach the state service: another one said that it does, so long after this one's
    * requests began to fail that it would have noticed an outage of all.
    */
-  aloneWithoutState(): boolean {
+  isStateOutageLocal(): boolean {
     const { member, state } = this.context.services;
     const since = state.failingSince;
     if (since === null) return false;
     return [...this.memberStatus, ...member.peerStatus].some(
       ([name, status]) =>
-        name !== this.context.options.me && status.ok && hasElapsed(status.at, since, OUTAGE_NOTICED_WITHIN),
+        name !== this.context.options.me && status.ok && hasElapsed(status.at, since, OUTAGE_DETECTION_TIME),
     );
   }
 }
--- a/src/service/leader/progress-reporter.ts
+++ b/src/service/leader/progress-reporter.ts
@@ -18,7 +18,7 @@
   }
 
   /** A new scheduler's progress is told from the start. */
-  follow(scheduler: Scheduler): void {
+  track(scheduler: Scheduler): void {
     this.progress = new ProgressLog();
     scheduler.cluster.onProgress = (job) => this.progress.recordChange(job.spec.id);
   }
@@ -36,14 +36,14 @@
   /** What changed after `version`; everything where that is no longer known. */
   since(scheduler: Scheduler, version: number): JobProgress[] {
     const changed = this.progress.changedSince(version);
-    const out: JobProgress[] = [];
+    const progress: JobProgress[] = [];
     for (const id of changed ?? scheduler.cluster.jobs.keys()) {
       const job = scheduler.cluster.jobs.get(id);
       const tasks = this.finishedJobs.get(id);
-      if (tasks !== undefined) out.push({ job: id, done: tasks, running: 0, over: true });
+      if (tasks !== undefined) progress.push({ job: id, done: tasks, running: 0, over: true });
       else if (job !== undefined)
-        out.push({ job: id, done: job.done.size, running: job.runningTasks, over: false });
+        progress.push({ job: id, done: job.done.size, running: job.runningTasks, over: false });
     }
-    return out;
+    return progress;
   }
 }
--- a/src/service/leader/scale-in.ts
+++ b/src/service/leader/scale-in.ts
@@ -5,7 +5,7 @@
 import type { LeaderContext } from "./leader-context.js";
 import type { MachineRecorder } from "./machine-recorder.js";
 
-const MACHINES_IN_LOG_LINE = 5;
+const MAX_LOGGED_MACHINES = 5;
 
 /** The machines that a decision returns. */
 export type ScaleInDecision = Extract<Decision, { kind: "release" }>;
@@ -23,9 +23,12 @@
       const { cloud, log, membership } = this.context.services;
       if (membership.leadership === null) return;
       const { termNumber } = this.context;
-      const named = machines.slice(0, MACHINES_IN_LOG_LINE);
-      log.info({ count: machines.length, machines: named, reason, termNumber }, "scale-in requested");
-      this.dropEmpty(machines);
+      const loggedMachines = machines.slice(0, MAX_LOGGED_MACHINES);
+      log.info(
+        { count: machines.length, machines: loggedMachines, reason, termNumber },
+        "scale-in requested",
+      );
+      this.dropEmptyMachineRecords(machines);
       const gone = yield* cloud.release(machines).pipe(
         Effect.as(true),
         Effect.orElseSucceed(() => false),
@@ -37,7 +40,7 @@
   }
 
   /** Nothing is on an empty machine, and nothing more will start there: a next leader needn't wait for it. */
-  private dropEmpty(machines: readonly string[]): void {
+  private dropEmptyMachineRecords(machines: readonly string[]): void {
     this.context.schedulerLock?.with((scheduler) => {
       for (const id of machines) {
         const machine = scheduler.cluster.machines.get(id);
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -15,7 +15,7 @@
 
 /** Sends scale-out requests until their outcome is certain. */
 export class ScaleOut {
-  private requests = 0;
+  private requestCount = 0;
 
   constructor(private readonly context: LeaderContext) {}
 
@@ -25,7 +25,7 @@
       const { log, membership } = this.context.services;
       const { leadership, term } = membership;
       if (leadership === null || term === null || this.context.schedulerLock === null) return;
-      const name = `r-${term.number}-${++this.requests}`;
+      const name = `r-${term.number}-${++this.requestCount}`;
       const { type, zone, spot, count } = rent;
       this.context.schedulerLock.with((scheduler) =>
         scheduler.autoscaler.outstandingRequests.set(name, { offer: rent, count, requestedAt: now() }),
@@ -75,7 +75,7 @@
             { request: name, received: machines.length, refused: answer.right === null },
             "scale-out answered",
           );
-          this.answered(name, record, machines);
+          this.handleOutcome(name, record, machines);
           return;
         }
         // while it is uncertain it stays outstanding, so nothing is requested twice
@@ -85,7 +85,7 @@
     });
   }
 
-  private answered(name: string, record: RentalRecord, machines: readonly string[]): void {
+  private handleOutcome(name: string, record: RentalRecord, machines: readonly string[]): void {
     // sent again under the same name it would only get the same answer: its record can go in its turn
     this.context.staleKeys.add(keys.rental(name));
     this.context.schedulerLock?.with((scheduler) => scheduler.rentalAnswered(name, record, machines, now()));
--- a/src/service/leader/step-loop.ts
+++ b/src/service/leader/step-loop.ts
@@ -12,11 +12,11 @@
 import type { ScaleOut } from "./scale-out.js";
 
 /** Pause between two steps, at most. */
-const STEP_EVERY = Duration.millis(250);
+const MAX_STEP_INTERVAL = Duration.millis(250);
 /** Events that come together are decided on together. */
-const GATHER = Duration.millis(35);
-const SCALE_EVERY = Duration.millis(700);
-const SUMMARY_EVERY = Duration.seconds(5);
+const BATCHING_DELAY = Duration.millis(35);
+const AUTOSCALER_INTERVAL = Duration.millis(700);
+const SUMMARY_INTERVAL = Duration.seconds(5);
 
 /** Who carries out which kind of decision. */
 export interface DecisionHandlers {
@@ -35,14 +35,14 @@
   ) {}
 
   private readonly stepOnce = Effect.gen(this, function* () {
-    yield* this.context.stepRequested.wait(STEP_EVERY);
-    yield* Effect.sleep(GATHER);
+    yield* this.context.stepRequested.wait(MAX_STEP_INTERVAL);
+    yield* Effect.sleep(BATCHING_DELAY);
     const decisions = this.decide();
     const { dispatcher } = this.handlers;
     const batchesByMember = new Map<string | null, CommandBatch[]>();
     for (const decision of decisions) {
       if (decision.kind !== "commands") {
-        yield* this.context.fork(this.carryOut(decision));
+        yield* this.context.fork(this.execute(decision));
         continue;
       }
       const via = dispatcher.route(decision.via);
@@ -63,12 +63,12 @@
     const { schedulerLock, services } = this.context;
     if (schedulerLock === null || !services.membership.isActingLeader()) return [];
     return schedulerLock.with((scheduler) => {
-      this.handlers.dispatcher.expireUnanswered(scheduler);
+      this.handlers.dispatcher.expirePending(scheduler);
       return scheduler.step(now());
     });
   }
 
-  private carryOut(decision: Exclude<Decision, { kind: "commands" }>): Effect.Effect<void> {
+  private execute(decision: Exclude<Decision, { kind: "commands" }>): Effect.Effect<void> {
     const { committer, recorder, scaleIn, scaleOut } = this.handlers;
     switch (decision.kind) {
       case "commit":
@@ -88,23 +88,23 @@
     }
   }
 
-  private readonly scaleOnce = Effect.gen(this, function* () {
-    yield* Effect.sleep(SCALE_EVERY);
+  private readonly autoscaleOnce = Effect.gen(this, function* () {
+    yield* Effect.sleep(AUTOSCALER_INTERVAL);
     const { schedulerLock, services } = this.context;
     if (schedulerLock === null || !services.membership.isActingLeader()) return;
     for (const decision of schedulerLock.with((scheduler) => scheduler.stepAutoscaler(now())))
-      if (decision.kind !== "commands") yield* this.context.fork(this.carryOut(decision));
+      if (decision.kind !== "commands") yield* this.context.fork(this.execute(decision));
   });
 
   /** Decides on the fleet's size, for as long as this node leads. */
-  readonly scale: Effect.Effect<never> = this.scaleOnce.pipe(
+  readonly autoscale: Effect.Effect<never> = this.autoscaleOnce.pipe(
     Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "autoscaler failed")),
     Effect.forever,
   );
 
   /** One line of figures for operators every few seconds. */
-  readonly summaries: Effect.Effect<never> = Effect.gen(this, function* () {
-    yield* Effect.sleep(SUMMARY_EVERY);
+  readonly logSummaries: Effect.Effect<never> = Effect.gen(this, function* () {
+    yield* Effect.sleep(SUMMARY_INTERVAL);
     this.context.schedulerLock?.with((scheduler) =>
       this.context.services.log.info(
         { termNumber: scheduler.term.number, ...scheduler.summary(now()) },
--- a/src/service/members/command-deliverer.ts
+++ b/src/service/members/command-deliverer.ts
@@ -16,7 +16,7 @@
 /** A command that waited this long for its turn isn't sent: the leader is about to take it for unanswered. */
 const MAX_QUEUE_TIME = Duration.seconds(3);
 /** A delivery that came before its term or before this node may act waits for that, up to half a second each. */
-const READINESS_CHECKS = 20;
+const MAX_READINESS_CHECKS = 20;
 const READINESS_CHECK_INTERVAL = Duration.millis(25);
 
 interface CommandReply {
@@ -27,7 +27,7 @@
 
 const waitUntil = (isReady: () => boolean): Effect.Effect<void> =>
   Effect.gen(function* () {
-    for (let check = 0; check < READINESS_CHECKS && !isReady(); check++)
+    for (let check = 0; check < MAX_READINESS_CHECKS && !isReady(); check++)
       yield* Effect.sleep(READINESS_CHECK_INTERVAL);
   });
 
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -15,14 +15,18 @@
 import type { Membership } from "./membership.js";
 
 /** Bytes of one range record at most. */
-const MAX_RANGES_BYTES = 3000;
+const MAX_RANGE_RECORD_BYTES = 3000;
 /** With its key, a condition and names a range record needs so many bytes more of a transaction. */
-const OVERHEAD_BYTES = 400;
+const RECORD_OVERHEAD_BYTES = 400;
 const STORE_INTERVAL = Duration.seconds(1);
 
 /** How many bytes one range record may have, by the state service's limits: kB a value, and changes a transaction. */
-export const rangesBytes = (valueKb: number, txnOps: number): number =>
-  Math.min(MAX_RANGES_BYTES, maxValueBytes(valueKb), Math.floor(MAX_TXN_BYTES / txnOps) - OVERHEAD_BYTES);
+export const maxRangeRecordBytes = (valueKb: number, txnOps: number): number =>
+  Math.min(
+    MAX_RANGE_RECORD_BYTES,
+    maxValueBytes(valueKb),
+    Math.floor(MAX_TXN_BYTES / txnOps) - RECORD_OVERHEAD_BYTES,
+  );
 
 /** What the state service said to one transaction of finishes. */
 type TransactionResult =
--- a/src/service/members/leader-sync.ts
+++ b/src/service/members/leader-sync.ts
@@ -18,7 +18,7 @@
 /** Also when there is nothing to say, which says that this member lives. */
 const SYNC_INTERVAL = Duration.seconds(1);
 /** What comes together goes together: each message costs the same, however much it holds. */
-const GATHER_TIME = Duration.millis(100);
+const BATCHING_DELAY = Duration.millis(100);
 const RETRY_PAUSE = Duration.millis(100);
 const PRUNE_INTERVAL = Duration.seconds(5);
 /** After this long without reaching the leader, updates go through the state service. */
@@ -93,11 +93,11 @@
   }
 
   /** A job ended. */
-  jobOver(job: string): void {
+  jobEnded(job: string): void {
     this.progressByJob.delete(job);
   }
 
-  private nextUpdate(term: TermRecord): SyncRequest {
+  private nextRequest(term: TermRecord): SyncRequest {
     const { me, membership, partition, relay } = this.options;
     if (this.answeredTerm !== term.number) {
       this.leaderClockMark = UNKNOWN;
@@ -132,7 +132,7 @@
     const { me, membership, partition, relay } = this.options;
     const { term } = membership;
     if (term === null) return;
-    const request = this.nextUpdate(term);
+    const request = this.nextRequest(term);
     const response = yield* this.send(term, request);
     if (response !== null) this.leaderReachedAt = now();
     if (response?.accepted === true) {
@@ -164,7 +164,7 @@
   /** Never ends; what fails is tried again. */
   readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
     yield* this.requested.wait(SYNC_INTERVAL);
-    yield* Effect.sleep(GATHER_TIME);
+    yield* Effect.sleep(BATCHING_DELAY);
     yield* this.syncOnce;
     if (!hasElapsed(now(), this.prunedAt, PRUNE_INTERVAL)) return;
     this.prunedAt = now();
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -76,7 +76,7 @@
     // a late copy of an earlier process's write finds this key there and changes nothing
     const result = yield* state.commit(
       [{ key: keys.member(me), revision: 0 }],
-      [{ put: keys.member(me), value: encodeMember(record), leaseId }, ...extension.announcement(leaseId)],
+      [{ put: keys.member(me), value: encodeMember(record), leaseId }, ...extension.changesOnJoin(leaseId)],
       "vital",
     );
     if (result.ok === null) yield* Effect.ignore(state.revoke(leaseId));
@@ -88,9 +88,9 @@
     onJoined();
   });
 
-  private lose(reason: string): void {
+  private handleLoss(reason: string): void {
     this.currentLeaseId = null;
-    this.options.terms.leaseEnded();
+    this.options.terms.discardRenewal();
     this.options.onLost(reason);
   }
 
@@ -106,15 +106,15 @@
       concurrency: 2,
     });
     if (!isAlive) {
-      this.lose("lease expired");
+      this.handleLoss("lease expired");
       return yield* this.join;
     }
-    terms.renewed(termRow, sentAt);
+    terms.recordRenewal(termRow, sentAt);
     // the lease lives, but the key isn't this process's: nobody counts it as a member
     if (registry.hasLost(me, this.currentIncarnation)) {
       log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, joining anew");
       yield* state.revoke(leaseId);
-      this.lose("member key lost");
+      this.handleLoss("member key lost");
       return yield* this.join;
     }
   });
--- a/src/service/members/member-registry.ts
+++ b/src/service/members/member-registry.ts
@@ -38,7 +38,7 @@
 /** Watches the cluster's keys for as long as `run` runs. */
 export class MemberRegistry {
   private rows = new Map<string, Row>();
-  private listed = false;
+  private synced = false;
   /** The revision up to which `rows` miss nothing. */
   private watchedRevision = 0;
 
@@ -50,7 +50,7 @@
 
   /** Whether the keys are known: they were listed, and the watch that follows hasn't ended. */
   get isSynced(): boolean {
-    return this.listed;
+    return this.synced;
   }
 
   /** The row of the term; null: none was written yet, or none is known. */
@@ -77,7 +77,7 @@
   /** Whether the member's key certainly isn't the one written at this revision: it is gone, or another process's. */
   hasLost(member: string, incarnation: number): boolean {
     return (
-      this.listed &&
+      this.synced &&
       incarnation <= this.watchedRevision &&
       this.rows.get(keys.member(member))?.revision !== incarnation
     );
@@ -91,7 +91,7 @@
   private readonly watch = Effect.gen(this, function* () {
     const list = yield* this.state.list(keys.cluster);
     this.rows = new Map(list.rows.map((row) => [row.key, row]));
-    this.listed = true;
+    this.synced = true;
     this.watchedRevision = list.revision;
     this.onChange();
     for (;;) {
@@ -107,7 +107,7 @@
 
   /** Never ends; what fails is tried again. */
   readonly run: Effect.Effect<never> = this.watch.pipe(
-    Effect.catchAll(() => Effect.sync(() => (this.listed = false))),
+    Effect.catchAll(() => Effect.sync(() => (this.synced = false))),
     Effect.zipRight(Effect.sleep(RELIST_PAUSE)),
     Effect.forever,
   );
--- a/src/service/members/member.ts
+++ b/src/service/members/member.ts
@@ -13,17 +13,17 @@
 import type { WorkerClient } from "../../io/worker-client.js";
 import { RejectionBackoff } from "../rejection-backoff.js";
 import { CommandDeliverer } from "./command-deliverer.js";
-import { FinishWriter, rangesBytes } from "./finish-writer.js";
+import { FinishWriter, maxRangeRecordBytes } from "./finish-writer.js";
 import { type JobProgress, LeaderSync, type PeerStatus } from "./leader-sync.js";
 import type { Membership } from "./membership.js";
 import type { Peers } from "./peers.js";
 import { UpdateRelaySender } from "./update-relay-sender.js";
 import { fragmentLimits } from "./update-relay.js";
 
-export { rangesBytes } from "./finish-writer.js";
+export { maxRangeRecordBytes as rangesBytes } from "./finish-writer.js";
 
 /** A finish is safe on its machine; it is stored once others of its job had time to join it. */
-const FINISH_GATHER_TIME = Duration.seconds(4);
+const FINISH_BATCHING_DELAY = Duration.seconds(4);
 
 /** Settings of a member. */
 export interface MemberOptions {
@@ -45,9 +45,9 @@
   /** Called when the leader says that a job is done, its commit record being there (S8); set once, before `run`. */
   onDone: (job: string, tasks: number) => void = () => undefined;
   /** Whether a job is known to have its commit; set once, before `run`. */
-  isOver: (job: string) => boolean = () => false;
+  isEnded: (job: string) => boolean = () => false;
   /** Whether a job is known and unfinished here; set once, before `run`. */
-  isOpen: (job: string) => boolean = () => true;
+  isUnfinished: (job: string) => boolean = () => true;
   private readonly sync: LeaderSync;
   private readonly deliverer: CommandDeliverer;
   /** Never ends. */
@@ -63,9 +63,9 @@
   ) {
     const { me, valueKb, txnOps, keepFor } = options;
     const rejections = new RejectionBackoff(log);
-    const partition = new WorkerPartition(me, rangesBytes(valueKb, txnOps), FINISH_GATHER_TIME);
+    const partition = new WorkerPartition(me, maxRangeRecordBytes(valueKb, txnOps), FINISH_BATCHING_DELAY);
     const limits = fragmentLimits(valueKb, txnOps);
-    const isOpen = (job: string): boolean => this.isOpen(job);
+    const isOpen = (job: string): boolean => this.isUnfinished(job);
     const sync = new LeaderSync({
       ...{ me, keepFor, membership, partition, peers, log, isOpen },
       relay: new UpdateRelaySender({ me, membership, state, rejections, limits, log }),
@@ -107,7 +107,7 @@
       this.membership.mayAnswerWorkers(),
       this.membership.incarnation,
       now(),
-      this.isOver,
+      this.isEnded,
     );
     if (answer.kind === "taken") this.sync.requestIfUpdated();
     return answer;
@@ -122,8 +122,8 @@
   }
 
   /** A job ended, and needs nothing more here. */
-  jobOver(job: string): void {
+  jobEnded(job: string): void {
     this.partition.finishes.forgetJob(job);
-    this.sync.jobOver(job);
+    this.sync.jobEnded(job);
   }
 }
--- a/src/service/members/membership-extension.ts
+++ b/src/service/members/membership-extension.ts
@@ -7,13 +7,13 @@
 /** What a subsystem writes together with this process's membership. */
 export interface MembershipExtension {
   /** Written with the member key, on the same lease. */
-  announcement(leaseId: number): Change[];
+  changesOnJoin(leaseId: number): Change[];
   /** Written with a term of these members. */
-  withTerm(termNumber: number, members: readonly TermMember[]): Effect.Effect<Change[], StateError>;
+  changesWithTerm(termNumber: number, members: readonly TermMember[]): Effect.Effect<Change[], StateError>;
 }
 
 /** Writes nothing beside the membership itself. */
 export const NO_EXTENSION: MembershipExtension = {
-  announcement: () => [],
-  withTerm: () => Effect.succeed([]),
+  changesOnJoin: () => [],
+  changesWithTerm: () => Effect.succeed([]),
 };
--- a/src/service/members/peer-client.ts
+++ b/src/service/members/peer-client.ts
@@ -34,7 +34,7 @@
 import { PEER_CONTENT_TYPE } from "./peer-server.js";
 
 /** Connections to each other controller at most. */
-const MAX_CONNECTIONS = 8;
+const MAX_CONNECTIONS_PER_PEER = 8;
 
 /** One kind of request: its path, how it and its answer are encoded, and how long the answer may take. */
 interface Endpoint<Request, Answer> {
@@ -86,7 +86,7 @@
  * an answer in time fails.
  */
 export class Peers {
-  private readonly agent = makeAgent(MAX_CONNECTIONS);
+  private readonly agent = makeAgent(MAX_CONNECTIONS_PER_PEER);
   private readonly addresses: ReadonlyMap<string, string>;
 
   constructor(peers: readonly { member: string; addr: string }[]) {
--- a/src/service/members/peer-server.ts
+++ b/src/service/members/peer-server.ts
@@ -62,7 +62,7 @@
 type Answer = Buffer | Effect.Effect<Buffer>;
 
 /** Throws when the body can't be decoded; null: there is no such path. */
-const answerAboutShards = (
+const answerShardRequest = (
   path: string | undefined,
   body: Buffer,
   handlers: ShardHandlers,
@@ -80,7 +80,7 @@
 };
 
 /** Throws when the body can't be decoded; null: there is no such path. */
-const answerTo = (path: string | undefined, body: Buffer, handlers: PeerHandlers): Answer | null => {
+const answerRequest = (path: string | undefined, body: Buffer, handlers: PeerHandlers): Answer | null => {
   switch (path) {
     case peerPaths.sync:
       return syncResponseCodec.encode(handlers.sync(syncRequestCodec.decode(body)));
@@ -89,7 +89,7 @@
     case peerPaths.deliver:
       return Effect.map(handlers.deliver(commandDeliveryCodec.decode(body)), deliveryReceiptCodec.encode);
     default:
-      return handlers.shards === null ? null : answerAboutShards(path, body, handlers.shards);
+      return handlers.shards === null ? null : answerShardRequest(path, body, handlers.shards);
   }
 };
 
@@ -105,7 +105,7 @@
       .end(encoded);
   };
   try {
-    const answer = answerTo(path, body, handlers);
+    const answer = answerRequest(path, body, handlers);
     if (answer === null) response.writeHead(404).end();
     else if (Buffer.isBuffer(answer)) send(answer);
     else Effect.runFork(Effect.map(answer, send));
--- a/src/service/members/term-store.ts
+++ b/src/service/members/term-store.ts
@@ -14,9 +14,9 @@
 import { decodeTerm } from "../../io/record-codec.js";
 
 /** How often it is checked whether the other nodes have to be asked, in fencing windows. */
-const CHECK_INTERVAL = 0.25;
+const CHECK_INTERVAL_FENCING_WINDOWS = 0.25;
 /** They are asked once the last renewal that showed the term is this old, in fencing windows. */
-const RENEWAL_OVERDUE = 0.5;
+const RENEWAL_OVERDUE_FENCING_WINDOWS = 0.5;
 
 /** What a term store works with. */
 export interface TermStoreOptions {
@@ -39,7 +39,7 @@
   /** By node: when the last question was sent whose answer was that it knows of no newer term. */
   private readonly peerConfirmations = new Map<string, Instant>();
   /** The highest term that this process has asked the state service to write, whatever became of it. */
-  private attemptedNumber = 0;
+  private attemptedTermNumber = 0;
 
   constructor(private readonly options: TermStoreOptions) {}
 
@@ -75,13 +75,13 @@
   }
 
   /** A renewal succeeded that was sent then, and read this row of the term. */
-  renewed(row: Row | null, sentAt: Instant): void {
+  recordRenewal(row: Row | null, sentAt: Instant): void {
     this.adopt(row);
     if (row !== null && row.revision === this.currentRevision) this.renewalSentAt = sentAt;
   }
 
   /** This process's lease is over: its renewals count no more. */
-  leaseEnded(): void {
+  discardRenewal(): void {
     this.renewalSentAt = null;
   }
 
@@ -106,7 +106,7 @@
 
   /** What this node answers another that asks whether its term is current: as far as is known or was begun here. */
   knowsNoNewerThan(termNumber: number): boolean {
-    return Math.max(this.number, this.attemptedNumber) <= termNumber;
+    return Math.max(this.number, this.attemptedTermNumber) <= termNumber;
   }
 
   /**
@@ -114,20 +114,20 @@
    * written: what was no term must not keep this node from confirming the others' (S11).
    */
   recordAttempt(termNumber: number): () => void {
-    const before = this.attemptedNumber;
-    this.attemptedNumber = Math.max(before, termNumber);
+    const before = this.attemptedTermNumber;
+    this.attemptedTermNumber = Math.max(before, termNumber);
     return () => {
-      this.attemptedNumber = before;
+      this.attemptedTermNumber = before;
     };
   }
 
   private isRenewalOverdue(): boolean {
-    const limit = Duration.times(this.options.timings.fencingWindow, RENEWAL_OVERDUE);
+    const limit = Duration.times(this.options.timings.fencingWindow, RENEWAL_OVERDUE_FENCING_WINDOWS);
     return this.renewalSentAt === null || hasElapsed(now(), this.renewalSentAt, limit);
   }
 
   /** The fencing window counts from before the question: what the node learns after its answer isn't in it. */
-  private askOne(member: string, term: TermRecord): Effect.Effect<void> {
+  private requestConfirmation(member: string, term: TermRecord): Effect.Effect<void> {
     const askedAt = now();
     return Effect.map(this.options.askPeer(member, term.number), (confirmed) => {
       if (confirmed && this.current === term) this.peerConfirmations.set(member, askedAt);
@@ -138,10 +138,10 @@
   confirmByPeers(isInTerm: () => boolean): Effect.Effect<never> {
     const { timings, otherMembers } = this.options;
     return Effect.gen(this, function* () {
-      yield* Effect.sleep(Duration.times(timings.fencingWindow, CHECK_INTERVAL));
+      yield* Effect.sleep(Duration.times(timings.fencingWindow, CHECK_INTERVAL_FENCING_WINDOWS));
       const term = this.current;
       if (!this.isRenewalOverdue() || term === null || !isInTerm()) return;
-      yield* Effect.forEach(otherMembers, (member) => this.askOne(member, term), {
+      yield* Effect.forEach(otherMembers, (member) => this.requestConfirmation(member, term), {
         concurrency: "unbounded",
         discard: true,
       });
--- a/src/service/members/term-writer.ts
+++ b/src/service/members/term-writer.ts
@@ -57,7 +57,7 @@
     const members = membersOf(list.rows);
     const term = this.nextTerm(storedTerm, members, leadership);
     if (term === null) return false;
-    const extensionChanges = yield* extension.withTerm(term.number, members);
+    const extensionChanges = yield* extension.changesWithTerm(term.number, members);
     const withdrawAttempt = Effect.sync(terms.recordAttempt(term.number));
     const value = encodeTerm(term);
     const result = yield* state
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -41,8 +41,8 @@
 
 /** The announcement beside the member key, and the leader's verdict beside the term. */
 export const shardExtension = (me: string, state: StateClient): MembershipExtension => ({
-  announcement: (leaseId): Change[] => [{ put: shardKeys.member(me), value: ANNOUNCEMENT, leaseId }],
-  withTerm: (token, members: readonly TermMember[]): Effect.Effect<Change[], StateError> =>
+  changesOnJoin: (leaseId): Change[] => [{ put: shardKeys.member(me), value: ANNOUNCEMENT, leaseId }],
+  changesWithTerm: (token, members: readonly TermMember[]): Effect.Effect<Change[], StateError> =>
     Effect.map(state.list(shardKeys.members), ({ rows }) => {
       const announced = new Map(rows.map((row) => [row.key.slice(shardKeys.members.length), row]));
       // written in the same transaction as the member key, so it has the same revision
--- a/test/core-state.test.ts
+++ b/test/core-state.test.ts
@@ -30,10 +30,10 @@
   blocks.add("machines/1-2", { c: record });
   // an open that got no answer is tried again: the machine is in two blocks
   blocks.add("machines/1-3", { c: record });
-  assert.deepEqual(blocks.changed(9), []);
+  assert.deepEqual(blocks.pendingRewrites(9), []);
   blocks.remove("a");
   blocks.remove("c");
-  const changed = blocks.changed(2);
+  const changed = blocks.pendingRewrites(2);
   assert.deepEqual(
     changed.map((rewrite) => [rewrite.key, rewrite.machines]),
     [
@@ -41,16 +41,16 @@
       ["machines/1-3", null],
     ],
   );
-  blocks.written(changed);
-  const rest = blocks.changed(9);
+  blocks.markWritten(changed);
+  const rest = blocks.pendingRewrites(9);
   assert.deepEqual(
     rest.map((rewrite) => [rewrite.key, Object.keys(rewrite.machines!)]),
     [["machines/1-1", ["b"]]],
   );
   // it changed again while it was being written
   blocks.remove("b");
-  blocks.written(rest);
-  assert.equal(blocks.changed(9)[0]?.machines, null);
+  blocks.markWritten(rest);
+  assert.equal(blocks.pendingRewrites(9)[0]?.machines, null);
 });
 
 test("progress is told as changes, and whole to whoever missed too much", () => {
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -183,9 +183,13 @@
     blocks.forEach((block, i) => store.add(`machines/2-${i}`, block));
     for (const [name] of entries) store.remove(name);
     let sweeps = 0;
-    for (let rewrites = store.changed(16); rewrites.length > 0; rewrites = store.changed(16)) {
+    for (
+      let rewrites = store.pendingRewrites(16);
+      rewrites.length > 0;
+      rewrites = store.pendingRewrites(16)
+    ) {
       assert.ok(rewrites.every(({ machines: rest }) => rest === null));
-      store.written(rewrites);
+      store.markWritten(rewrites);
       sweeps++;
     }
     assert.ok(sweeps <= Math.ceil(blocks.length / 16), `${sweeps} sweeps`);
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -20,7 +20,7 @@
 import { fencingTokenOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
 import { type Change, type Condition, jobRecord, parseSubmission, state } from "../src/io/codec.js";
-import { MachineRecordStore, opsOf, type Room } from "../src/service/leader/machine-record-store.js";
+import { MachineRecordStore, opsOf } from "../src/service/leader/machine-record-store.js";
 import { encodeLeader, encodeMember, encodeTerm } from "../src/io/record-codec.js";
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
 import { rangesBytes } from "../src/service/members/member.js";
@@ -260,12 +260,12 @@
     blocks.add(key, Object.fromEntries([machine(1), machine(2)]));
   }
   blocks.remove(machine(1)[0]);
-  const [refused] = blocks.changed(1, undefined, instant(0));
+  const [refused] = blocks.pendingRewrites(1, undefined, instant(0));
   assert.equal(refused!.key, "machines/1");
-  blocks.refused([refused!]);
-  blocks.putOff(refused!.key, instant(1000));
+  blocks.markRejected([refused!]);
+  blocks.postpone(refused!.key, instant(1000));
   const keysAt = (at: number): string[] =>
-    blocks.changed(5, undefined, instant(at)).map((rewrite) => rewrite.key);
+    blocks.pendingRewrites(5, undefined, instant(at)).map((rewrite) => rewrite.key);
   assert.deepEqual(keysAt(500), ["machines/2"]);
   assert.deepEqual(keysAt(1000), ["machines/1", "machines/2"]);
 });
@@ -302,7 +302,7 @@
     ][seed % 3]!;
     let names = 0;
     const newKey = (): string => `machines/1-${++names}`;
-    const room: Room = { valueBytes: maxValueBytes(limits.valueKb), txnBytes: MAX_TXN_BYTES, newKey };
+    const room = { valueBytes: maxValueBytes(limits.valueKb), txnBytes: MAX_TXN_BYTES, newKey };
     /** The failed conditions; none: it was carried out. */
     const apply = (t: Txn): string[] => {
       const failed = t.absent.filter((key) => store.has(key));
@@ -342,7 +342,7 @@
         // without an answer nothing is started on these machines under this record
         if (upTo(3) > 0 && apply(open).length === 0) for (const id of Object.keys(machines!)) live.add(id);
       } else if (what < 8) {
-        const rewrites = blocks.changed(limits.txnOps, room);
+        const rewrites = blocks.pendingRewrites(limits.txnOps, room);
         const pieces = rewrites.flatMap((rewrite) => rewrite.pieces);
         splits += rewrites.filter((rewrite) => rewrite.pieces.length > 0).length;
         const t: Txn = {
@@ -370,15 +370,15 @@
         const outcome = upTo(5);
         if (outcome === 0) {
           // too large after all: this copy isn't carried out, whatever becomes of earlier ones
-          blocks.refused(rewrites);
+          blocks.markRejected(rewrites);
         } else {
           sent.push(t);
           // carried out and answered, carried out without an answer, or neither for now
           if (outcome <= 3) {
             const failed = apply(t);
-            if (outcome <= 2 && failed.length === 0) blocks.written(rewrites);
+            if (outcome <= 2 && failed.length === 0) blocks.markWritten(rewrites);
             else if (outcome <= 2)
-              blocks.written(
+              blocks.markWritten(
                 rewrites.filter((rewrite) => rewrite.pieces.some((p) => failed.includes(p.key))),
               );
           }
@@ -392,11 +392,11 @@
     // once all are answered, what is gone is no longer in the blocks that are known
     for (const id of live) blocks.remove(id);
     for (let i = 0; i < 400; i++) {
-      const rewrites = blocks.changed(limits.txnOps, room);
+      const rewrites = blocks.pendingRewrites(limits.txnOps, room);
       if (rewrites.length === 0) break;
-      blocks.written(rewrites);
+      blocks.markWritten(rewrites);
     }
-    assert.deepEqual(blocks.changed(limits.txnOps, room), []);
+    assert.deepEqual(blocks.pendingRewrites(limits.txnOps, room), []);
   }
   assert.ok(splits > 100 && lateSplits > 10, `${splits} splits, ${lateSplits} late`);
 });
--- a/test/mixed-machines.test.ts
+++ b/test/mixed-machines.test.ts
@@ -123,7 +123,8 @@
     const { blocks, term, version } = this.leader;
     // the limit is lower now and then, as an announced one would be
     const room = { valueBytes: 300 + this.random() * 500, txnBytes: 50_000, newKey: this.newKey };
-    const rewrites = version === "new" ? blocks.changed(CHANGES, room) : blocks.changed(CHANGES);
+    const rewrites =
+      version === "new" ? blocks.pendingRewrites(CHANGES, room) : blocks.pendingRewrites(CHANGES);
     if (rewrites.length === 0) return;
     const pieces = rewrites.flatMap((rewrite) => rewrite.pieces);
     const isApart = this.without === "pieces" && pieces.length > 0;
@@ -142,8 +143,10 @@
     if (answer === null) return;
     // a piece that exists: an earlier copy of its split was carried out
     if (answer.length > 0)
-      return blocks.written(rewrites.filter((rewrite) => rewrite.pieces.some((p) => answer.includes(p.key))));
-    blocks.written(rewrites);
+      return blocks.markWritten(
+        rewrites.filter((rewrite) => rewrite.pieces.some((p) => answer.includes(p.key))),
+      );
+    blocks.markWritten(rewrites);
     for (const { pieces } of rewrites)
       this.count(pieces.length > 0 ? "records split" : `records rewritten by ${version} leaders`);
   }
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -218,7 +218,7 @@
     blocks.add(key, machines);
     blocks.remove(present(first));
     const left = rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, present(machines[id])]));
-    assert.deepEqual(present(blocks.changed(1)[0]).machines, left);
+    assert.deepEqual(present(blocks.pendingRewrites(1)[0]).machines, left);
   }
 });
 
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -95,7 +95,7 @@
     const [first, ...rest] = Object.keys(value.machines);
     blocks.remove(present(first));
     const left = Object.fromEntries(rest.map((id) => [id, present(value.machines[id])]));
-    const [rewrite] = blocks.changed(1);
+    const [rewrite] = blocks.pendingRewrites(1);
     assert.deepEqual(present(rewrite).machines, rest.length === 0 ? null : left);
     assert.equal(present(rewrite).key, key);
   }
@@ -230,7 +230,7 @@
   const [gone, ...ids] = Object.keys(machines);
   blocks.remove(present(gone));
   let n = 0;
-  const [split] = blocks.changed(6, {
+  const [split] = blocks.pendingRewrites(6, {
     valueBytes: 900,
     txnBytes: 50_000,
     newKey: () => keys.machinesOf(`5-${++n}`),
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -91,7 +91,7 @@
     reachesStateService: () => true,
   } as unknown as Member;
   const leader = {
-    aloneWithoutState: () => alone,
+    isStateOutageLocal: () => alone,
     progressOf: (id: string) => progress.get(id) ?? { done: 0, running: 0 },
   } as unknown as Leader;
   const team = { name: "red", guaranteedCpus: 8, maxCpus: 16, guaranteedGpus: 0, maxGpus: 0 };
