--- a/src/cli/shards.ts
+++ b/src/cli/shards.ts
@@ -23,12 +23,13 @@
 }
 
 /** The socket isn't there, or what answered is no controller. */
-class NotReached extends Error {}
+class ControllerUnreachable extends Error {}
 
-const ask = (at: string, method: string, path: string, body?: object): Promise<Reply> =>
+const callController = (at: string, method: string, path: string, body?: object): Promise<Reply> =>
   new Promise((resolve, reject) => {
     const colon = at.lastIndexOf(":");
-    const failed = (reason: string): void => reject(new NotReached(`${at} was not reached: ${reason}`));
+    const fail = (reason: string): void =>
+      reject(new ControllerUnreachable(`${at} was not reached: ${reason}`));
     const request = http.request(
       {
         host: at.slice(0, colon),
@@ -40,19 +41,19 @@
       (response) => {
         const chunks: Buffer[] = [];
         response.on("data", (chunk: Buffer) => chunks.push(chunk));
-        response.on("error", (error) => failed(error.message));
+        response.on("error", (error) => fail(error.message));
         response.on("end", () => {
           try {
             const value: unknown = JSON.parse(Buffer.concat(chunks).toString("utf8"));
             resolve({ status: response.statusCode ?? 0, value });
           } catch {
-            failed("the answer is not JSON");
+            fail("the answer is not JSON");
           }
         });
       },
     );
     request.on("timeout", () => request.destroy(new Error("no answer in time")));
-    request.on("error", (error) => failed(error.message));
+    request.on("error", (error) => fail(error.message));
     request.end(body === undefined ? undefined : JSON.stringify(body));
   });
 
@@ -65,7 +66,7 @@
 };
 
 /** Shows an answer and says which code the command ends with. */
-const finish = (options: CommonOptions, reply: Reply, text: () => string): number => {
+const reportReply = (options: CommonOptions, reply: Reply, text: () => string): number => {
   const isDone = reply.status === 200;
   if (options.json === true) print(JSON.stringify(reply.value));
   else if (isDone) print(text());
@@ -73,7 +74,7 @@
   return isDone ? EXIT_DONE : EXIT_REFUSED;
 };
 
-const table = (rows: readonly (readonly string[])[]): string => {
+const formatTable = (rows: readonly (readonly string[])[]): string => {
   const columns = rows[0]?.length ?? 0;
   const widths = Array.from({ length: columns }, (_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
@@ -88,7 +89,7 @@
     .join("\n");
 };
 
-const listingText = (listing: ShardListing): string => {
+const formatListing = (listing: ShardListing): string => {
   const inForceText = listing.inForce ? "in force" : "not in force: machines follow the members of the term";
   const head = `term ${listing.term}, leader ${listing.leader ?? "unknown"}, shards ${inForceText}`;
   const controllers = listing.controllers.map((controller) => [
@@ -118,24 +119,24 @@
   return [
     head,
     "",
-    table([["CONTROLLER", "ZONE", "SHARDS", "MACHINES", "MESSAGES/S", "NOTE"], ...controllers]),
+    formatTable([["CONTROLLER", "ZONE", "SHARDS", "MACHINES", "MESSAGES/S", "NOTE"], ...controllers]),
     "",
-    table([["SHARD", "OWNER", "EPOCH", "STATE", "TARGET", "MACHINES"], ...shards]),
+    formatTable([["SHARD", "OWNER", "EPOCH", "STATE", "TARGET", "MACHINES"], ...shards]),
     ...(moves.length === 0
       ? []
-      : ["", table([["LATEST MOVES", "FROM", "TO", "BY", "OUTCOME", "REASON"], ...moves])]),
+      : ["", formatTable([["LATEST MOVES", "FROM", "TO", "BY", "OUTCOME", "REASON"], ...moves])]),
   ].join("\n");
 };
 
 const list = async (options: CommonOptions): Promise<number> => {
-  const reply = await ask(options.at, "GET", "/shards/list");
-  return finish(options, reply, () => listingText(reply.value as ShardListing));
+  const reply = await callController(options.at, "GET", "/shards/list");
+  return reportReply(options, reply, () => formatListing(reply.value as ShardListing));
 };
 
 /** Polls until a move has ended; the last answer where it doesn't in time. */
-const outcomeOf = async (at: string, move: string, waitMs: number): Promise<Reply> => {
+const pollOutcome = async (at: string, move: string, waitMs: number): Promise<Reply> => {
   for (let left = waitMs; ; left -= POLL_MS) {
-    const reply = await ask(at, "GET", `/shards/moves/${encodeURIComponent(move)}`);
+    const reply = await callController(at, "GET", `/shards/moves/${encodeURIComponent(move)}`);
     const isOver = reply.status !== 200 || (reply.value as MoveOutcome).outcome !== "running";
     if (isOver || left <= 0) return reply;
     await sleep(POLL_MS);
@@ -148,62 +149,63 @@
   options: WaitOptions & { readonly epoch?: number },
 ): Promise<number> => {
   const epoch = options.epoch === undefined ? {} : { epoch: options.epoch };
-  const begun = await ask(options.at, "POST", "/shards/move", { shard, to, ...epoch });
-  if (begun.status !== 200 || options.wait === 0)
-    return finish(options, begun, () => `shard ${shard} is on its way to ${to}`);
-  const id = (begun.value as { move: string }).move;
-  const reply = await outcomeOf(options.at, id, options.wait * 1000);
+  const started = await callController(options.at, "POST", "/shards/move", { shard, to, ...epoch });
+  if (started.status !== 200 || options.wait === 0)
+    return reportReply(options, started, () => `shard ${shard} is on its way to ${to}`);
+  const id = (started.value as { move: string }).move;
+  const reply = await pollOutcome(options.at, id, options.wait * 1000);
   const isDone = reply.status === 200 && (reply.value as MoveOutcome).outcome === "done";
-  if (isDone) return finish(options, reply, () => `shard ${shard} is owned by ${to}`);
+  if (isDone) return reportReply(options, reply, () => `shard ${shard} is owned by ${to}`);
   const isRunning = reply.status === 200 && (reply.value as MoveOutcome).outcome === "running";
   const value = isRunning
     ? { ...(reply.value as MoveOutcome), reason: "the move has not ended yet" }
     : reply.value;
-  return finish(options, { status: 409, value }, () => "");
+  return reportReply(options, { status: 409, value }, () => "");
 };
 
 const drain = async (member: string, options: WaitOptions): Promise<number> => {
-  const begun = await ask(options.at, "POST", "/shards/drain", { member });
-  if (begun.status !== 200 || options.wait === 0)
-    return finish(options, begun, () => `${member} is being drained`);
+  const started = await callController(options.at, "POST", "/shards/drain", { member });
+  if (started.status !== 200 || options.wait === 0)
+    return reportReply(options, started, () => `${member} is being drained`);
   for (let left = options.wait * 1000; ; left -= POLL_MS) {
-    const reply = await ask(options.at, "GET", "/shards/list");
+    const reply = await callController(options.at, "GET", "/shards/list");
     const listing = reply.value as ShardListing;
     const machines = listing.controllers.find((controller) => controller.name === member)?.machines ?? 0;
-    if (reply.status === 200 && machines === 0) return finish(options, reply, () => `${member} is drained`);
+    if (reply.status === 200 && machines === 0)
+      return reportReply(options, reply, () => `${member} is drained`);
     if (left <= 0) {
       const refused = listing.moves.find(
         ({ source, outcome }) => source === member && outcome === "refused",
       )?.reason;
       const reason = `${member} still has ${machines} machines${refused === undefined ? "" : `; the last refusal: ${refused}`}`;
-      return finish(options, { status: 409, value: { reason, machines } }, () => "");
+      return reportReply(options, { status: 409, value: { reason, machines } }, () => "");
     }
     await sleep(POLL_MS);
   }
 };
 
 const cancel = async (name: string, options: CommonOptions): Promise<number> => {
-  const reply = await ask(options.at, "POST", "/shards/cancel", { name });
-  return finish(options, reply, () => `${name}: cancelled`);
+  const reply = await callController(options.at, "POST", "/shards/cancel", { name });
+  return reportReply(options, reply, () => `${name}: cancelled`);
 };
 
-const count = (text: string): number => {
+const parseCount = (text: string): number => {
   const value = Number(text);
   if (!Number.isSafeInteger(value) || value < 0) throw new InvalidArgumentError("a count is wanted.");
   return value;
 };
-const address = (text: string): string => {
+const parseAddress = (text: string): string => {
   if (!/^127\.[0-9]+\.[0-9]+\.[0-9]+:[0-9]{1,5}$/.test(text))
     throw new InvalidArgumentError("a loopback address with a port is wanted.");
   return text;
 };
 
 /** Runs a command; the code is 1 when it is refused or the controller isn't reached. */
-const ending = (code: Promise<number>): Promise<void> =>
+const setExitCode = (code: Promise<number>): Promise<void> =>
   code.then(
     (value) => void (process.exitCode = value),
     (error: unknown) => {
-      if (!(error instanceof NotReached)) throw error;
+      if (!(error instanceof ControllerUnreachable)) throw error;
       process.stderr.write(`indigowick: ${error.message}\n`);
       process.exitCode = EXIT_REFUSED;
     },
@@ -212,26 +214,26 @@
 /** The commands on shards. */
 export const shardsCommand = (): Command => {
   const command = new Command("shards").description("shows and moves the shards that machines fall into");
-  const add = (name: string, description: string): Command =>
+  const addCommand = (name: string, description: string): Command =>
     command
       .command(name)
       .description(description)
-      .option("--at <address>", "the operators' socket of any controller", address, DEFAULT_SOCKET)
+      .option("--at <address>", "the operators' socket of any controller", parseAddress, DEFAULT_SOCKET)
       .option("--json", "prints the answer as JSON");
-  add("list", "shows controllers, shards and the latest moves").action((options: CommonOptions) =>
-    ending(list(options)),
+  addCommand("list", "shows controllers, shards and the latest moves").action((options: CommonOptions) =>
+    setExitCode(list(options)),
   );
-  add("move <shard> <controller>", "hands a shard over to another controller")
-    .option("--epoch <number>", "only if the shard is in this epoch", count)
-    .option("--wait <seconds>", "how long to wait for the end; 0: not at all", count, 30)
+  addCommand("move <shard> <controller>", "hands a shard over to another controller")
+    .option("--epoch <number>", "only if the shard is in this epoch", parseCount)
+    .option("--wait <seconds>", "how long to wait for the end; 0: not at all", parseCount, 30)
     .action((shard: string, to: string, options: WaitOptions & { epoch?: number }) =>
-      ending(move(shard, to, options)),
+      setExitCode(move(shard, to, options)),
     );
-  add("drain <controller>", "moves all shards off a controller before its planned end")
-    .option("--wait <seconds>", "how long to wait for the end; 0: not at all", count, 300)
-    .action((member: string, options: WaitOptions) => ending(drain(member, options)));
-  add("cancel <name>", "gives up the move of a shard, or the drain of a controller").action(
-    (name: string, options: CommonOptions) => ending(cancel(name, options)),
+  addCommand("drain <controller>", "moves all shards off a controller before its planned end")
+    .option("--wait <seconds>", "how long to wait for the end; 0: not at all", parseCount, 300)
+    .action((member: string, options: WaitOptions) => setExitCode(drain(member, options)));
+  addCommand("cancel <name>", "gives up the move of a shard, or the drain of a controller").action(
+    (name: string, options: CommonOptions) => setExitCode(cancel(name, options)),
   );
   return command;
 };
--- a/src/main.ts
+++ b/src/main.ts
@@ -19,7 +19,7 @@
   return (JSON.parse(file) as { version: string }).version;
 };
 
-const load = (options: { config: string; settings?: string }) => {
+const loadOrExit = (options: { config: string; settings?: string }) => {
   try {
     return loadSettings(options.config, options.settings);
   } catch (error) {
@@ -40,7 +40,7 @@
   .requiredOption("--config <file>", "the platform's settings (JSON)")
   .option("--settings <file>", "operators' own settings (JSON, see `indigowick schema`)")
   .action(async (options: { config: string; settings?: string }) => {
-    const settings = load(options);
+    const settings = loadOrExit(options);
     const log = makeLog(process.env["LOG_LEVEL"] ?? "info", settings.member);
     const exit = await Effect.runPromiseExit(runController(settings, log));
     if (Exit.isFailure(exit)) log.error({ reason: Cause.pretty(exit.cause) }, "can't run");
@@ -53,7 +53,7 @@
   .requiredOption("--config <file>", "the platform's settings (JSON)")
   .option("--settings <file>", "operators' own settings (JSON)")
   .action((options: { config: string; settings?: string }) => {
-    const settings = load(options);
+    const settings = loadOrExit(options);
     process.stdout.write(`ok: ${settings.member} in ${settings.zone}, ${settings.peers.length} peers\n`);
   });
 
--- a/src/service/api/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -8,38 +8,38 @@
 import type { JobCache } from "../job-cache.js";
 import type { Leader } from "../leader/leader.js";
 import type { Member } from "../members/member.js";
-import type { SubmissionLimits } from "./accepting-writes.js";
+import type { SubmissionLimits } from "./job-acceptance.js";
 import { type Answer, refusal, retryLater } from "./answers.js";
 import { CancelHandler } from "./cancels.js";
 import { DependentSubmissionHandler } from "./dependent-submissions.js";
 import { answerHealth } from "./health.js";
 import { answerHeartbeat, MAX_HEARTBEAT_BYTES } from "./heartbeats.js";
 import type { JobStatusReader } from "./job-status.js";
-import { StatusQuestions } from "./status-questions.js";
+import { StatusQueries } from "./status-queries.js";
 import { SubmissionHandler } from "./submissions.js";
-import { isUserPath, MAX_USER_BODY_BYTES, UserRequests } from "./user-requests.js";
+import { isUserPath, MAX_USER_BODY_BYTES, UserRequestRouter } from "./user-requests.js";
 
 /** Users' requests under way at once; more are told to come back. */
-const MAX_OPEN_REQUESTS = 400;
+const MAX_CONCURRENT_USER_REQUESTS = 400;
 const RETRY_AFTER_SECONDS = 1;
 /**
  * From this share of the connections on each answer ends its connection: workers of nodes that are down come here as
  * well, and one that can't connect sends its heartbeats nowhere. They connect anew for each one, and take turns.
  */
-const CROWDED_SHARE = 0.9;
+const CLOSE_ABOVE_CONNECTION_SHARE = 0.9;
 
 /** Where the server listens, how many connections it takes, and what holds of submissions. */
 export interface ApiServerOptions extends SubmissionLimits {
   readonly bind: string;
-  readonly connections: number;
+  readonly maxConnections: number;
 }
 
 /** Serves the API; every request gets an answer, 503 where nothing could be decided. */
 export class ApiServer {
   /** Connections of users, workers and health checks. */
-  connections = 0;
-  private openRequests = 0;
-  private readonly userRequests: UserRequests;
+  openConnections = 0;
+  private openUserRequests = 0;
+  private readonly userRequests: UserRequestRouter;
 
   /** Doesn't listen before `serve`. */
   constructor(
@@ -51,11 +51,18 @@
     private readonly leader: Leader,
     private readonly log: Log,
   ) {
-    const questions = new StatusQuestions(reader, (id) => leader.progressOf(id));
-    const dependent = new DependentSubmissionHandler(options, state, jobCache, reader, questions, log);
-    this.userRequests = new UserRequests(
-      new SubmissionHandler(options, state, jobCache, questions, dependent, log),
-      questions,
+    const statusQueries = new StatusQueries(reader, (id) => leader.progressOf(id));
+    const dependentSubmissions = new DependentSubmissionHandler(
+      options,
+      state,
+      jobCache,
+      reader,
+      statusQueries,
+      log,
+    );
+    this.userRequests = new UserRequestRouter(
+      new SubmissionHandler(options, state, jobCache, statusQueries, dependentSubmissions, log),
+      statusQueries,
       new CancelHandler(state, jobCache, reader, log),
     );
   }
@@ -73,20 +80,20 @@
       else this.send(response, refusal(404, "no such path"));
     });
     server.on("connection", (socket) => {
-      this.connections++;
-      socket.once("close", () => this.connections--);
+      this.openConnections++;
+      socket.once("close", () => this.openConnections--);
     });
-    return listen(server, this.options.bind, this.options.connections);
+    return listen(server, this.options.bind, this.options.maxConnections);
   }
 
   private serveUser(url: string, request: http.IncomingMessage, response: http.ServerResponse): void {
-    if (this.openRequests >= MAX_OPEN_REQUESTS) {
+    if (this.openUserRequests >= MAX_CONCURRENT_USER_REQUESTS) {
       request.resume();
       this.send(response, retryLater("busy"));
       return;
     }
-    this.openRequests++;
-    response.once("close", () => this.openRequests--);
+    this.openUserRequests++;
+    response.once("close", () => this.openUserRequests--);
     readBody(request, MAX_USER_BODY_BYTES, (body) => {
       const handled = this.userRequests.handle({ url, method: request.method ?? "", body }).pipe(
         Effect.catchAll((error) => Effect.succeed(retryLater(error.why))),
@@ -112,7 +119,8 @@
       // a new connection may lead to a node that reaches the state service
       if (!this.member.reachesStateService()) headers.connection = "close";
     }
-    if (this.connections > this.options.connections * CROWDED_SHARE) headers.connection = "close";
+    if (this.openConnections > this.options.maxConnections * CLOSE_ABOVE_CONNECTION_SHARE)
+      headers.connection = "close";
     response.writeHead(answer.status, headers).end(answer.body);
   }
 }
--- a/src/service/api/cancel-propagation.ts
+++ b/src/service/api/cancel-propagation.ts
@@ -9,13 +9,13 @@
 import { RejectionBackoff } from "../rejection-backoff.js";
 import type { KnownOutcomes } from "./known-outcomes.js";
 
-const WRITE_NAME = "passed-on cancel";
+const WRITE_KIND = "passed-on cancel";
 
 /** Writes these cancels; one that the state service refuses is repeated ever more rarely. */
 export class CancelPropagation {
   /** Blocked jobs whose cancel the state service refused, and until when it isn't tried again. */
-  private readonly refusedUntil = new Map<string, Instant>();
-  private readonly refusals: RejectionBackoff;
+  private readonly retryNotBefore = new Map<string, Instant>();
+  private readonly rejections: RejectionBackoff;
 
   /** Commits that it writes go to `outcomes` and leave the `jobCache`. */
   constructor(
@@ -24,7 +24,7 @@
     private readonly outcomes: KnownOutcomes,
     log: Log,
   ) {
-    this.refusals = new RejectionBackoff(log);
+    this.rejections = new RejectionBackoff(log);
   }
 
   /**
@@ -35,7 +35,7 @@
     return Effect.gen(this, function* () {
       const commit: CommitRecord = { outcome: "cancelled", tasks };
       // the same write would be refused again: neither the leader's rounds nor each question of a user may repeat it
-      if (now() < (this.refusedUntil.get(id) ?? 0))
+      if (now() < (this.retryNotBefore.get(id) ?? 0))
         return yield* new Unavailable({ why: "its cancel was refused a moment ago" });
       const result = yield* this.state.commit(
         [{ key: keys.commit(id), revision: 0 }],
@@ -46,11 +46,11 @@
         ],
       );
       if (result.ok === null) {
-        this.refusedUntil.set(id, plus(now(), this.refusals.refused(WRITE_NAME, result.error, id)));
+        this.retryNotBefore.set(id, plus(now(), this.rejections.rejected(WRITE_KIND, result.error, id)));
         return yield* new Unavailable({ why: result.error });
       }
-      this.refusals.accepted(WRITE_NAME, id);
-      this.refusedUntil.delete(id);
+      this.rejections.accepted(WRITE_KIND, id);
+      this.retryNotBefore.delete(id);
       this.outcomes.remember(id, commit);
       this.jobCache.remove(id);
       return commit;
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -18,25 +18,25 @@
 import type { JobCache } from "../job-cache.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 import type { JobStatusReader } from "./job-status.js";
-import type { QuestionFailed, StatusQuestions } from "./status-questions.js";
+import type { StatusQueryFailure, StatusQueries } from "./status-queries.js";
 import {
-  cannotBeStored,
-  isNew,
+  recordRejectedAnswer,
+  newJobConditions,
   isTooLarge,
   logAccepted,
   type SubmissionLimits,
-  TOO_LARGE,
-} from "./accepting-writes.js";
+  RECORD_TOO_LARGE_ANSWER,
+} from "./job-acceptance.js";
 import { commitForUser } from "./user-writes.js";
 
 /** Parents may be released or end while their child is accepted: it is tried again with what was read anew. */
 const MAX_TRIES = 4;
 /** Parents read at a time. */
-const PARENT_READS = 4;
+const CONCURRENT_PARENT_READS = 4;
 
 /**
  * A job that another one depends on: over, or unfinished and as it was read as long as `condition` holds. If it is blocked
- * itself, that holds no longer than none of its ancestors has one of the commits `ancestorCommits`.
+ * itself, that holds no longer than none of its ancestors has one of the commits `ancestorCommitKeys`.
  */
 type Parent =
   | { readonly id: string; readonly state: Outcome }
@@ -44,7 +44,7 @@
       readonly id: string;
       readonly state: "open";
       readonly condition: Condition;
-      readonly ancestorCommits: readonly string[];
+      readonly ancestorCommitKeys: readonly string[];
     };
 
 /** What the accepting write makes of the job. */
@@ -63,47 +63,50 @@
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
     private readonly reader: JobStatusReader,
-    private readonly questions: StatusQuestions,
+    private readonly statusQueries: StatusQueries,
     private readonly log: Log,
   ) {}
 
   /** Accepts the job, unless it is known already or depends on one that was never accepted. */
-  accept(submission: Submission): Effect.Effect<Answer, QuestionFailed> {
+  accept(submission: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.catchAll(this.tryToAccept(submission), (error) => {
-      const later = retryLater(error.why);
+      const retryAnswer = retryLater(error.why);
       // over the rate, the question for its status would only keep the user from coming again
-      if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(later);
+      if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(retryAnswer);
       // a repeat of an accepted job gets its answer also when a parent's record can't be read
-      return this.questions.refuseUnlessAccepted(submission.spec.id, later);
+      return this.statusQueries.refuseUnlessAccepted(submission.spec.id, retryAnswer);
     });
   }
 
-  private tryToAccept({ wire, spec }: Submission): Effect.Effect<Answer, QuestionFailed> {
+  private tryToAccept({ wire, spec }: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const { id, dependsOn } = spec;
       const record = jobRecord(wire, new Date());
-      if (this.growsTooLarge(record, dependsOn))
-        return yield* this.questions.refuseUnlessAccepted(id, TOO_LARGE);
+      if (this.mayGrowTooLarge(record, dependsOn))
+        return yield* this.statusQueries.refuseUnlessAccepted(id, RECORD_TOO_LARGE_ANSWER);
       const stale = new Set<string>();
       for (let tries = 0; tries < MAX_TRIES; tries++) {
         const found = yield* Effect.forEach(dependsOn, (parent) => this.parent(parent, stale.has(parent)), {
-          concurrency: PARENT_READS,
+          concurrency: CONCURRENT_PARENT_READS,
         });
         const parents = found.filter((parent) => parent !== null);
         if (parents.length < found.length)
-          return yield* this.questions.refuseUnlessAccepted(
+          return yield* this.statusQueries.refuseUnlessAccepted(
             id,
             refusal(422, "awaits names a job that was never accepted"),
           );
         const acceptance = acceptanceOf(spec, record, parents);
-        const own = isNew(id);
-        const conditions = [...own, ...parentConditions(parents, this.limits.conditions - own.length)];
+        const ownConditions = newJobConditions(id);
+        const conditions = [
+          ...ownConditions,
+          ...parentConditions(parents, this.limits.maxConditions - ownConditions.length),
+        ];
         const result = yield* commitForUser(this.state, conditions, changesOf(id, acceptance));
         if (result.ok === null)
-          return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
+          return yield* this.statusQueries.refuseUnlessAccepted(id, recordRejectedAnswer(result.error));
         if (result.ok) return this.accepted(spec, acceptance, result.revision);
-        if (result.failed.some((key) => own.some((condition) => condition.key === key)))
-          return yield* this.questions.answerRepeat(id);
+        if (result.failed.some((key) => ownConditions.some((condition) => condition.key === key)))
+          return yield* this.statusQueries.answerRepeatedSubmission(id);
         // some parent was released or ended: what is cached of them is behind
         for (const parent of dependsOn) stale.add(parent);
       }
@@ -112,15 +115,15 @@
   }
 
   /** Whether a record of the job would be too large at any time of its life. */
-  private growsTooLarge(record: object, dependsOn: readonly string[]): boolean {
-    const full: FaninRecord = { joined: dependsOn, released: true };
-    return [releasedRecord(record, new Date()), full].some((value) => isTooLarge(value, this.limits));
+  private mayGrowTooLarge(record: object, dependsOn: readonly string[]): boolean {
+    const largestFanin: FaninRecord = { joined: dependsOn, released: true };
+    return [releasedRecord(record, new Date()), largestFanin].some((value) => isTooLarge(value, this.limits));
   }
 
   /** A parent as it is now; null: it was never accepted. `stale`: what is cached of it is behind. */
   private parent(id: string, stale: boolean): Effect.Effect<Parent | null, StateError> {
     return Effect.gen(this, function* () {
-      const known = this.knownParent(id, stale);
+      const known = this.cachedParent(id, stale);
       if (known !== null) return known;
       const status = yield* this.reader.read(id);
       switch (status.kind) {
@@ -130,24 +133,24 @@
           return { id, state: status.commit.outcome };
         case "open":
           return status.blocked
-            ? openParent(id, keys.blockedJob(id), status.revision, this.reader.commitsBefore(id) ?? [])
+            ? openParent(id, keys.blockedJob(id), status.revision, this.reader.ancestorCommitKeys(id) ?? [])
             : openParent(id, keys.job(id), status.revision, []);
       }
     });
   }
 
   /** A parent as it is known here without a request; null: it has to be read. */
-  private knownParent(id: string, stale: boolean): Parent | null {
+  private cachedParent(id: string, stale: boolean): Parent | null {
     const commit = this.reader.outcome(id);
     if (commit !== undefined) return { id, state: commit.outcome };
     if (stale) return null;
-    const job = this.jobCache.jobs.get(id);
+    const job = this.jobCache.released.get(id);
     if (job !== undefined) return openParent(id, keys.job(id), job.revision, []);
-    const blocked = this.jobCache.waiting.get(id);
-    const ancestorCommits = blocked === undefined ? null : this.reader.commitsBefore(id);
-    return blocked === undefined || ancestorCommits === null
+    const blocked = this.jobCache.blocked.get(id);
+    const ancestorCommitKeys = blocked === undefined ? null : this.reader.ancestorCommitKeys(id);
+    return blocked === undefined || ancestorCommitKeys === null
       ? null
-      : openParent(id, keys.blockedJob(id), blocked.revision, ancestorCommits);
+      : openParent(id, keys.blockedJob(id), blocked.revision, ancestorCommitKeys);
   }
 
   /** After the accepting write: what was written is known here at once. */
@@ -164,7 +167,7 @@
         return answer(201, jobAnswer(id, "queued"));
       case "blocked":
         this.jobCache.putFanin(id, acceptance.fanin, revision);
-        this.jobCache.putWaiting(keys.blockedJob(id), acceptance.record, revision);
+        this.jobCache.putBlocked(keys.blockedJob(id), acceptance.record, revision);
         return answer(201, jobAnswer(id, "queued"));
     }
   }
@@ -174,8 +177,8 @@
   id: string,
   key: string,
   revision: number,
-  ancestorCommits: readonly string[],
-): Parent => ({ id, state: "open", condition: { key, revision }, ancestorCommits });
+  ancestorCommitKeys: readonly string[],
+): Parent => ({ id, state: "open", condition: { key, revision }, ancestorCommitKeys: ancestorCommitKeys });
 
 const acceptanceOf = (job: JobSpec, record: object, parents: readonly Parent[]): Acceptance => {
   if (parents.some((parent) => parent.state === "cancelled"))
@@ -190,10 +193,10 @@
 const parentConditions = (parents: readonly Parent[], limit: number): Condition[] => {
   const open = parents.filter((parent) => parent.state === "open");
   // an ancestor's cancel counts although it hasn't been passed on to the parent yet
-  const ancestorCommits = new Set(open.flatMap((parent) => parent.ancestorCommits));
+  const ancestorCommitKeys = new Set(open.flatMap((parent) => parent.ancestorCommitKeys));
   const all = [
     ...open.map((parent) => parent.condition),
-    ...[...ancestorCommits].map((key): Condition => ({ key, revision: 0 })),
+    ...[...ancestorCommitKeys].map((key): Condition => ({ key, revision: 0 })),
   ];
   return all.slice(0, Math.max(0, limit));
 };
--- a/src/service/api/accepting-writes.ts
+++ b/src/service/api/job-acceptance.ts
@@ -11,11 +11,11 @@
   /** The largest value that the state service stores, in KiB. */
   readonly valueKb: number;
   /** How many conditions one transaction compares. */
-  readonly conditions: number;
+  readonly maxConditions: number;
 }
 
 /** The job is new: none of the records that it has in the course of its life exists. */
-export const isNew = (id: string): Condition[] =>
+export const newJobConditions = (id: string): Condition[] =>
   [keys.commit(id), keys.job(id), keys.blockedJob(id)].map((key) => ({ key, revision: 0 }));
 
 /** Whether a record is too large for the state service. */
@@ -23,10 +23,10 @@
   Buffer.byteLength(JSON.stringify(record)) > limits.valueKb * 1024;
 
 /** The refusal of a job that can't be stored. One that was accepted when values could be larger stays accepted. */
-export const TOO_LARGE = refusal(400, "too large to be stored");
+export const RECORD_TOO_LARGE_ANSWER = refusal(400, "too large to be stored");
 
 /** The refusal of a job whose record the state service itself refused. */
-export const cannotBeStored = (error: string): Answer => refusal(400, `can't be stored: ${error}`);
+export const recordRejectedAnswer = (error: string): Answer => refusal(400, `can't be stored: ${error}`);
 
 /** One line for each accepted job, for those who count them. */
 export const logAccepted = (log: Log, job: JobSpec): void =>
--- a/src/service/api/job-ancestors.ts
+++ b/src/service/api/job-ancestors.ts
@@ -15,14 +15,17 @@
   ) {}
 
   /** All jobs before a blocked one that aren't known to be done. A released job has none: all before it are done. */
-  of(id: string): string[] {
-    if (!this.jobCache.waiting.has(id)) return [];
-    return this.jobCache.waiters.ancestorsOf(id, (parent) => this.outcomes.get(parent)?.outcome === "done");
+  ancestorsNotDone(id: string): string[] {
+    if (!this.jobCache.blocked.has(id)) return [];
+    return this.jobCache.dependencies.ancestorsOf(
+      id,
+      (parent) => this.outcomes.get(parent)?.outcome === "done",
+    );
   }
 
   /** The keys of the commits that a blocked job's end may come from; null: not all before it was heard of yet. */
   commitKeys(id: string): string[] | null {
-    const ancestors = this.of(id);
+    const ancestors = this.ancestorsNotDone(id);
     return ancestors.every((ancestor) => this.jobCache.isUnfinished(ancestor))
       ? ancestors.map(keys.commit)
       : null;
--- a/src/service/api/job-status.ts
+++ b/src/service/api/job-status.ts
@@ -12,8 +12,8 @@
 import { JobAncestors } from "./job-ancestors.js";
 import { JobRecordReader } from "./job-record-reader.js";
 import { KnownOutcomes } from "./known-outcomes.js";
-import { QuestionBatcher } from "./question-batcher.js";
-import type { JobStatus, TooManyQuestions } from "./status-types.js";
+import { StatusQueryBatcher } from "./status-query-batcher.js";
+import type { JobStatus, TooManyQueries } from "./status-types.js";
 
 /** The status of jobs for the API, and their outcomes for whoever passes them on. */
 export class JobStatusReader {
@@ -21,14 +21,19 @@
   private readonly ancestors: JobAncestors;
   private readonly cancels: CancelPropagation;
   private readonly records: JobRecordReader;
-  private readonly batcher: QuestionBatcher;
+  private readonly batcher: StatusQueryBatcher;
 
-  /** `conditions`: how many one transaction compares. */
-  constructor(state: StateClient, jobCache: JobCache, conditions: number, log: Log) {
+  /** `maxConditions`: how many one transaction compares. */
+  constructor(state: StateClient, jobCache: JobCache, maxConditions: number, log: Log) {
     this.ancestors = new JobAncestors(jobCache, this.outcomes);
     this.cancels = new CancelPropagation(state, jobCache, this.outcomes, log);
     this.records = new JobRecordReader(state, jobCache, this.outcomes, this.ancestors, this.cancels);
-    this.batcher = new QuestionBatcher({ state, conditions }, jobCache, this.ancestors, this.records);
+    this.batcher = new StatusQueryBatcher(
+      { state, maxConditions: maxConditions },
+      jobCache,
+      this.ancestors,
+      this.records,
+    );
   }
 
   /** A job's commit, if it is known here. */
@@ -42,25 +47,25 @@
   }
 
   /** The status of a job as of a moment after the call. Questions that come together are one request. */
-  statusOf(id: string): Effect.Effect<JobStatus, StateError | TooManyQuestions> {
-    return Effect.suspend((): Effect.Effect<JobStatus, StateError | TooManyQuestions> => {
+  statusOf(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
+    return Effect.suspend((): Effect.Effect<JobStatus, StateError | TooManyQueries> => {
       const commit = this.outcomes.get(id);
       return commit === undefined ? this.batcher.ask(id) : Effect.succeed({ kind: "final", commit });
     });
   }
 
-  /** The status of a job read at once, on its own; with a `patience`, only if this node's share of requests allows. */
-  read(id: string, patience?: Duration.Duration): Effect.Effect<JobStatus, StateError> {
-    return this.records.read(id, patience);
+  /** The status of a job read at once, on its own; with a `maxWait`, only if this node's share of requests allows. */
+  read(id: string, maxWait?: Duration.Duration): Effect.Effect<JobStatus, StateError> {
+    return this.records.read(id, maxWait);
   }
 
   /** The keys of the commits that a blocked job's end may come from; null: not all before it was heard of yet. */
-  commitsBefore(id: string): string[] | null {
+  ancestorCommitKeys(id: string): string[] | null {
     return this.ancestors.commitKeys(id);
   }
 
   /** Cancels a blocked job because one that it depends on was cancelled. */
-  cancelWaiting(id: string, tasks: number): Effect.Effect<CommitRecord, StateError> {
+  cancelBlocked(id: string, tasks: number): Effect.Effect<CommitRecord, StateError> {
     return this.cancels.cancelBlocked(id, tasks);
   }
 }
--- a/src/service/api/known-outcomes.ts
+++ b/src/service/api/known-outcomes.ts
@@ -2,7 +2,7 @@
 import type { CommitRecord } from "../../core/records.js";
 import type { JobStatus } from "./status-types.js";
 
-const MAX_KEPT = 20_000;
+const MAX_OUTCOMES = 20_000;
 
 /** The commits that were read or written last. */
 export class KnownOutcomes {
@@ -16,13 +16,13 @@
   /** Keeps a commit that is in the state service, in place of the oldest where there are too many. */
   remember(id: string, commit: CommitRecord): void {
     this.commits.set(id, commit);
-    if (this.commits.size <= MAX_KEPT) return;
+    if (this.commits.size <= MAX_OUTCOMES) return;
     const oldest = this.commits.keys().next();
     if (oldest.done !== true) this.commits.delete(oldest.value);
   }
 
   /** The status of a job whose commit was read; the commit is kept. */
-  final(id: string, commit: CommitRecord): JobStatus {
+  rememberFinal(id: string, commit: CommitRecord): JobStatus {
     this.remember(id, commit);
     return { kind: "final", commit };
   }
--- a/src/service/api/status-questions.ts
+++ b/src/service/api/status-queries.ts
@@ -4,7 +4,7 @@
 import type { StateError } from "../../io/state-client.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 import type { JobStatusReader } from "./job-status.js";
-import type { JobStatus, TooManyQuestions } from "./status-types.js";
+import type { JobStatus, TooManyQueries } from "./status-types.js";
 
 /** How many tasks of an unfinished job are done and running. For display: it may lag. */
 export interface TaskCounts {
@@ -13,12 +13,12 @@
 }
 
 /** Why a question got no answer; the user asks again. */
-export type QuestionFailed = StateError | TooManyQuestions;
+export type StatusQueryFailure = StateError | TooManyQueries;
 
 type AcceptedStatus = Exclude<JobStatus, { kind: "absent" }>;
 
 /** Answers that rest on a job's status as the state service has it after the request came. */
-export class StatusQuestions {
+export class StatusQueries {
   /** `taskCounts`: what the leader last said of an unfinished job's tasks. */
   constructor(
     private readonly reader: JobStatusReader,
@@ -26,7 +26,7 @@
   ) {}
 
   /** The answer to a user's question for a job; 404: it was never accepted. */
-  ask(id: string): Effect.Effect<Answer, QuestionFailed> {
+  answerQuery(id: string): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.map(this.reader.statusOf(id), (status) => {
       if (status.kind === "absent") return refusal(404, "no such run");
       const { done, running } = this.countsOf(id, status);
@@ -35,12 +35,12 @@
   }
 
   /** The answer to a submission of a job that seems to be known already. */
-  answerRepeat(id: string): Effect.Effect<Answer, QuestionFailed> {
+  answerRepeatedSubmission(id: string): Effect.Effect<Answer, StatusQueryFailure> {
     return this.refuseUnlessAccepted(id, retryLater("not decided"));
   }
 
   /** Refuses a submission. A repeat of an accepted job is never refused: it gets the job's state, whatever it says now. */
-  refuseUnlessAccepted(id: string, refused: Answer): Effect.Effect<Answer, QuestionFailed> {
+  refuseUnlessAccepted(id: string, refused: Answer): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.map(this.reader.statusOf(id), (status) =>
       status.kind === "absent" ? refused : answer(200, jobAnswer(id, this.userStateOf(id, status))),
     );
--- a/src/service/api/question-batcher.ts
+++ b/src/service/api/status-query-batcher.ts
@@ -8,42 +8,42 @@
 import type { JobCache } from "../job-cache.js";
 import type { JobAncestors } from "./job-ancestors.js";
 import type { JobRecordReader } from "./job-record-reader.js";
-import { type JobStatus, TooManyQuestions } from "./status-types.js";
+import { type JobStatus, TooManyQueries } from "./status-types.js";
 
-interface Question {
+interface StatusQuery {
   readonly id: string;
   /** The keys that must not exist for a non-final answer, or for 404. */
   readonly absentKeys: readonly string[];
   /** Whether the job is unfinished as far as is known here. */
-  readonly known: boolean;
+  readonly isUnfinished: boolean;
   readonly answer: Deferred.Deferred<JobStatus, StateError>;
 }
 
 /** Users wait 2 s for an answer, so a moment's gathering costs them nothing and saves a request each. */
-const GATHER = Duration.millis(250);
+const BATCHING_DELAY = Duration.millis(250);
 /** A question that this node's share of requests can't serve within this is answered 503 at once. */
-const PATIENCE = Duration.millis(800);
+const MAX_PACING_WAIT = Duration.millis(800);
 const MAX_QUEUED = 2000;
 const MAX_DEFERRED = 5000;
 /** Transactions for one batch, each without those that failed before; whoever is left is read on its own. */
-const MAX_ROUNDS = 3;
+const MAX_CHECKS_PER_BATCH = 3;
 /** Batches checked, and jobs read, at a time. */
-const BATCHES = 2;
-const READS = 8;
+const CONCURRENT_BATCHES = 2;
+const CONCURRENT_READS = 8;
 
 /** What the batcher asks the state service with: transactions that only compare, with so many conditions at most. */
 export interface BatcherOptions {
   readonly state: Pick<StateClient, "commit">;
-  readonly conditions: number;
+  readonly maxConditions: number;
 }
 
 /** Gathers questions for a moment, then answers each. */
-export class QuestionBatcher {
-  private queued: Question[] = [];
-  private gathering = false;
+export class StatusQueryBatcher {
+  private queued: StatusQuery[] = [];
+  private flushScheduled = false;
   /** Questions that got no answer, the oldest first: they go before others, so that no job's are deferred for ever. */
   private readonly deferred = new Map<string, number>();
-  private lastDeferred = 0;
+  private lastDeferredRank = 0;
 
   /** Questions that a batch can't answer go to `reader`. */
   constructor(
@@ -54,34 +54,42 @@
   ) {}
 
   /** The status of a job, whose outcome isn't known here, as of a moment after the call. */
-  ask(id: string): Effect.Effect<JobStatus, StateError | TooManyQuestions> {
+  ask(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.gen(this, function* () {
-      if (this.queued.length >= MAX_QUEUED) return yield* new TooManyQuestions({ why: "busy" });
+      if (this.queued.length >= MAX_QUEUED) return yield* new TooManyQueries({ why: "busy" });
       const answer = yield* Deferred.make<JobStatus, StateError>();
-      const known = this.jobCache.isUnfinished(id);
-      this.queued.push({ id, absentKeys: this.absentKeysOf(id, known), known, answer });
-      if (!this.gathering) {
-        this.gathering = true;
-        Effect.runFork(Effect.zipRight(Effect.sleep(GATHER), this.flush));
+      const isUnfinished = this.jobCache.isUnfinished(id);
+      this.queued.push({
+        id,
+        absentKeys: this.absentKeysOf(id, isUnfinished),
+        isUnfinished: isUnfinished,
+        answer,
+      });
+      if (!this.flushScheduled) {
+        this.flushScheduled = true;
+        Effect.runFork(Effect.zipRight(Effect.sleep(BATCHING_DELAY), this.flush));
       }
       return yield* Deferred.await(answer);
     });
   }
 
   /** An unfinished job rests on its own commit and on those of all before it that aren't known to be done. */
-  private absentKeysOf(id: string, known: boolean): string[] {
-    if (!known) return [keys.commit(id), keys.job(id), keys.blockedJob(id)];
-    return [id, ...this.ancestors.of(id)].map(keys.commit);
+  private absentKeysOf(id: string, isUnfinished: boolean): string[] {
+    if (!isUnfinished) return [keys.commit(id), keys.job(id), keys.blockedJob(id)];
+    return [id, ...this.ancestors.ancestorsNotDone(id)].map(keys.commit);
   }
 
   private readonly flush: Effect.Effect<void> = Effect.suspend(() => {
-    this.gathering = false;
-    const batches = this.batched(this.deferredFirst(this.queued));
+    this.flushScheduled = false;
+    const batches = this.toBatches(this.deferredFirst(this.queued));
     this.queued = [];
-    return Effect.forEach(batches, (batch) => this.check(batch), { concurrency: BATCHES, discard: true });
+    return Effect.forEach(batches, (batch) => this.answerBatch(batch), {
+      concurrency: CONCURRENT_BATCHES,
+      discard: true,
+    });
   });
 
-  private deferredFirst(questions: readonly Question[]): Question[] {
+  private deferredFirst(questions: readonly StatusQuery[]): StatusQuery[] {
     const ranked = questions.map((question) => ({
       question,
       rank: this.deferred.get(question.id) ?? Infinity,
@@ -91,15 +99,15 @@
   }
 
   /** Batches that one transaction compares each, unless a single question has more keys than that. */
-  private batched(questions: readonly Question[]): Question[][] {
-    const batches: Question[][] = [];
-    let batch: Question[] = [];
+  private toBatches(questions: readonly StatusQuery[]): StatusQuery[][] {
+    const batches: StatusQuery[][] = [];
+    let batch: StatusQuery[] = [];
     let conditionsLeft = 0;
     for (const question of questions) {
       if (question.absentKeys.length > conditionsLeft) {
         batch = [];
         batches.push(batch);
-        conditionsLeft = this.options.conditions;
+        conditionsLeft = this.options.maxConditions;
       }
       conditionsLeft -= question.absentKeys.length;
       batch.push(question);
@@ -108,22 +116,27 @@
   }
 
   /** One comparing transaction shows for all that no commit exists; whoever fails it is read. */
-  private check(batch: readonly Question[]): Effect.Effect<void> {
-    const readAll = (questions: readonly Question[]): Effect.Effect<void> =>
-      Effect.forEach(questions, (question) => this.readFor(question), { concurrency: READS, discard: true });
+  private answerBatch(batch: readonly StatusQuery[]): Effect.Effect<void> {
+    const readAll = (questions: readonly StatusQuery[]): Effect.Effect<void> =>
+      Effect.forEach(questions, (question) => this.answerByReading(question), {
+        concurrency: CONCURRENT_READS,
+        discard: true,
+      });
     return Effect.gen(this, function* () {
       let left = batch;
-      for (let round = 0; left.length > 0 && round < MAX_ROUNDS; round++) {
-        const existing = yield* this.existing([...new Set(left.flatMap((question) => question.absentKeys))]);
-        if (existing !== null && existing.size === 0) {
-          yield* Effect.forEach(left, (question) => this.confirmed(question), {
-            concurrency: READS,
+      for (let round = 0; left.length > 0 && round < MAX_CHECKS_PER_BATCH; round++) {
+        const existingKeys = yield* this.existing([
+          ...new Set(left.flatMap((question) => question.absentKeys)),
+        ]);
+        if (existingKeys !== null && existingKeys.size === 0) {
+          yield* Effect.forEach(left, (question) => this.answerFromCache(question), {
+            concurrency: CONCURRENT_READS,
             discard: true,
           });
           return;
         }
-        const hasFailed = (question: Question): boolean =>
-          question.absentKeys.some((key) => existing?.has(key) ?? false);
+        const hasFailed = (question: StatusQuery): boolean =>
+          question.absentKeys.some((key) => existingKeys?.has(key) ?? false);
         const failed = left.filter(hasFailed);
         if (failed.length === 0) break;
         const others = left.filter((question) => !hasFailed(question));
@@ -142,14 +155,16 @@
    * Which of these keys exist; null: some do, and the state service doesn't say which. Commits stay for ever, so more
    * keys than one transaction compares are asked for one transaction after the other.
    */
-  private existing(all: readonly string[]): Effect.Effect<Set<string> | null, StateError> {
+  private existing(keysToCheck: readonly string[]): Effect.Effect<Set<string> | null, StateError> {
     return Effect.gen(this, function* () {
-      const { state, conditions } = this.options;
+      const { state, maxConditions: maxConditions } = this.options;
       const found = new Set<string>();
-      for (let at = 0; at < all.length; at += conditions) {
-        const when = all.slice(at, at + conditions).map((key): Condition => ({ key, revision: 0 }));
+      for (let at = 0; at < keysToCheck.length; at += maxConditions) {
+        const when = keysToCheck
+          .slice(at, at + maxConditions)
+          .map((key): Condition => ({ key, revision: 0 }));
         // users' questions wait for this node's share, so that renewals and commits never do
-        const result = yield* state.commit(when, [], "later", PATIENCE);
+        const result = yield* state.commit(when, [], "later", MAX_PACING_WAIT);
         if (result.ok === true) continue;
         if (result.ok === null || result.failed.length === 0) return null;
         for (const key of result.failed) found.add(key);
@@ -159,17 +174,18 @@
   }
 
   /** None of its keys exists: what is known here holds, unless something was heard of it since the question came. */
-  private confirmed(question: Question): Effect.Effect<boolean> {
+  private answerFromCache(question: StatusQuery): Effect.Effect<boolean> {
     const { id } = question;
-    if (!question.known) return this.succeed(question, { kind: "absent" });
-    const released = this.jobCache.jobs.get(id);
-    const blocked = this.jobCache.waiting.get(id);
+    if (!question.isUnfinished) return this.succeed(question, { kind: "absent" });
+    const released = this.jobCache.released.get(id);
+    const blocked = this.jobCache.blocked.get(id);
     // it ended in the meantime, more was heard of what it depends on, or something before it was not heard of yet
     const isUnchecked = (ancestor: string): boolean =>
       !question.absentKeys.includes(keys.commit(ancestor)) || !this.jobCache.isUnfinished(ancestor);
-    if (released === undefined && this.ancestors.of(id).some(isUnchecked)) return this.readFor(question);
+    if (released === undefined && this.ancestors.ancestorsNotDone(id).some(isUnchecked))
+      return this.answerByReading(question);
     const job = released ?? blocked;
-    if (job === undefined) return this.readFor(question);
+    if (job === undefined) return this.answerByReading(question);
     const { revision, spec } = job;
     return this.succeed(question, {
       kind: "open",
@@ -179,21 +195,21 @@
     });
   }
 
-  private readFor(question: Question): Effect.Effect<boolean> {
-    return Effect.matchEffect(this.reader.read(question.id, PATIENCE), {
+  private answerByReading(question: StatusQuery): Effect.Effect<boolean> {
+    return Effect.matchEffect(this.reader.read(question.id, MAX_PACING_WAIT), {
       onSuccess: (status) => this.succeed(question, status),
       onFailure: (error) => this.fail(question, error),
     });
   }
 
-  private succeed(question: Question, status: JobStatus): Effect.Effect<boolean> {
+  private succeed(question: StatusQuery, status: JobStatus): Effect.Effect<boolean> {
     this.deferred.delete(question.id);
     return Deferred.succeed(question.answer, status);
   }
 
-  private fail(question: Question, error: StateError): Effect.Effect<boolean> {
+  private fail(question: StatusQuery, error: StateError): Effect.Effect<boolean> {
     if (!this.deferred.has(question.id) && this.deferred.size < MAX_DEFERRED)
-      this.deferred.set(question.id, ++this.lastDeferred);
+      this.deferred.set(question.id, ++this.lastDeferredRank);
     return Deferred.fail(question.answer, error);
   }
 }
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -7,56 +7,62 @@
 import type { StateClient } from "../../io/state-client.js";
 import type { JobCache } from "../job-cache.js";
 import {
-  cannotBeStored,
-  isNew,
+  recordRejectedAnswer,
+  newJobConditions,
   isTooLarge,
   logAccepted,
   type SubmissionLimits,
-  TOO_LARGE,
-} from "./accepting-writes.js";
+  RECORD_TOO_LARGE_ANSWER,
+} from "./job-acceptance.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 import type { DependentSubmissionHandler } from "./dependent-submissions.js";
-import type { QuestionFailed, StatusQuestions } from "./status-questions.js";
+import type { StatusQueryFailure, StatusQueries } from "./status-queries.js";
 import { commitForUser } from "./user-writes.js";
 
 /** Handles users' submissions, which are repeated until they get a final answer. */
 export class SubmissionHandler {
-  /** Jobs that depend on others are passed on to `dependent` once they are checked. */
+  /** Jobs that depend on others are passed on to `dependentSubmissions` once they are checked. */
   constructor(
     private readonly limits: SubmissionLimits,
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
-    private readonly questions: StatusQuestions,
-    private readonly dependent: DependentSubmissionHandler,
+    private readonly statusQueries: StatusQueries,
+    private readonly dependentSubmissions: DependentSubmissionHandler,
     private readonly log: Log,
   ) {}
 
   /** Accepts a job, tells the state of one that is known, or refuses one that can never run. */
-  submit(body: string): Effect.Effect<Answer, QuestionFailed> {
+  submit(body: string): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const parsed = parseSubmission(body);
       if (typeof parsed === "string") return refusal(400, parsed);
       const { wire, spec } = parsed;
-      if (this.jobCache.isUnfinished(spec.id)) return yield* this.questions.answerRepeat(spec.id);
+      if (this.jobCache.isUnfinished(spec.id))
+        return yield* this.statusQueries.answerRepeatedSubmission(spec.id);
       if (this.jobCache.types.length === 0) return retryLater("machine types are not known yet");
       if (isTooLarge(jobRecord(wire, new Date()), this.limits))
-        return yield* this.questions.refuseUnlessAccepted(spec.id, TOO_LARGE);
+        return yield* this.statusQueries.refuseUnlessAccepted(spec.id, RECORD_TOO_LARGE_ANSWER);
       const reason = unschedulableReason(spec, this.limits.teams, this.jobCache.types);
-      if (reason !== null) return yield* this.questions.refuseUnlessAccepted(spec.id, refusal(422, reason));
-      return yield* spec.dependsOn.length === 0 ? this.accept(parsed) : this.dependent.accept(parsed);
+      if (reason !== null)
+        return yield* this.statusQueries.refuseUnlessAccepted(spec.id, refusal(422, reason));
+      return yield* spec.dependsOn.length === 0
+        ? this.accept(parsed)
+        : this.dependentSubmissions.accept(parsed);
     });
   }
 
   /** The accepting write, which also releases the job. */
-  private accept({ wire, spec }: Submission): Effect.Effect<Answer, QuestionFailed> {
+  private accept({ wire, spec }: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const { id } = spec;
       const record = jobRecord(wire, new Date());
-      const result = yield* commitForUser(this.state, isNew(id), [{ put: keys.job(id), value: record }]);
+      const result = yield* commitForUser(this.state, newJobConditions(id), [
+        { put: keys.job(id), value: record },
+      ]);
       // the state service refuses before it compares: this may be a repeat of an accepted job all the same
       if (result.ok === null)
-        return yield* this.questions.refuseUnlessAccepted(id, cannotBeStored(result.error));
-      if (!result.ok) return yield* this.questions.answerRepeat(id);
+        return yield* this.statusQueries.refuseUnlessAccepted(id, recordRejectedAnswer(result.error));
+      if (!result.ok) return yield* this.statusQueries.answerRepeatedSubmission(id);
       this.jobCache.put(keys.job(id), record, result.revision);
       logAccepted(this.log, spec);
       return answer(201, jobAnswer(id, "queued"));
--- a/src/service/api/user-requests.ts
+++ b/src/service/api/user-requests.ts
@@ -3,7 +3,7 @@
 import { paths } from "../../io/codec.js";
 import { type Answer, refusal } from "./answers.js";
 import type { CancelHandler } from "./cancels.js";
-import type { QuestionFailed, StatusQuestions } from "./status-questions.js";
+import type { StatusQueryFailure, StatusQueries } from "./status-queries.js";
 import type { SubmissionHandler } from "./submissions.js";
 
 /** The largest body of a user's request. */
@@ -22,16 +22,16 @@
 export const isUserPath = (url: string): boolean => url === paths.runs || url.startsWith(`${paths.runs}/`);
 
 /** Passes users' requests on to the handlers of submissions, questions and cancels. */
-export class UserRequests {
+export class UserRequestRouter {
   /** One handler for each kind of request. */
   constructor(
     private readonly submissions: SubmissionHandler,
-    private readonly questions: StatusQuestions,
+    private readonly statusQueries: StatusQueries,
     private readonly cancels: CancelHandler,
   ) {}
 
   /** The answer to a request of a path that `isUserPath`; fails where the user has to come back. */
-  handle({ url, method, body }: UserRequest): Effect.Effect<Answer, QuestionFailed> {
+  handle({ url, method, body }: UserRequest): Effect.Effect<Answer, StatusQueryFailure> {
     if (url === paths.runs) {
       if (method !== "POST") return Effect.succeed(refusal(405, "POST a run here"));
       if (body === null) return Effect.succeed(refusal(400, "body over 64 KiB"));
@@ -40,7 +40,7 @@
     const [id = "", verb, ...rest] = url.slice(paths.runs.length + 1).split("/");
     // an id of another form can't have been accepted, nor does it make a key
     if (!JOB_ID.test(id) || rest.length > 0) return Effect.succeed(refusal(404, "no such run"));
-    if (verb === undefined && method === "GET") return this.questions.ask(id);
+    if (verb === undefined && method === "GET") return this.statusQueries.answerQuery(id);
     if (verb === paths.cancel && method === "POST") return this.cancels.cancel(id);
     const isKnownPath = verb === undefined || verb === paths.cancel;
     return Effect.succeed(refusal(isKnownPath ? 405 : 404, "no such request"));
--- a/src/service/api/user-writes.ts
+++ b/src/service/api/user-writes.ts
@@ -14,7 +14,7 @@
   type StateError,
 } from "../../io/state-client.js";
 
-const RETRY_AFTER = Duration.millis(150);
+const RETRY_INTERVAL = Duration.millis(150);
 /** How often a write is sent again after its first attempt. */
 export const MAX_RETRIES = 4;
 
@@ -26,5 +26,5 @@
 ): Effect.Effect<CommitResult, StateError> =>
   Effect.retry(state.commit(when, apply, "vital"), {
     while: isOverTheRate,
-    schedule: Schedule.intersect(Schedule.spaced(RETRY_AFTER), Schedule.recurs(MAX_RETRIES)),
+    schedule: Schedule.intersect(Schedule.spaced(RETRY_INTERVAL), Schedule.recurs(MAX_RETRIES)),
   });
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -24,23 +24,23 @@
  * Shares of the platform's limit of sockets. When other nodes are down all workers and users come to this one, so what
  * is kept open to workers gives way to them.
  */
-const API_SHARE = 0.85;
-const WORKER_CALLS_SHARE = 0.06;
-const IDLE_WORKER_CONNECTIONS_SHARE = 0.3;
+const API_CONNECTION_SHARE = 0.85;
+const WORKER_CALL_CONNECTION_SHARE = 0.06;
+const IDLE_WORKER_CONNECTION_SHARE = 0.3;
 /** The state service, the cloud and the other nodes. */
-const OTHERS_SHARE = 0.05;
+const OTHER_CONNECTION_SHARE = 0.05;
 
 /** A watch of the jobs is answered within this share of the time for which a view of them counts as fresh. */
-const WATCH_SHARE_OF_VIEW_AGE = 0.2;
-const MAX_WATCH = Duration.seconds(2);
+const WATCH_TIMEOUT_PER_VIEW_AGE = 0.2;
+const MAX_WATCH_TIMEOUT = Duration.seconds(2);
 /** Conditions in one transaction for each change that it may hold. */
 const CONDITIONS_PER_CHANGE = 4;
 /** A machine's last contact is kept for this long after its expiry. */
-const KEPT_AFTER_EXPIRY = Duration.seconds(20);
-const MIN_LIST_PAUSE_S = 2;
+const CONTACT_RETENTION_AFTER_EXPIRY = Duration.seconds(20);
+const MIN_LIST_INTERVAL_S = 2;
 
 /** What the parts are built from. */
-interface Foundation {
+interface BaseServices {
   readonly settings: Settings;
   readonly log: Log;
   readonly timings: LeaseTimings;
@@ -62,13 +62,13 @@
 }
 
 /** The whole controller. */
-interface Controller extends Foundation, Cluster {
+interface Controller extends BaseServices, Cluster {
   readonly status: JobStatusReader;
   readonly leader: Leader;
   readonly apiServer: ApiServer;
 }
 
-const layFoundation = (settings: Settings, log: Log): Foundation => {
+const buildBaseServices = (settings: Settings, log: Log): BaseServices => {
   const state = new StateClient(settings.state, settings.stateLimits, settings.peers.length + 1);
   state.setLeading(false);
   return {
@@ -83,15 +83,15 @@
   };
 };
 
-const buildJobCache = ({ state, log, timings }: Foundation): JobCache =>
+const buildJobCache = ({ state, log, timings }: BaseServices): JobCache =>
   new JobCache(
     state,
     log,
-    Duration.min(MAX_WATCH, Duration.times(timings.jobViewMaxAge, WATCH_SHARE_OF_VIEW_AGE)),
+    Duration.min(MAX_WATCH_TIMEOUT, Duration.times(timings.jobViewMaxAge, WATCH_TIMEOUT_PER_VIEW_AGE)),
   );
 
-const buildMembership = (foundation: Foundation, jobCache: JobCache): Membership => {
-  const { settings, timings, state, log, peers } = foundation;
+const buildMembership = (base: BaseServices, jobCache: JobCache): Membership => {
+  const { settings, timings, state, log, peers } = base;
   return new Membership(
     settings.member,
     settings.zone,
@@ -100,57 +100,58 @@
     log,
     settings.peers.map((peer) => peer.member),
     (other, termNumber) => peers.confirmTerm(other, termNumber),
-    () => jobCache.read,
+    () => jobCache.currentAsOf,
     settings.operator.shards.enabled ? shardExtension(settings.member, state) : undefined,
   );
 };
 
-const buildWorkerClient = ({ settings, apiConnections }: Foundation): WorkerClient => {
+const buildWorkerClient = ({ settings, apiConnections }: BaseServices): WorkerClient => {
   const { maxConnections } = settings;
-  return new WorkerClient(Math.ceil(maxConnections * WORKER_CALLS_SHARE), () => {
-    const left = maxConnections * (1 - OTHERS_SHARE - WORKER_CALLS_SHARE) - apiConnections.count();
-    return Math.min(left, maxConnections * IDLE_WORKER_CONNECTIONS_SHARE);
+  return new WorkerClient(Math.ceil(maxConnections * WORKER_CALL_CONNECTION_SHARE), () => {
+    const left =
+      maxConnections * (1 - OTHER_CONNECTION_SHARE - WORKER_CALL_CONNECTION_SHARE) - apiConnections.count();
+    return Math.min(left, maxConnections * IDLE_WORKER_CONNECTION_SHARE);
   });
 };
 
-const buildMember = (foundation: Foundation, membership: Membership, workers: WorkerClient): Member => {
-  const { settings, timings, state, peers, log } = foundation;
+const buildMember = (base: BaseServices, membership: Membership, workers: WorkerClient): Member => {
+  const { settings, timings, state, peers, log } = base;
   const options = {
     me: settings.member,
     txnOps: settings.stateLimits.txnOps,
     valueKb: settings.stateLimits.valueKb,
-    keepFor: Duration.sum(timings.machineExpiry, KEPT_AFTER_EXPIRY),
+    keepFor: Duration.sum(timings.machineExpiry, CONTACT_RETENTION_AFTER_EXPIRY),
   };
   return new Member(options, membership, state, workers, peers, log);
 };
 
-const buildShards = (foundation: Foundation, membership: Membership, workers: WorkerClient): Shards => {
-  const { settings, timings, state, peers, log, apiConnections } = foundation;
+const buildShards = (base: BaseServices, membership: Membership, workers: WorkerClient): Shards => {
+  const { settings, timings, state, peers, log, apiConnections } = base;
   const options = {
     me: settings.member,
     settings: settings.operator.shards,
     timings,
     txnOps: settings.stateLimits.txnOps,
-    freeConnections: () => settings.maxConnections * API_SHARE - apiConnections.count(),
+    freeConnections: () => settings.maxConnections * API_CONNECTION_SHARE - apiConnections.count(),
   };
   return new Shards(options, membership, state, workers, peers, log);
 };
 
-const buildCluster = (foundation: Foundation): Cluster => {
-  const jobCache = buildJobCache(foundation);
-  const membership = buildMembership(foundation, jobCache);
-  const workers = buildWorkerClient(foundation);
-  const member = buildMember(foundation, membership, workers);
-  const { enabled } = foundation.settings.operator.shards;
-  const shards = enabled ? buildShards(foundation, membership, workers) : null;
+const buildCluster = (base: BaseServices): Cluster => {
+  const jobCache = buildJobCache(base);
+  const membership = buildMembership(base, jobCache);
+  const workers = buildWorkerClient(base);
+  const member = buildMember(base, membership, workers);
+  const { enabled } = base.settings.operator.shards;
+  const shards = enabled ? buildShards(base, membership, workers) : null;
   if (shards !== null) member.partition.lookUpOwner = shards.ownerLookup(member.partition.lookUpOwner);
   return { jobCache, membership, member, shards };
 };
 
 const maxConditions = (settings: Settings): number => settings.stateLimits.txnOps * CONDITIONS_PER_CHANGE;
 
-const buildLeader = (foundation: Foundation, cluster: Cluster, jobReleaser: JobReleaser): Leader => {
-  const { settings, timings, teams, state, cloud, peers, log } = foundation;
+const buildLeader = (base: BaseServices, cluster: Cluster, jobReleaser: JobReleaser): Leader => {
+  const { settings, timings, teams, state, cloud, peers, log } = base;
   const { jobCache, membership, member, shards } = cluster;
   const { reuse, idleBoots, warmFor } = settings.operator;
   const listLagS = Duration.toSeconds(settings.cloudLimits.listLag);
@@ -176,24 +177,24 @@
       txnOps: settings.stateLimits.txnOps,
       valueKb: settings.stateLimits.valueKb,
       cloudRps: settings.cloudLimits.rps,
-      listInterval: Duration.seconds(Math.max(MIN_LIST_PAUSE_S, listLagS / 2)),
+      listInterval: Duration.seconds(Math.max(MIN_LIST_INTERVAL_S, listLagS / 2)),
     },
     services,
   );
 };
 
 const buildApiServer = (
-  { settings, teams, state, log }: Foundation,
+  { settings, teams, state, log }: BaseServices,
   { jobCache, member }: Cluster,
   status: JobStatusReader,
   leader: Leader,
 ): ApiServer => {
   const options = {
     bind: settings.front,
-    connections: Math.floor(settings.maxConnections * API_SHARE),
+    maxConnections: Math.floor(settings.maxConnections * API_CONNECTION_SHARE),
     teams,
     valueKb: settings.stateLimits.valueKb,
-    conditions: maxConditions(settings),
+    maxConditions: maxConditions(settings),
   };
   return new ApiServer(options, state, jobCache, status, member, leader, log);
 };
@@ -207,14 +208,14 @@
   status,
   leader,
 }: Omit<Controller, "apiServer">) => {
-  jobCache.leading = () => membership.leadership !== null;
+  jobCache.isLeading = () => membership.leadership !== null;
   membership.onTerm = (term) => {
     shards?.view.setTerm(term, membership.termRevision);
     member.partition.setTerm(term);
     leader.termChanged(term);
     member.termChanged();
   };
-  member.isUnfinished = (job) => jobCache.jobs.has(job);
+  member.isUnfinished = (job) => jobCache.released.has(job);
   member.isEnded = (job) => jobCache.isOver(job);
   member.onDone = (job, tasks) => {
     status.remember(job, { outcome: "done", tasks });
@@ -223,33 +224,33 @@
 };
 
 const buildController = (settings: Settings, log: Log): Controller => {
-  const foundation = layFoundation(settings, log);
-  const cluster = buildCluster(foundation);
-  const { state, apiConnections } = foundation;
+  const base = buildBaseServices(settings, log);
+  const cluster = buildCluster(base);
+  const { state, apiConnections } = base;
   const { jobCache } = cluster;
   const status = new JobStatusReader(state, jobCache, maxConditions(settings), log);
   const jobReleaser = new JobReleaser(state, jobCache, status, log);
-  const leader = buildLeader(foundation, cluster, jobReleaser);
-  wireListeners({ ...foundation, ...cluster, status, leader });
-  const apiServer = buildApiServer(foundation, cluster, status, leader);
-  apiConnections.count = () => apiServer.connections;
-  return { ...foundation, ...cluster, status, leader, apiServer };
+  const leader = buildLeader(base, cluster, jobReleaser);
+  wireListeners({ ...base, ...cluster, status, leader });
+  const apiServer = buildApiServer(base, cluster, status, leader);
+  apiConnections.count = () => apiServer.openConnections;
+  return { ...base, ...cluster, status, leader, apiServer };
 };
 
 /** What operators are told where the settings don't turn shards on. */
-const shardsAreOff = (): Effect.Effect<OperatorAnswer> =>
+const answerShardsOff = (): Effect.Effect<OperatorAnswer> =>
   Effect.succeed({
     status: 409,
     body: JSON.stringify({ reason: "shards are off in this controller's settings" }),
   });
 
 /** Scheduling goes on without the operators' socket: an operator can ask another controller. */
-const serveOperatorsIfSet = ({ settings, shards, log }: Controller): Effect.Effect<void> => {
+const serveOperatorsIfConfigured = ({ settings, shards, log }: Controller): Effect.Effect<void> => {
   const { operatorsSocket } = settings.operator;
   if (operatorsSocket === null) return Effect.void;
   return serveOperators(
     operatorsSocket,
-    shards === null ? shardsAreOff : (request) => shards.operator.ask(request),
+    shards === null ? answerShardsOff : (request) => shards.operator.answerOrForward(request),
   ).pipe(
     Effect.catchAll((error) =>
       Effect.sync(() => log.error({ reason: error.message, operatorsSocket }, "no operators' socket")),
@@ -266,7 +267,7 @@
       confirmTerm: ({ termNumber }) => ({ knowsNoNewerTerm: membership.knowsNoNewerTerm(termNumber) }),
       shards: shards?.handlers ?? null,
     });
-    yield* serveOperatorsIfSet(controller);
+    yield* serveOperatorsIfConfigured(controller);
     yield* apiServer.serve();
     log.info({ front: settings.front, peers: settings.peerBind }, "listening");
   });
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -1,6 +1,6 @@
 /**
  * The unfinished jobs and the machine types, as the state service has them, a moment behind. How far behind bounds what
- * this node may do (S9): see `read`.
+ * this node may do (S9): see `currentAsOf`.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -22,7 +22,7 @@
 import type { StateClient } from "../io/state-client.js";
 
 /** A released job, as its record says. */
-export interface CachedJob {
+export interface ReleasedJob {
   readonly spec: JobSpec;
   /** The revision of its record. */
   readonly revision: number;
@@ -50,14 +50,14 @@
 export type UnusableRecord = "over" | "malformed";
 
 /** How many ended jobs are remembered. */
-const MAX_ENDED = 20_000;
+const MAX_ENDED_JOBS = 20_000;
 /** A little patience: one answer then holds several changes. Only the leader starts what comes; others can wait. */
-const GATHER_TIME = Duration.millis(500);
-const LEADERS_GATHER_TIME = Duration.millis(150);
+const BATCHING_DELAY = Duration.millis(500);
+const LEADER_BATCHING_DELAY = Duration.millis(150);
 const RELIST_PAUSE = Duration.millis(300);
 const RETRY_PAUSE = Duration.millis(500);
 /** How often the machine types are read: while none are known, and from then on. */
-const FIRST_TYPES_INTERVAL = Duration.seconds(0.3);
+const TYPES_INTERVAL_UNTIL_KNOWN = Duration.seconds(0.3);
 const TYPES_INTERVAL = Duration.seconds(30);
 
 /** A record that doesn't say when it was accepted counts as accepted now. */
@@ -69,13 +69,13 @@
 /** Watches the jobs for as long as `run` runs, and takes in what this process reads and writes in between. */
 export class JobCache {
   /** Released jobs, by id. */
-  readonly jobs = new Map<string, CachedJob>();
+  readonly released = new Map<string, ReleasedJob>();
   /** Jobs that wait for others, by id. */
-  readonly waiting = new Map<string, BlockedJob>();
+  readonly blocked = new Map<string, BlockedJob>();
   /** The fan-in sets of waiting jobs and of those released since, by id. */
   readonly fanins = new Map<string, Fanin>();
   /** Which waiting jobs wait for which. */
-  readonly waiters = new BlockedJobs();
+  readonly dependencies = new BlockedJobs();
   /** Jobs whose end was seen: a late answer that still has their record must not bring them back. */
   private readonly ended = new Set<string>();
   /** The machine types; empty: not known yet. */
@@ -83,17 +83,17 @@
   /** Whether all unfinished jobs were read once. */
   ready = false;
   /** When the last request was sent whose answer showed every job that had ended by then; null: none yet (S9). */
-  read: Instant | null = null;
+  currentAsOf: Instant | null = null;
   /** Whether this process leads: then changes are read sooner. Set once, before `run`, as are the listeners. */
-  leading: () => boolean = () => false;
+  isLeading: () => boolean = () => false;
   /** A job was released, or was first seen so. */
-  onJob: (job: CachedJob) => void = () => undefined;
+  onReleased: (job: ReleasedJob) => void = () => undefined;
   /** An unfinished job ended. */
-  onOver: (id: string) => void = () => undefined;
+  onEnded: (id: string) => void = () => undefined;
   /** A job that waits for others was first seen. */
-  onWaiting: (job: BlockedJob) => void = () => undefined;
-  /** It waits no longer: it was released, and then is among `jobs`, or cancelled. */
-  onWaitingOver: (id: string) => void = () => undefined;
+  onBlocked: (job: BlockedJob) => void = () => undefined;
+  /** It waits no longer: it was released, and then is among `released`, or cancelled. */
+  onUnblocked: (id: string) => void = () => undefined;
   /** The machine types were read. */
   onTypes: (types: readonly MachineType[]) => void = () => undefined;
 
@@ -116,9 +116,9 @@
   }
 
   /** A job record that was read. */
-  put(key: string, value: unknown, revision: number): CachedJob | UnusableRecord {
+  put(key: string, value: unknown, revision: number): ReleasedJob | UnusableRecord {
     const id = key.slice(keys.jobs.length);
-    const known = this.jobs.get(id);
+    const known = this.released.get(id);
     if (known !== undefined) return known;
     if (this.ended.has(id)) return "over";
     const spec = readJob(id, value);
@@ -130,16 +130,16 @@
     const releaseDate = releasedOf(value);
     const released = releaseDate === null ? accepted : instantOf(releaseDate);
     const job = { spec, revision, accepted, released };
-    this.jobs.set(id, job);
-    this.onJob(job);
-    this.dropWaiting(id);
+    this.released.set(id, job);
+    this.onReleased(job);
+    this.dropBlocked(id);
     return job;
   }
 
   /** A waiting job's record that was read. */
-  putWaiting(key: string, value: unknown, revision: number): BlockedJob | CachedJob | UnusableRecord {
+  putBlocked(key: string, value: unknown, revision: number): BlockedJob | ReleasedJob | UnusableRecord {
     const id = key.slice(keys.blockedJobs.length);
-    const known = this.waiting.get(id) ?? this.jobs.get(id);
+    const known = this.blocked.get(id) ?? this.released.get(id);
     if (known !== undefined) return known;
     if (this.ended.has(id)) return "over";
     const spec = readJob(id, value);
@@ -148,9 +148,9 @@
       return "malformed";
     }
     const job = { spec, revision, accepted: acceptedAt(value), record: value as object };
-    this.waiting.set(id, job);
-    this.waiters.add(id, spec.dependsOn);
-    this.onWaiting(job);
+    this.blocked.set(id, job);
+    this.dependencies.add(id, spec.dependsOn);
+    this.onBlocked(job);
     return job;
   }
 
@@ -164,31 +164,31 @@
 
   /** Released or waiting: it has no commit yet, as far as is known here. */
   isUnfinished(id: string): boolean {
-    return this.jobs.has(id) || this.waiting.has(id);
+    return this.released.has(id) || this.blocked.has(id);
   }
 
-  private dropWaiting(id: string): void {
-    if (!this.waiting.delete(id)) return;
-    this.waiters.remove(id);
-    this.onWaitingOver(id);
+  private dropBlocked(id: string): void {
+    if (!this.blocked.delete(id)) return;
+    this.dependencies.remove(id);
+    this.onUnblocked(id);
   }
 
   /** The job ended: its commit was seen, or its record is gone. */
   remove(id: string): void {
     this.ended.add(id);
-    if (this.ended.size > MAX_ENDED) {
+    if (this.ended.size > MAX_ENDED_JOBS) {
       const [oldest] = this.ended;
       if (oldest !== undefined) this.ended.delete(oldest);
     }
-    const wasWaiting = this.waiting.has(id);
-    this.dropWaiting(id);
-    if (this.jobs.delete(id) || wasWaiting) this.onOver(id);
+    const wasBlocked = this.blocked.has(id);
+    this.dropBlocked(id);
+    if (this.released.delete(id) || wasBlocked) this.onEnded(id);
   }
 
   /** A row of whatever concerns unfinished jobs. */
   private putRow({ key, value, revision }: Row): void {
     if (key.startsWith(keys.jobs)) this.put(key, value, revision);
-    else if (key.startsWith(keys.blockedJobs)) this.putWaiting(key, value, revision);
+    else if (key.startsWith(keys.blockedJobs)) this.putBlocked(key, value, revision);
     else if (key.startsWith(keys.fanins)) this.putFanin(key.slice(keys.fanins.length), value, revision);
   }
 
@@ -198,7 +198,7 @@
     else if (key.startsWith(keys.blockedJobs)) {
       const id = key.slice(keys.blockedJobs.length);
       // a release writes the job's record in the same change; without one the job was cancelled
-      if (this.waiting.has(id)) this.remove(id);
+      if (this.blocked.has(id)) this.remove(id);
     }
   }
 
@@ -207,8 +207,8 @@
     const present = new Set(rows.map((row) => row.key));
     for (const row of rows) this.putRow(row);
     const isGone = (key: string, revision: number): boolean => !present.has(key) && revision <= listRevision;
-    for (const [id, job] of [...this.jobs]) if (isGone(keys.job(id), job.revision)) this.remove(id);
-    for (const [id, job] of [...this.waiting]) if (isGone(keys.blockedJob(id), job.revision)) this.remove(id);
+    for (const [id, job] of [...this.released]) if (isGone(keys.job(id), job.revision)) this.remove(id);
+    for (const [id, job] of [...this.blocked]) if (isGone(keys.blockedJob(id), job.revision)) this.remove(id);
     for (const [id, fanin] of [...this.fanins])
       if (isGone(keys.fanin(id), fanin.revision)) this.fanins.delete(id);
   }
@@ -225,12 +225,12 @@
     const list = yield* this.state.list(keys.unfinished);
     this.replaceAll(list.rows, list.revision);
     this.ready = true;
-    this.read = listedAt;
+    this.currentAsOf = listedAt;
     let { revision } = list;
     for (;;) {
       const askedAt = now();
       // an answer that was long on its way says little about now: the next one is asked for at once
-      const isLate = hasElapsed(askedAt, this.read, Duration.times(this.watchTimeout, 2));
+      const isLate = hasElapsed(askedAt, this.currentAsOf, Duration.times(this.watchTimeout, 2));
       const answer = yield* this.state.watch(
         keys.unfinished,
         revision,
@@ -238,8 +238,8 @@
       );
       this.applyEvents(answer.events);
       revision = answer.revision;
-      this.read = askedAt;
-      yield* Effect.sleep(this.leading() ? LEADERS_GATHER_TIME : GATHER_TIME);
+      this.currentAsOf = askedAt;
+      yield* Effect.sleep(this.isLeading() ? LEADER_BATCHING_DELAY : BATCHING_DELAY);
     }
   }).pipe(
     Effect.catchAll((error) => Effect.sync(() => this.log.debug({ reason: error._tag }, "job watch ended"))),
@@ -250,7 +250,7 @@
   private readonly typeLoop = Effect.gen(this, function* () {
     const row = yield* this.state.get(keys.types, "later");
     if (row !== null) this.setTypes(row.value as WireType[]);
-    yield* Effect.sleep(this.types.length === 0 ? FIRST_TYPES_INTERVAL : TYPES_INTERVAL);
+    yield* Effect.sleep(this.types.length === 0 ? TYPES_INTERVAL_UNTIL_KNOWN : TYPES_INTERVAL);
   }).pipe(
     Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
     Effect.forever,
--- a/src/service/leader/failover-recovery.ts
+++ b/src/service/leader/failover-recovery.ts
@@ -23,7 +23,7 @@
   /** When loading began. */
   readonly startedAt: Instant;
   readonly jobs: readonly Row[];
-  /** Jobs written up to this revision are among `jobs`; later ones come from the job cache. */
+  /** Jobs written up to this revision are among `released`; later ones come from the job cache. */
   readonly jobsRevision: number;
   readonly ranges: readonly Row[];
   readonly machines: readonly Row[];
@@ -111,10 +111,11 @@
   /** The job cache may have heard of later jobs, and later ends, while the records were read. */
   private catchUp(scheduler: Scheduler, { jobsRevision }: LoadedState): void {
     const { jobCache } = this.context.services;
-    for (const job of jobCache.jobs.values())
+    for (const job of jobCache.released.values())
       if (job.revision > jobsRevision)
         scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released);
-    for (const job of jobCache.waiting.values()) scheduler.jobBlocked(job.spec, job.accepted);
-    for (const id of [...scheduler.cluster.jobs.keys()]) if (!jobCache.jobs.has(id)) scheduler.jobEnded(id);
+    for (const job of jobCache.blocked.values()) scheduler.jobBlocked(job.spec, job.accepted);
+    for (const id of [...scheduler.cluster.jobs.keys()])
+      if (!jobCache.released.has(id)) scheduler.jobEnded(id);
   }
 }
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -120,11 +120,11 @@
     this.maxSweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
     if (first !== undefined && others.length + deletes.length === 0) {
       // the same would be refused again, and as the first in line it would hold up all others
-      const pause = rejections.refused("record of machines gone", error, first.key);
+      const pause = rejections.rejected("record of machines gone", error, first.key);
       store.postpone(first.key, plus(now(), pause));
       return Effect.void;
     }
-    return Effect.sleep(rejections.refused("sweep", error));
+    return Effect.sleep(rejections.rejected("sweep", error));
   }
 
   private handleResult({ deletes, rewrites }: Sweep, result: Exclude<CommitResult, { ok: null }>): void {
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -55,7 +55,7 @@
 
   /** A job has its commit: those that depend on it are checked. */
   jobEnded(id: string): void {
-    for (const child of this.jobCache.waiters.childrenOf(id)) this.requestCheck(child);
+    for (const child of this.jobCache.dependencies.childrenOf(id)) this.requestCheck(child);
   }
 
   /** For as long as this node leads. */
@@ -76,7 +76,7 @@
   private readonly checkRound = Effect.gen(this, function* () {
     if (this.lastFullCheckAt === null || hasElapsed(now(), this.lastFullCheckAt, FULL_CHECK_INTERVAL)) {
       this.lastFullCheckAt = now();
-      for (const id of this.jobCache.waiting.keys()) this.pendingChecks.add(id);
+      for (const id of this.jobCache.blocked.keys()) this.pendingChecks.add(id);
     }
     const batch = [...this.pendingChecks];
     this.pendingChecks.clear();
@@ -100,7 +100,7 @@
   /** Checks one job; a write that isn't taken is tried again after a moment. */
   private check(id: string): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      const job = this.jobCache.waiting.get(id);
+      const job = this.jobCache.blocked.get(id);
       if (job === undefined) {
         this.rejectedUntil.delete(id);
         return;
@@ -130,7 +130,7 @@
         case "wait":
           return;
         case "cancel":
-          yield* this.status.cancelWaiting(id, tasks);
+          yield* this.status.cancelBlocked(id, tasks);
           this.log.info({ job: id }, "cancelled with a job that it depends on");
           return;
         case "join":
@@ -203,7 +203,7 @@
     return Effect.gen(this, function* () {
       if (result.ok === null) {
         // the same add would be refused again: ever longer pauses
-        this.rejectedUntil.set(id, plus(now(), this.rejections.refused("fan-in", result.error, id)));
+        this.rejectedUntil.set(id, plus(now(), this.rejections.rejected("fan-in", result.error, id)));
         return;
       }
       this.rejections.accepted("fan-in", id);
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -10,7 +10,7 @@
 import { now } from "../../io/clock.js";
 import type { SyncRequest, SyncResponse } from "../../io/peer-codec.js";
 import type { StateError } from "../../io/state-client.js";
-import type { BlockedJob, CachedJob } from "../job-cache.js";
+import type { BlockedJob, ReleasedJob } from "../job-cache.js";
 import { receiveUpdates } from "../members/update-relay.js";
 import { CloudInventory } from "./cloud-inventory.js";
 import { CommandDispatcher } from "./command-dispatcher.js";
@@ -85,10 +85,10 @@
   /** What the job cache and the membership tell the leader. */
   private registerListeners(): void {
     const { jobCache, membership } = this.context.services;
-    jobCache.onWaiting = (job) => this.onBlockedJob(job);
-    jobCache.onWaitingOver = (id) => this.withScheduler((scheduler) => scheduler.jobUnblocked(id));
-    jobCache.onJob = (job) => this.onReleasedJob(job);
-    jobCache.onOver = (id) => this.onJobEnded(id);
+    jobCache.onBlocked = (job) => this.onBlockedJob(job);
+    jobCache.onUnblocked = (id) => this.withScheduler((scheduler) => scheduler.jobUnblocked(id));
+    jobCache.onReleased = (job) => this.onReleasedJob(job);
+    jobCache.onEnded = (id) => this.onJobEnded(id);
     jobCache.onTypes = (types) => this.withScheduler((scheduler) => scheduler.setMachineTypes(types));
     membership.onLost = () => this.stop();
   }
@@ -98,7 +98,7 @@
     this.context.schedulerLock?.with(section);
   }
 
-  private onReleasedJob(job: CachedJob): void {
+  private onReleasedJob(job: ReleasedJob): void {
     if (this.context.schedulerLock === null || job.revision <= this.loadedRevision) return;
     this.withScheduler((scheduler) =>
       scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released),
@@ -189,7 +189,7 @@
     const schedulerLock = new Locked(scheduler);
     this.loadedRevision = jobsRevision;
     this.context.schedulerLock = schedulerLock;
-    shards?.begin(schedulerLock);
+    shards?.startLeading(schedulerLock);
     state.setLeading(true);
     member.localLeader = this.sync;
     const machines = scheduler.cluster.machines.size;
@@ -224,7 +224,7 @@
   private stop(): void {
     const { member, shards, state } = this.context.services;
     this.context.schedulerLock = null;
-    shards?.stop();
+    shards?.stopLeading();
     this.dispatcher.clear();
     this.recorder.clear();
     this.context.staleKeys.clear();
--- a/src/service/leader/machine-recorder.ts
+++ b/src/service/leader/machine-recorder.ts
@@ -117,6 +117,6 @@
     }
     if (result?.ok !== null) return Effect.sleep(RETRY_PAUSE);
     this.maxRecordBytes = Math.max(MIN_RECORD_BYTES, Math.floor(this.maxRecordBytes / 2));
-    return Effect.sleep(rejections.refused("record of machines", result.error));
+    return Effect.sleep(rejections.rejected("record of machines", result.error));
   }
 }
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -56,7 +56,7 @@
         )
         .pipe(Effect.orElseSucceed(() => null));
       if (result?.ok === true) rejections.accepted("rental");
-      else if (result?.ok === null) yield* Effect.sleep(rejections.refused("rental", result.error));
+      else if (result?.ok === null) yield* Effect.sleep(rejections.rejected("rental", result.error));
       return result?.ok === true;
     });
   }
--- a/src/service/members/election.ts
+++ b/src/service/members/election.ts
@@ -67,7 +67,7 @@
         "vital",
       )
       .pipe(
-        Effect.tap((result) => rejections.pauseAfter("leader", result)),
+        Effect.tap((result) => rejections.sleepIfRejected("leader", result)),
         Effect.map((result) => (result.ok === true ? result.revision : null)),
         // the answer was lost: only the key itself says whether the write was carried out
         Effect.catchTag("Unanswered", () =>
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -93,7 +93,7 @@
     }
     // half of what was sent, which may be less than could have been: that soon shows which one is too large
     this.maxPuts = Math.max(1, Math.floor(puts / 2));
-    const pause = rejections.refused("finishes", result.reason);
+    const pause = rejections.rejected("finishes", result.reason);
     // one by itself is put off by the finish store; others needn't wait for that
     return puts <= 1 ? Effect.void : Effect.sleep(pause);
   }
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -80,7 +80,7 @@
       "vital",
     );
     if (result.ok === null) yield* Effect.ignore(state.revoke(leaseId));
-    yield* rejections.pauseAfter("member", result);
+    yield* rejections.sleepIfRejected("member", result);
     if (result.ok !== true) return;
     this.currentLeaseId = leaseId;
     this.currentIncarnation = result.revision;
--- a/src/service/members/term-writer.ts
+++ b/src/service/members/term-writer.ts
@@ -71,7 +71,7 @@
       )
       .pipe(Effect.tapErrorTag("Unavailable", () => withdrawAttempt));
     if (result.ok !== true) yield* withdrawAttempt;
-    yield* rejections.pauseAfter("term", result);
+    yield* rejections.sleepIfRejected("term", result);
     if (result.ok === true) {
       terms.adopt({ key: keys.term, value, revision: result.revision });
       return true;
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -65,7 +65,7 @@
       : Math.min(MAX_HEARTBEATS, this.heartbeatLimit + 1);
     this.pause =
       result.kind === "rejected"
-        ? Duration.max(RELAY_INTERVAL, rejections.refused("member update", result.reason))
+        ? Duration.max(RELAY_INTERVAL, rejections.rejected("member update", result.reason))
         : RELAY_INTERVAL;
     if (result.kind === "relayed") rejections.accepted("member update");
   }
--- a/src/service/operators-server.ts
+++ b/src/service/operators-server.ts
@@ -12,10 +12,10 @@
   body: JSON.stringify({ reason }),
 });
 
-const textOf = (value: unknown): string => (typeof value === "string" ? value : "");
+const stringOrEmpty = (value: unknown): string => (typeof value === "string" ? value : "");
 
 /** The request of a path and its body, or the answer to one that there isn't. Throws where the body is no JSON. */
-const requestOf = (method: string, path: string, body: Buffer): OperatorRequest | OperatorAnswer => {
+const parseRequest = (method: string, path: string, body: Buffer): OperatorRequest | OperatorAnswer => {
   const request = (verb: OperatorRequest["verb"], name = "", target = "", epoch = -1): OperatorRequest => ({
     verb,
     name,
@@ -27,20 +27,20 @@
   if (method === "GET" && verb === "list") return request("list");
   if (method === "GET" && verb === "moves") return request("outcome", decodeURIComponent(name));
   if (method !== "POST") return refusal(405, "POST a command here");
-  const sent = JSON.parse(body.toString("utf8")) as Record<string, unknown>;
+  const fields = JSON.parse(body.toString("utf8")) as Record<string, unknown>;
   if (verb === "move") {
-    const epoch = Number.isSafeInteger(sent["epoch"]) ? (sent["epoch"] as number) : -1;
-    return request("move", textOf(sent["shard"]), textOf(sent["to"]), epoch);
+    const epoch = Number.isSafeInteger(fields["epoch"]) ? (fields["epoch"] as number) : -1;
+    return request("move", stringOrEmpty(fields["shard"]), stringOrEmpty(fields["to"]), epoch);
   }
-  if (verb === "drain") return request("drain", textOf(sent["member"]));
-  if (verb === "cancel") return request("cancel", textOf(sent["name"]));
+  if (verb === "drain") return request("drain", stringOrEmpty(fields["member"]));
+  if (verb === "cancel") return request("cancel", stringOrEmpty(fields["name"]));
   return refusal(404, "no such command");
 };
 
-/** Listens for operators; each request is answered by `ask`. Fails when the address can't be bound. */
+/** Listens for operators; each request is answered by `handle`. Fails when the address can't be bound. */
 export const serveOperators = (
   bind: string,
-  ask: (request: OperatorRequest) => Effect.Effect<OperatorAnswer>,
+  handle: (request: OperatorRequest) => Effect.Effect<OperatorAnswer>,
 ): Effect.Effect<http.Server, Error> => {
   const server = http.createServer((request, response) => {
     readBody(request, MAX_BODY_BYTES, (body) => {
@@ -53,9 +53,9 @@
         return;
       }
       try {
-        const asked = requestOf(request.method ?? "", request.url ?? "", body);
-        if ("status" in asked) send(asked);
-        else Effect.runFork(Effect.map(ask(asked), send));
+        const parsed = parseRequest(request.method ?? "", request.url ?? "", body);
+        if ("status" in parsed) send(parsed);
+        else Effect.runFork(Effect.map(handle(parsed), send));
       } catch {
         send(refusal(400, "not a command"));
       }
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -24,7 +24,7 @@
    * A record was rejected. Logs it, and says how long to wait before the next attempt. `id`: one of many records of
    * that kind, with pauses of its own.
    */
-  refused(kind: string, error: string, id = ""): Duration.Duration {
+  rejected(kind: string, error: string, id = ""): Duration.Duration {
     const last = this.loggedAt.get(kind);
     if (last === undefined || hasElapsed(now(), last, LOG_INTERVAL)) {
       this.loggedAt.set(kind, now());
@@ -42,8 +42,8 @@
   }
 
   /** Waits after a rejection, and not at all after any other answer. For loops that would send the record again. */
-  pauseAfter(kind: string, result: CommitResult): Effect.Effect<void> {
-    if (result.ok === null) return Effect.sleep(this.refused(kind, result.error));
+  sleepIfRejected(kind: string, result: CommitResult): Effect.Effect<void> {
+    if (result.ok === null) return Effect.sleep(this.rejected(kind, result.error));
     this.accepted(kind);
     return Effect.void;
   }
--- a/src/service/shards/handoff-requests.ts
+++ b/src/service/shards/handoff-requests.ts
@@ -18,7 +18,7 @@
 
   /** Asks the target of a handoff whether it could serve the shard. */
   offer(target: string, offer: ShardOffer): Effect.Effect<HandoffAnswer> {
-    return this.ask(
+    return this.send(
       target,
       () => this.member.answerOffer(offer),
       () => this.peers.offerShard(target, offer),
@@ -27,7 +27,7 @@
 
   /** Asks the owner of a drained shard to release it. */
   release(owner: string, request: ReleaseRequest): Effect.Effect<HandoffAnswer> {
-    return this.ask(
+    return this.send(
       owner,
       () => this.member.answerRelease(request),
       () => this.peers.releaseShard(owner, request),
@@ -35,7 +35,7 @@
   }
 
   /** This process answers itself directly; one that isn't reached, or knows no shards, has given no answer. */
-  private ask<Failure>(
+  private send<Failure>(
     controller: string,
     askSelf: () => Effect.Effect<Refusal | null>,
     askPeer: () => Effect.Effect<RefusalText | null, Failure>,
--- a/src/service/shards/move-log.ts
+++ b/src/service/shards/move-log.ts
@@ -6,10 +6,10 @@
 /** Moves of which the outcome is known; the oldest is forgotten first. */
 const MAX_REMEMBERED = 200;
 /** The pause after the first refusal of a shard; each further one doubles it. */
-const FIRST_PAUSE = Duration.seconds(2);
-const LONGEST_PAUSE = Duration.seconds(60);
+const MIN_BACKOFF = Duration.seconds(2);
+const MAX_BACKOFF = Duration.seconds(60);
 /** A shard that moved stays where it is for so long, unless its owner is to be emptied. */
-const REST_AFTER_MOVE = Duration.seconds(30);
+const MIN_STAY_AFTER_MOVE = Duration.seconds(30);
 
 /** What became of a move, for operators. */
 export interface MoveOutcome {
@@ -24,7 +24,7 @@
   readonly tookMs: number;
 }
 
-interface Pause {
+interface RefusalBackoff {
   readonly refusals: number;
   readonly until: Instant;
 }
@@ -32,11 +32,11 @@
 /** The memory of one leader. */
 export class MoveLog {
   private readonly outcomes = new Map<string, MoveOutcome>();
-  private readonly pauses = new Map<ShardId, Pause>();
+  private readonly backoffs = new Map<ShardId, RefusalBackoff>();
   private readonly movedAt = new Map<ShardId, Instant>();
 
   /** A move began. */
-  began(outcome: MoveOutcome): void {
+  record(outcome: MoveOutcome): void {
     this.outcomes.set(outcome.move, outcome);
     if (this.outcomes.size <= MAX_REMEMBERED) return;
     const [oldest] = this.outcomes.keys();
@@ -44,7 +44,7 @@
   }
 
   /** A move ended. Each refusal of a shard doubles the pause before it is proposed again. */
-  ended(attempt: EndedAttempt, now: Instant): MoveOutcome {
+  recordEnd(attempt: EndedAttempt, now: Instant): MoveOutcome {
     const { request, refusal } = attempt;
     const outcome: MoveOutcome = {
       move: request.id,
@@ -56,26 +56,26 @@
       reason: refusal === null ? "" : describeRefusal(refusal),
       tookMs: Math.round(attempt.tookMs),
     };
-    this.began(outcome);
+    this.record(outcome);
     if (refusal === null) {
       this.movedAt.set(request.shard, now);
-      this.pauses.delete(request.shard);
-    } else this.refused(request.shard, now);
+      this.backoffs.delete(request.shard);
+    } else this.recordRefusal(request.shard, now);
     return outcome;
   }
 
   /** A move was refused before it began, or on its way. */
-  refused(shard: ShardId, now: Instant): void {
-    const refusals = (this.pauses.get(shard)?.refusals ?? 0) + 1;
-    const pause = Duration.min(LONGEST_PAUSE, Duration.times(FIRST_PAUSE, 2 ** Math.min(refusals - 1, 10)));
-    this.pauses.set(shard, { refusals, until: plus(now, pause) });
+  recordRefusal(shard: ShardId, now: Instant): void {
+    const refusals = (this.backoffs.get(shard)?.refusals ?? 0) + 1;
+    const backoff = Duration.min(MAX_BACKOFF, Duration.times(MIN_BACKOFF, 2 ** Math.min(refusals - 1, 10)));
+    this.backoffs.set(shard, { refusals, until: plus(now, backoff) });
   }
 
   /** Whether the rebalancer leaves the shard alone for now. */
   isBlocked(shard: ShardId, reason: MoveReason, now: Instant): boolean {
-    if (now < (this.pauses.get(shard)?.until ?? instant(-Infinity))) return true;
+    if (now < (this.backoffs.get(shard)?.until ?? instant(-Infinity))) return true;
     const movedAt = this.movedAt.get(shard);
-    return reason === "balance" && movedAt !== undefined && !hasElapsed(now, movedAt, REST_AFTER_MOVE);
+    return reason === "balance" && movedAt !== undefined && !hasElapsed(now, movedAt, MIN_STAY_AFTER_MOVE);
   }
 
   /** One move; undefined: this leader doesn't know it. */
@@ -84,7 +84,7 @@
   }
 
   /** The latest moves, the newest first. */
-  latest(most: number): readonly MoveOutcome[] {
-    return [...this.outcomes.values()].reverse().slice(0, most);
+  latest(limit: number): readonly MoveOutcome[] {
+    return [...this.outcomes.values()].reverse().slice(0, limit);
   }
 }
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -31,16 +31,16 @@
 import type { ShardView } from "./shard-view.js";
 import type { ShardWriter } from "./shard-writer.js";
 
-const STEP_EVERY = Duration.millis(100);
-const PLAN_EVERY = Duration.seconds(1);
+const STEP_INTERVAL = Duration.millis(100);
+const PLAN_INTERVAL = Duration.seconds(1);
 /** A process that is back within this needs no records: its machines hardly moved. */
-const REPAIR_AFTER = Duration.seconds(1);
+const REPAIR_DELAY_AFTER_TERM = Duration.seconds(1);
 /** Moves by themselves wait until workers have found their controllers again after a change of term. */
-const CALM_AFTER = Duration.seconds(5);
+const PLAN_DELAY_AFTER_TERM = Duration.seconds(5);
 /** What a controller's settings say of its part as leader. */
 export interface ShardLeaderOptions {
   readonly me: string;
-  readonly movesAtOnce: number;
+  readonly maxConcurrentMoves: number;
   /** How far the busiest controller may be above the least busy, as a share of their mean. */
   readonly hysteresis: number;
   /** The time between two heartbeats of a worker. */
@@ -63,7 +63,7 @@
 }
 
 /** What exists only while this node leads. */
-interface Leading {
+interface LeadershipState {
   readonly scheduler: Locked<Scheduler>;
   readonly machines: MachinesOfShards;
   readonly coordinator: Coordinator;
@@ -75,7 +75,7 @@
 
 /** The leader's side of handoffs. */
 export class ShardLeader implements MoveRequester {
-  private leading: Leading | null = null;
+  private leading: LeadershipState | null = null;
   private readonly loads: ShardLoads;
   private moveNumber = 0;
 
@@ -102,7 +102,7 @@
   }
 
   /** This node leads from now on. */
-  begin(scheduler: Locked<Scheduler>): void {
+  startLeading(scheduler: Locked<Scheduler>): void {
     this.leading = {
       scheduler,
       machines: new MachinesOfShards(scheduler, this.view),
@@ -114,7 +114,7 @@
   }
 
   /** This node doesn't lead any more. */
-  stop(): void {
+  stopLeading(): void {
     this.leading = null;
   }
 
@@ -126,12 +126,12 @@
   /** Whether no commands may be sent to a machine now. */
   isPaused(machine: string, zone: string): boolean {
     const { leading, view } = this;
-    if (leading === null || !this.mayBePaused(leading)) return false;
+    if (leading === null || !this.isAnyPaused(leading)) return false;
     return leading.coordinator.isPaused(view.assignment, view.shardOf(machine, zone));
   }
 
   /** In quiet times no shard is, and then no hash is looked up. */
-  private mayBePaused(leading: Leading): boolean {
+  private isAnyPaused(leading: LeadershipState): boolean {
     return leading.coordinator.size > 0 || leading.paused.size > 0 || this.view.assignment.hasHandoffs;
   }
 
@@ -151,13 +151,13 @@
     const term = this.membership.term?.number ?? 0;
     const id = `${this.options.me}-${this.membership.incarnation}-${term}-${++this.moveNumber}`;
     const request: MoveRequest = { id, shard, target, by };
-    const answer = leading.coordinator.request(request, this.input(leading));
+    const answer = leading.coordinator.request(request, this.coordinatorInput(leading));
     if ("_tag" in answer) {
-      if (by !== "operator") leading.moves.refused(shard, now());
+      if (by !== "operator") leading.moves.recordRefusal(shard, now());
       return answer;
     }
     const source = this.view.assignment.ownershipOf(shard)?.owner ?? "";
-    leading.moves.began({ move: id, shard, source, target, by, outcome: "running", reason: "", tookMs: 0 });
+    leading.moves.record({ move: id, shard, source, target, by, outcome: "running", reason: "", tookMs: 0 });
     this.carryOut(leading, answer);
     return id;
   }
@@ -166,7 +166,7 @@
   cancelMove(shard: ShardId): Refusal | null {
     const { leading } = this;
     if (leading === null) return Refusal.NotLeader({ member: this.options.me });
-    const answer = leading.coordinator.cancel(shard, this.input(leading));
+    const answer = leading.coordinator.cancel(shard, this.coordinatorInput(leading));
     if ("_tag" in answer) return answer;
     this.carryOut(leading, answer);
     return null;
@@ -178,8 +178,8 @@
   }
 
   /** The latest moves, the newest first. */
-  latestMoves(most: number): readonly MoveOutcome[] {
-    return this.leading?.moves.latest(most) ?? [];
+  latestMoves(limit: number): readonly MoveOutcome[] {
+    return this.leading?.moves.latest(limit) ?? [];
   }
 
   /** Whether a controller's present process is to be emptied. */
@@ -194,7 +194,7 @@
     return this.leading?.machines.byShard() ?? new Map<ShardId, readonly Machine[]>();
   }
 
-  private input(leading: Leading): CoordinatorInput {
+  private coordinatorInput(leading: LeadershipState): CoordinatorInput {
     return {
       now: now(),
       assignment: this.view.assignment,
@@ -207,11 +207,11 @@
 
   // --- actions ---------------------------------------------------------------------------------------------
 
-  private carryOut(leading: Leading, actions: readonly CoordinatorAction[]): void {
+  private carryOut(leading: LeadershipState, actions: readonly CoordinatorAction[]): void {
     for (const action of actions) this.carryOutOne(leading, action);
   }
 
-  private carryOutOne(leading: Leading, action: CoordinatorAction): void {
+  private carryOutOne(leading: LeadershipState, action: CoordinatorAction): void {
     switch (action.kind) {
       case "offer":
         return void Effect.runFork(this.offer(leading, action));
@@ -225,7 +225,7 @@
         return;
       }
       case "ended": {
-        const outcome = leading.moves.ended(action.attempt, now());
+        const outcome = leading.moves.recordEnd(action.attempt, now());
         this.log.info({ ...outcome }, "a move of a shard ended");
         return;
       }
@@ -233,38 +233,43 @@
   }
 
   /** Tells the coordinator, unless this node has stopped leading meanwhile. */
-  private tell(leading: Leading, answer: (input: CoordinatorInput) => readonly CoordinatorAction[]): void {
-    if (this.leading === leading) this.carryOut(leading, answer(this.input(leading)));
+  private applyAnswer(
+    leading: LeadershipState,
+    answer: (input: CoordinatorInput) => readonly CoordinatorAction[],
+  ): void {
+    if (this.leading === leading) this.carryOut(leading, answer(this.coordinatorInput(leading)));
   }
 
   private offer(
-    leading: Leading,
+    leading: LeadershipState,
     { to, offer }: Extract<CoordinatorAction, { kind: "offer" }>,
   ): Effect.Effect<void> {
     const term = this.membership.term?.number ?? 0;
     const workers = leading.machines.sampleWorkers(offer.shard, term);
     return Effect.map(this.requests.offer(to, { ...offer, workers }), (answer) =>
-      this.tell(leading, (input) => leading.coordinator.offerAnswered(offer.shard, offer.id, answer, input)),
+      this.applyAnswer(leading, (input) =>
+        leading.coordinator.offerAnswered(offer.shard, offer.id, answer, input),
+      ),
     );
   }
 
   private askRelease(
-    leading: Leading,
+    leading: LeadershipState,
     { to, request }: Extract<CoordinatorAction, { kind: "release" }>,
   ): Effect.Effect<void> {
     return Effect.map(this.requests.release(to, request), (answer) =>
-      this.tell(leading, (input) =>
+      this.applyAnswer(leading, (input) =>
         leading.coordinator.releaseAnswered(request.shard, request.id, answer, input),
       ),
     );
   }
 
   private write(
-    leading: Leading,
+    leading: LeadershipState,
     { id, write }: Extract<CoordinatorAction, { kind: "write" }>,
   ): Effect.Effect<void> {
     return Effect.map(this.writer.write([write]), (outcome: WriteOutcome) =>
-      this.tell(leading, (input) =>
+      this.applyAnswer(leading, (input) =>
         leading.coordinator.writeAnswered(write.shard, id, write, outcome, input),
       ),
     );
@@ -273,7 +278,7 @@
   // --- the loop --------------------------------------------------------------------------------------------
 
   /** Shards whose machines may be given commands again. */
-  private resume(leading: Leading): void {
+  private resumeCommands(leading: LeadershipState): void {
     const { assignment } = this.view;
     const handoffs = assignment.recorded().map(([shard]) => shard);
     const candidates = new Set([...leading.paused, ...handoffs, ...leading.coordinator.shards()]);
@@ -289,33 +294,40 @@
   }
 
   private readonly step = Effect.gen(this, function* () {
-    yield* Effect.sleep(STEP_EVERY);
+    yield* Effect.sleep(STEP_INTERVAL);
     const { leading } = this;
     if (leading === null || !this.membership.isActingLeader()) return;
-    if (leading.coordinator.size > 0) this.carryOut(leading, leading.coordinator.step(this.input(leading)));
-    this.resume(leading);
+    if (leading.coordinator.size > 0)
+      this.carryOut(leading, leading.coordinator.step(this.coordinatorInput(leading)));
+    this.resumeCommands(leading);
     const at = now();
     if (!this.view.assignment.inForce) return;
-    if (leading.plannedAt !== null && !hasElapsed(at, leading.plannedAt, PLAN_EVERY)) return;
+    if (leading.plannedAt !== null && !hasElapsed(at, leading.plannedAt, PLAN_INTERVAL)) return;
     leading.plannedAt = at;
-    this.loads.second();
+    this.loads.updateRates();
     const counts = new Map([...this.machinesByShard()].map(([shard, machines]) => [shard, machines.length]));
     yield* this.repair(leading, counts);
-    yield* this.forgetDrains;
+    yield* this.deleteEndedDrains;
     if (this.leading !== leading) return;
-    if (hasElapsed(now(), this.view.termLearnedAt, Duration.max(CALM_AFTER, this.options.fencingWindow)))
-      this.plan(leading, this.loads.of(counts));
+    if (
+      hasElapsed(
+        now(),
+        this.view.termLearnedAt,
+        Duration.max(PLAN_DELAY_AFTER_TERM, this.options.fencingWindow),
+      )
+    )
+      this.plan(leading, this.loads.loadsOf(counts));
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.sync(() => this.log.error({ cause: cause.toString() }, "a step of the shards failed")),
     ),
   );
 
-  private repair(leading: Leading, counts: ReadonlyMap<ShardId, number>): Effect.Effect<void> {
-    if (!hasElapsed(now(), this.view.termLearnedAt, REPAIR_AFTER)) return Effect.void;
-    const isTried = (shard: ShardId): boolean => leading.coordinator.isBusy(shard);
-    const most = Math.max(1, Math.floor(this.options.txnOps / 2));
-    const writes = repairsOf(this.view.assignment, counts, isTried, most);
+  private repair(leading: LeadershipState, counts: ReadonlyMap<ShardId, number>): Effect.Effect<void> {
+    if (!hasElapsed(now(), this.view.termLearnedAt, REPAIR_DELAY_AFTER_TERM)) return Effect.void;
+    const isMoving = (shard: ShardId): boolean => leading.coordinator.isBusy(shard);
+    const maxWrites = Math.max(1, Math.floor(this.options.txnOps / 2));
+    const writes = repairsOf(this.view.assignment, counts, isMoving, maxWrites);
     if (writes.length === 0) return Effect.void;
     return Effect.map(this.writer.write(writes), (outcome) => {
       this.log.info({ shards: writes.map((write) => write.shard), outcome }, "writes down owners of shards");
@@ -323,18 +335,18 @@
   }
 
   /** A drain ends with the process that it was for. */
-  private readonly forgetDrains = Effect.suspend(() => {
+  private readonly deleteEndedDrains = Effect.suspend(() => {
     const members = this.view.assignment.term?.members ?? [];
-    const over = [...this.view.drains]
+    const ended = [...this.view.drains]
       .filter(([name, incarnation]) =>
         members.some((member) => member.name === name && member.incarnation !== incarnation),
       )
       .map(([name]) => ({ delete: shardKeys.drain(name) }));
-    if (over.length === 0) return Effect.void;
-    return Effect.ignore(this.state.commit([], over, "later"));
+    if (ended.length === 0) return Effect.void;
+    return Effect.ignore(this.state.commit([], ended, "later"));
   });
 
-  private plan(leading: Leading, loads: ReadonlyMap<ShardId, ShardLoad>): void {
+  private plan(leading: LeadershipState, loads: ReadonlyMap<ShardId, ShardLoad>): void {
     this.exerciser?.step(this, this.view.assignment, loads, now());
     const draining = new Set([...this.view.drains.keys()].filter((name) => this.isDraining(name)));
     const moves = planMoves({
@@ -344,7 +356,7 @@
       blocked: (shard, reason) =>
         leading.coordinator.isBusy(shard) || leading.moves.isBlocked(shard, reason, now()),
       hysteresis: this.options.hysteresis,
-      most: this.options.movesAtOnce - leading.coordinator.size,
+      most: this.options.maxConcurrentMoves - leading.coordinator.size,
     });
     for (const { shard, target, reason } of moves) this.requestMove(shard, target, reason);
   }
@@ -353,7 +365,7 @@
   weights(): ReadonlyMap<string, number> {
     const counts = new Map([...this.machinesByShard()].map(([shard, machines]) => [shard, machines.length]));
     const weights = new Map<string, number>();
-    for (const [shard, load] of this.loads.of(counts)) {
+    for (const [shard, load] of this.loads.loadsOf(counts)) {
       const owner = this.view.assignment.ownershipOf(shard)?.owner;
       if (owner !== undefined) weights.set(owner, (weights.get(owner) ?? 0) + weightOf(load));
     }
--- a/src/service/shards/shard-loads.ts
+++ b/src/service/shards/shard-loads.ts
@@ -9,8 +9,8 @@
 
 /** Counts commands by shard; the rest follows from the machines. */
 export class ShardLoads {
-  /** Batches of commands since the last call of `second`. */
-  private readonly sent = new Map<ShardId, number>();
+  /** Batches of commands since the last call of `updateRates`. */
+  private readonly batchesSinceUpdate = new Map<ShardId, number>();
   /** Smoothed batches a second; shards without commands have no entry. */
   private readonly rates = new Map<ShardId, number>();
 
@@ -19,22 +19,22 @@
 
   /** A batch of commands to a machine of the shard. */
   commandsSent(shard: ShardId): void {
-    this.sent.set(shard, (this.sent.get(shard) ?? 0) + 1);
+    this.batchesSinceUpdate.set(shard, (this.batchesSinceUpdate.get(shard) ?? 0) + 1);
   }
 
   /** Another second is over. */
-  second(): void {
-    for (const shard of new Set([...this.sent.keys(), ...this.rates.keys()])) {
+  updateRates(): void {
+    for (const shard of new Set([...this.batchesSinceUpdate.keys(), ...this.rates.keys()])) {
       const before = this.rates.get(shard) ?? 0;
-      const rate = before + SMOOTHING * ((this.sent.get(shard) ?? 0) - before);
+      const rate = before + SMOOTHING * ((this.batchesSinceUpdate.get(shard) ?? 0) - before);
       if (rate < NEGLIGIBLE_RATE) this.rates.delete(shard);
       else this.rates.set(shard, rate);
     }
-    this.sent.clear();
+    this.batchesSinceUpdate.clear();
   }
 
   /** The loads of shards with so many machines each. */
-  of(machines: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, ShardLoad> {
+  loadsOf(machines: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, ShardLoad> {
     const seconds = Duration.toSeconds(this.heartbeatInterval);
     return new Map(
       [...machines].map(([shard, count]) => [
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -10,7 +10,7 @@
 import type { ShardWriter } from "./shard-writer.js";
 
 /** How often what was released is looked for, beside each change that is read. */
-const TAKE_EVERY = Duration.millis(500);
+const TAKE_INTERVAL = Duration.millis(500);
 
 /** The member's side of handoffs. */
 export class ShardMember {
@@ -28,7 +28,7 @@
 
   /** The leader offers a shard: whether this node could serve it. */
   answerOffer(offer: ShardOffer): Effect.Effect<Refusal | null> {
-    return Effect.map(this.reachesAny(offer.workers), (reachesWorkers) =>
+    return Effect.map(this.reachesAnyWorker(offer.workers), (reachesWorkers) =>
       this.view.ownerView.answerOffer(offer, {
         mayAct: this.membership.mayAct(),
         reachesWorkers,
@@ -38,7 +38,7 @@
   }
 
   /** A question without commands, such as the leader puts too, shows whether a worker is in reach. */
-  private reachesAny(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
+  private reachesAnyWorker(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
     if (workers.length === 0) return Effect.succeed(true);
     const probes = workers.map(({ addr, session: workerEpoch, token }) =>
       this.workers.sendCommands({
@@ -83,7 +83,7 @@
 
   /** Takes whatever was released to this node. */
   readonly run = Effect.gen(this, function* () {
-    yield* this.view.changed.wait(TAKE_EVERY);
+    yield* this.view.changed.wait(TAKE_INTERVAL);
     if (!this.membership.mayAct()) return;
     yield* Effect.forEach(this.view.ownerView.pendingTakes(), (write) => this.take(write), {
       concurrency: 4,
--- a/src/service/shards/shard-move-exerciser.ts
+++ b/src/service/shards/shard-move-exerciser.ts
@@ -10,9 +10,9 @@
 import type { StateClient } from "../../io/state-client.js";
 
 /** After so many moves comes a drain. */
-const MOVES_BEFORE_DRAIN = 8;
+const MOVE_TURNS_BEFORE_DRAIN = 8;
 /** How many moves a drain lasts. */
-const MOVES_OF_DRAIN = 4;
+const DRAIN_TURNS = 4;
 
 /** Whoever carries out moves: the leader's side of handoffs. */
 export interface MoveRequester {
@@ -43,10 +43,10 @@
     if (this.lastMoveAt !== null && !hasElapsed(now, this.lastMoveAt, this.interval)) return;
     this.lastMoveAt = now;
     this.turn++;
-    const phase = this.turn % (MOVES_BEFORE_DRAIN + MOVES_OF_DRAIN);
-    if (phase === MOVES_BEFORE_DRAIN) this.beginDrain(assignment);
+    const phase = this.turn % (MOVE_TURNS_BEFORE_DRAIN + DRAIN_TURNS);
+    if (phase === MOVE_TURNS_BEFORE_DRAIN) this.beginDrain(assignment);
     else if (phase === 0) this.endDrain();
-    else if (phase < MOVES_BEFORE_DRAIN) this.moveOne(requester, assignment, loads);
+    else if (phase < MOVE_TURNS_BEFORE_DRAIN) this.moveOne(requester, assignment, loads);
   }
 
   private moveOne(
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -54,7 +54,7 @@
 const refused = (refusal: Refusal): OperatorAnswer =>
   answer(REFUSED, { refusal: refusal._tag, reason: describeRefusal(refusal) });
 
-const phaseOf = (state: ShardState | undefined): ListedShard["state"] => {
+const listedStateOf = (state: ShardState | undefined): ListedShard["state"] => {
   switch (state?._tag) {
     case undefined:
       return "default";
@@ -79,24 +79,24 @@
   ) {}
 
   /** A request that came to this controller's operators' socket. */
-  ask(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
-    if (this.leader.isLeading) return this.answer(request);
+  answerOrForward(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
+    if (this.leader.isLeading) return this.answerLocally(request);
     const leader = this.membership.term?.leader;
-    const passedOn =
+    const forwarded =
       leader === undefined || leader === this.me
         ? Effect.succeed(null)
         : Effect.orElseSucceed(this.peers.operate(leader, request), () => null);
-    return Effect.flatMap(passedOn, (leaderAnswer) => {
+    return Effect.flatMap(forwarded, (leaderAnswer) => {
       if (leaderAnswer !== null) return Effect.succeed(leaderAnswer);
       // what this node has read is better than nothing
-      if (request.verb === "list") return this.answer(request);
+      if (request.verb === "list") return this.answerLocally(request);
       const reason = describeRefusal(Refusal.NotLeader({ member: this.me }));
       return Effect.succeed(answer(UNAVAILABLE, { refusal: "NotLeader", reason }));
     });
   }
 
   /** A request that this node is to answer itself. */
-  answer(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
+  answerLocally(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
     // one that has stopped leading meanwhile knows no machines, and must not take a shard for unknown
     if (request.verb !== "list" && !this.leader.isLeading)
       return Effect.succeed(refused(Refusal.NotLeader({ member: this.me })));
@@ -154,7 +154,7 @@
       shard,
       owner: ownership?.owner ?? null,
       epoch: ownership?.epoch ?? 0,
-      state: phaseOf(state),
+      state: listedStateOf(state),
       target,
       machines,
     };
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -21,15 +21,15 @@
 import { Signal } from "../signal.js";
 
 /** How long one watch stays open without a change. */
-const WATCH = Duration.seconds(10);
+const WATCH_TIMEOUT = Duration.seconds(10);
 /** Between two watches, so that a burst of changes is read at once. */
-const WATCH_GAP = Duration.millis(20);
+const WATCH_INTERVAL = Duration.millis(20);
 /** After a failed reading, before everything is read anew. */
-const RETRY = Duration.millis(300);
+const RETRY_DELAY = Duration.millis(300);
 /** For so long after a change of owner commands go by the new one, whoever passed on the machine's last heartbeat. */
-const SETTLING = Duration.seconds(10);
+const NEW_OWNER_PERIOD = Duration.seconds(10);
 /** Machines whose shard is remembered: the hash is made once for each. */
-const MAX_REMEMBERED = 20_000;
+const MAX_CACHED_MACHINES = 20_000;
 
 /** A change under `shards/`; `value` undefined: the key was deleted. */
 interface KeyChange {
@@ -45,7 +45,7 @@
   /** Controllers that are to be emptied, and which of their processes. */
   readonly drains = new Map<string, number>();
   private enabledTerm = 0;
-  private readonly movedAt = new Map<ShardId, Instant>();
+  private readonly ownerChangedAt = new Map<ShardId, Instant>();
   private readonly shardOfMachine = new Map<string, ShardId>();
   /** Notified whenever something changed. */
   readonly changed = new Signal();
@@ -88,7 +88,7 @@
   }
 
   /** A record that this process wrote. */
-  written(shard: ShardId, stored: StoredShard): void {
+  recordWritten(shard: ShardId, stored: StoredShard): void {
     this.replace(this.current.withAssignment(this.assignment.written(shard, stored)));
   }
 
@@ -97,7 +97,7 @@
     const known = this.shardOfMachine.get(machine);
     if (known !== undefined) return known;
     const shard = shardOf(machine, zone);
-    if (this.shardOfMachine.size >= MAX_REMEMBERED) this.shardOfMachine.clear();
+    if (this.shardOfMachine.size >= MAX_CACHED_MACHINES) this.shardOfMachine.clear();
     this.shardOfMachine.set(machine, shard);
     return shard;
   }
@@ -114,10 +114,10 @@
 
   /** The owner of a machine whose shard has just got it; null: commands go by whoever passes on its heartbeats. */
   newOwnerOf(machine: string, zone: string): string | null {
-    if (this.movedAt.size === 0 || !this.assignment.inForce) return null;
+    if (this.ownerChangedAt.size === 0 || !this.assignment.inForce) return null;
     const shard = this.shardOf(machine, zone);
-    const movedAt = this.movedAt.get(shard);
-    if (movedAt === undefined || hasElapsed(now(), movedAt, SETTLING)) return null;
+    const ownerChangedAt = this.ownerChangedAt.get(shard);
+    if (ownerChangedAt === undefined || hasElapsed(now(), ownerChangedAt, NEW_OWNER_PERIOD)) return null;
     return this.assignment.ownershipOf(shard)?.owner ?? null;
   }
 
@@ -127,7 +127,7 @@
     const changedAt = now();
     for (const shard of ownerView.assignment.changedSince(before)) {
       const owner = ownerView.assignment.ownershipOf(shard)?.owner;
-      if (owner !== before.ownershipOf(shard)?.owner) this.movedAt.set(shard, changedAt);
+      if (owner !== before.ownershipOf(shard)?.owner) this.ownerChangedAt.set(shard, changedAt);
     }
     this.changed.notify();
   }
@@ -171,14 +171,14 @@
     this.load(list.rows, list.revision);
     let { revision } = list;
     for (;;) {
-      const watched = yield* this.state.watch(shardKeys.all, revision, WATCH);
+      const watched = yield* this.state.watch(shardKeys.all, revision, WATCH_TIMEOUT);
       revision = watched.revision;
       this.update(watched.events, revision);
-      yield* Effect.sleep(WATCH_GAP);
+      yield* Effect.sleep(WATCH_INTERVAL);
     }
   }).pipe(
     Effect.catchAll(() => Effect.void),
-    Effect.zipRight(Effect.sleep(RETRY)),
+    Effect.zipRight(Effect.sleep(RETRY_DELAY)),
     Effect.forever,
   );
 }
--- a/src/service/shards/shard-writer.ts
+++ b/src/service/shards/shard-writer.ts
@@ -35,10 +35,11 @@
     return this.state.commit(conditions, changes).pipe(
       Effect.flatMap((result): Effect.Effect<WriteOutcome> => {
         if (result.ok === null)
-          return Effect.as(Effect.sleep(this.rejections.refused("shards", result.error)), "unknown");
+          return Effect.as(Effect.sleep(this.rejections.rejected("shards", result.error)), "unknown");
         this.rejections.accepted("shards");
         if (!result.ok) return Effect.succeed("failed");
-        for (const { shard, state } of writes) this.view.written(shard, { revision: result.revision, state });
+        for (const { shard, state } of writes)
+          this.view.recordWritten(shard, { revision: result.revision, state });
         return Effect.succeed("written");
       }),
       Effect.catchAll(() => Effect.succeed("unknown" as const)),
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -89,7 +89,7 @@
     this.leader = new ShardLeader(
       {
         me,
-        movesAtOnce: settings.movesAtOnce,
+        maxConcurrentMoves: settings.movesAtOnce,
         hysteresis: settings.hysteresis,
         heartbeatInterval: timings.heartbeatInterval,
         txnOps,
@@ -109,10 +109,10 @@
   }
 
   /** Who answers a machine's heartbeats; the rendezvous owner where shards aren't in force. */
-  ownerLookup(otherwise: OwnerNameLookup): OwnerNameLookup {
+  ownerLookup(fallback: OwnerNameLookup): OwnerNameLookup {
     return (term, machine, zone) => {
       const owner = this.view.ownerOf(machine, zone);
-      return owner === undefined ? otherwise(term, machine, zone) : owner;
+      return owner === undefined ? fallback(term, machine, zone) : owner;
     };
   }
 
@@ -126,7 +126,7 @@
   readonly handlers: ShardHandlers = {
     offer: (offer) => Effect.map(this.member.answerOffer(offer), refusalText),
     release: (request) => Effect.map(this.member.answerRelease(request), refusalText),
-    operate: (request) => this.operator.answer(request),
+    operate: (request) => this.operator.answerLocally(request),
   };
 
   /** Follows the records and carries out this controller's part of handoffs, for ever. */
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -145,7 +145,7 @@
   const stored = (key: string) =>
     mirrors
       .map((m) =>
-        key.startsWith(keys.blockedJobs) ? m.waiting.get(key.slice(keys.blockedJobs.length)) : undefined,
+        key.startsWith(keys.blockedJobs) ? m.blocked.get(key.slice(keys.blockedJobs.length)) : undefined,
       )
       .find((job) => job !== undefined)?.record;
   mirror.put(keys.job("req-1"), record("req-1", []), 1);
@@ -156,7 +156,7 @@
     ["req-4", ["req-3"]],
     ["req-5", ["req-6"]],
   ] as const)
-    mirror.putWaiting(keys.blockedJob(id), record(id, [...awaits]), 1);
+    mirror.putBlocked(keys.blockedJob(id), record(id, [...awaits]), 1);
   // fewer conditions than the chain is long
   const status = new JobStatusReader(fake, mirror, 3, log);
   const ask = (id: string) => Effect.runPromise(status.statusOf(id));
@@ -171,7 +171,7 @@
   // nor does it matter what this node has heard of the jobs in between
   const partly = new JobCache(fake, log);
   mirrors.push(partly);
-  partly.putWaiting(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
+  partly.putBlocked(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
   commits.delete("commit/req-4");
   const behind = new JobStatusReader(fake, partly, 3, log);
   const answer = await Effect.runPromise(behind.statusOf("req-8"));
@@ -217,7 +217,7 @@
   const refuses = (written: readonly string[]): boolean => written.includes(keys.commit("req-77"));
   fakeState.refuses.add(refuses);
   const status = new JobStatusReader(state, new JobCache(state, log), 64, log);
-  const cancel = () => Effect.runPromise(Effect.either(status.cancelWaiting("req-77", 2)));
+  const cancel = () => Effect.runPromise(Effect.either(status.cancelBlocked("req-77", 2)));
   const began = Date.now();
   for (let i = 0; i < 20; i++) assert.equal((await cancel())._tag, "Left");
   // the first pause is 250 ms, and each is twice the one before
@@ -237,7 +237,7 @@
     const { rows, fake, mirror } = pipelineService(CHAIN);
     rows.set(keys.commit("req-1"), CANCELLED);
     const last = keys.blockedJob("req-4");
-    if (known) mirror.putWaiting(last, rows.get(last), 1);
+    if (known) mirror.putBlocked(last, rows.get(last), 1);
     const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).statusOf("req-4"));
     assert.deepEqual(answer, { kind: "final", commit: CANCELLED }, `the job itself is known: ${known}`);
     assert.ok(rows.has(keys.commit("req-4")) && !rows.has(last));
@@ -256,7 +256,7 @@
     }
   });
   for (const id of Object.keys(CHAIN))
-    mirror.putWaiting(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
+    mirror.putBlocked(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
   const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).read("req-4"));
   assert.ok(passedOn);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
@@ -272,7 +272,7 @@
     mirror.remove("req-4");
   });
   for (const id of Object.keys(CHAIN))
-    mirror.putWaiting(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
+    mirror.putBlocked(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
   const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).read("req-4"));
   assert.ok(ended);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -95,9 +95,9 @@
     progressOf: (id: string) => progress.get(id) ?? { done: 0, running: 0 },
   } as unknown as Leader;
   const team = { name: "red", guaranteedCpus: 8, maxCpus: 16, guaranteedGpus: 0, maxGpus: 0 };
-  const options = { bind: "127.0.0.1:0", connections: 100, teams: new Map([["red", team]]) };
+  const options = { bind: "127.0.0.1:0", maxConnections: 100, teams: new Map([["red", team]]) };
   const api = new ApiServer(
-    { ...options, valueKb: 1, conditions: 16 },
+    { ...options, valueKb: 1, maxConditions: 16 },
     state,
     jobCache,
     status,
