--- a/packages/shards/src/accounting.ts
+++ b/packages/shards/src/accounting.ts
@@ -12,7 +12,7 @@
 import { type ShardId, shardOf } from "./shard-id.js";
 
 /** The controller that counts the shard's machines; null: none does. */
-export const countedBy = (assignment: Assignment, shard: ShardId): string | null => {
+export const countingController = (assignment: Assignment, shard: ShardId): string | null => {
   if (assignment.recordOf(shard)?.state._tag === "Released") return null;
   return assignment.ownershipOf(shard)?.owner ?? null;
 };
@@ -24,7 +24,7 @@
 ): ReadonlyMap<string, number> => {
   const counts = new Map<string, number>();
   for (const { id, zone } of machines) {
-    const controller = countedBy(assignment, shardOf(id, zone));
+    const controller = countingController(assignment, shardOf(id, zone));
     if (controller !== null) counts.set(controller, (counts.get(controller) ?? 0) + 1);
   }
   return counts;
--- a/packages/shards/src/assignment.ts
+++ b/packages/shards/src/assignment.ts
@@ -32,7 +32,7 @@
 /** Every record of a shard's ownership up to one revision, under one term. */
 export class Assignment {
   /** Found out when first asked for: a version never changes. */
-  private handoffs: boolean | null = null;
+  private handoffsExist: boolean | null = null;
 
   private constructor(
     /** All changes up to this revision are in. */
@@ -52,13 +52,13 @@
   }
 
   /** What a complete read up to `revision` showed, in place of what was known. */
-  reread(rows: readonly ShardChange[], enabledTerm: number, revision: number): Assignment {
+  withSnapshot(rows: readonly ShardChange[], enabledTerm: number, revision: number): Assignment {
     const records = rows.reduce(applyChange, HashMap.empty<ShardId, StoredShard>());
     return new Assignment(revision, this.term, enabledTerm, records);
   }
 
   /** Changes that came after what is known, in the order of their revisions; older ones change nothing. */
-  changed(changes: readonly ShardChange[], enabledTerm: number, revision: number): Assignment {
+  withChanges(changes: readonly ShardChange[], enabledTerm: number, revision: number): Assignment {
     const records = changes
       .filter((change) => change.revision > this.revision)
       .reduce(applyChange, this.records);
@@ -66,7 +66,7 @@
   }
 
   /** A record that this process has just written itself. */
-  written(shard: ShardId, stored: StoredShard): Assignment {
+  withOwnWrite(shard: ShardId, stored: StoredShard): Assignment {
     const known = this.recordOf(shard);
     if (known !== null && known.revision >= stored.revision) return this;
     const records = HashMap.set(this.records, shard, stored);
@@ -89,7 +89,7 @@
   }
 
   /** Every shard that has a record, in the order of their names. */
-  recorded(): readonly (readonly [ShardId, StoredShard])[] {
+  recordedShards(): readonly (readonly [ShardId, StoredShard])[] {
     return HashMap.toEntries(this.records).sort(([a], [b]) => (a < b ? -1 : 1));
   }
 
@@ -131,12 +131,12 @@
 
   /** Whether any shard is in a handoff. */
   get hasHandoffs(): boolean {
-    this.handoffs ??= HashMap.some(this.records, ({ state }) => state._tag !== "Owned");
-    return this.handoffs;
+    this.handoffsExist ??= HashMap.some(this.records, ({ state }) => state._tag !== "Owned");
+    return this.handoffsExist;
   }
 
   /** The shards whose records differ from those of an earlier version. */
-  changedSince(before: Assignment): readonly ShardId[] {
+  shardsChangedSince(before: Assignment): readonly ShardId[] {
     const shards = new Set([...HashMap.keys(before.records), ...HashMap.keys(this.records)]);
     return [...shards].filter((shard) => before.recordOf(shard) !== this.recordOf(shard)).sort();
   }
--- a/packages/shards/src/coordinator.ts
+++ b/packages/shards/src/coordinator.ts
@@ -6,11 +6,11 @@
  */
 import type { Assignment } from "./assignment.js";
 import {
-  type Attempt,
-  HANDOFF_TIMES,
-  type HandoffTimes,
+  type HandoffAttempt,
+  HANDOFF_TIMEOUTS,
+  type HandoffTimeouts,
   type MoveRequest,
-  type Phase,
+  type HandoffPhase,
 } from "./handoff-attempt.js";
 import type { Offer, OfferAnswer, ReleaseAnswer, ReleaseRequest } from "./messages.js";
 import { Refusal } from "./refusal.js";
@@ -25,7 +25,7 @@
   /** Every machine has shown a fencing token that was raised after the last command: no earlier one is carried out (S2). */
   readonly fenced: boolean;
   /** A machine that keeps `fenced` from holding. */
-  readonly unfenced: string | null;
+  readonly unfencedMachine: string | null;
 }
 
 /** What became of a write. */
@@ -57,35 +57,35 @@
 
 /** The moves that one leader tries, and the shards whose machines get no commands meanwhile. */
 export class Coordinator {
-  private readonly attempts = new Map<ShardId, Attempt>();
+  private readonly attempts = new Map<ShardId, HandoffAttempt>();
 
-  /** `times`: how long each step may take. */
-  constructor(private readonly times: HandoffTimes = HANDOFF_TIMES) {}
+  /** `timeouts`: how long each step may take. */
+  constructor(private readonly timeouts: HandoffTimeouts = HANDOFF_TIMEOUTS) {}
 
   /** A coordinator in the same state that goes on by itself. */
   copy(): Coordinator {
-    const copy = new Coordinator(this.times);
+    const copy = new Coordinator(this.timeouts);
     for (const [shard, attempt] of this.attempts) copy.attempts.set(shard, attempt);
     return copy;
   }
 
   /** The state as text: two coordinators with the same text behave the same. */
-  describe(): string {
+  stateKey(): string {
     return JSON.stringify([...this.attempts].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
   /** How many moves are under way. */
-  get size(): number {
+  get moveCount(): number {
     return this.attempts.size;
   }
 
   /** The shards of which a move is under way. */
-  shards(): readonly ShardId[] {
+  movingShards(): readonly ShardId[] {
     return [...this.attempts.keys()];
   }
 
   /** Whether a move of the shard is under way. */
-  isBusy(shard: ShardId): boolean {
+  isMoving(shard: ShardId): boolean {
     return this.attempts.has(shard);
   }
 
@@ -102,7 +102,7 @@
   }
 
   /** Begins to try a move, or says why not. */
-  request(request: MoveRequest, input: CoordinatorInput): readonly CoordinatorAction[] | Refusal {
+  startMove(request: MoveRequest, input: CoordinatorInput): readonly CoordinatorAction[] | Refusal {
     const { assignment, now } = input;
     const { shard, target } = request;
     if (this.attempts.has(shard)) return Refusal.InHandoff({ shard });
@@ -118,9 +118,9 @@
       source: owner,
       epoch,
       term,
-      began: now,
+      startedAt: now,
       since: now,
-      sentAt: now,
+      writeSentAt: now,
       phase: { kind: "offered" },
     });
     return [{ kind: "offer", to: target, offer: { id: request.id, term, shard, epoch, machines } }];
@@ -171,15 +171,15 @@
     return this.step(input);
   }
 
-  private startDraining(attempt: Attempt, now: number): void {
-    const phase: Phase = { kind: "draining", raised: false, askedAt: null };
+  private startDraining(attempt: HandoffAttempt, now: number): void {
+    const phase: HandoffPhase = { kind: "draining", tokensRaised: false, releaseRequestedAt: null };
     this.attempts.set(attempt.request.shard, { ...attempt, since: now, phase });
   }
 
   /** The record is another than the one that a write rested on: this attempt goes on from what it says now. */
-  private resume(
-    attempt: Attempt,
-    phase: Extract<Phase, { kind: "beginning" | "ending" }>,
+  private continueFromRecord(
+    attempt: HandoffAttempt,
+    phase: Extract<HandoffPhase, { kind: "beginning" | "ending" }>,
     input: CoordinatorInput,
   ): readonly CoordinatorAction[] {
     const { shard, id, target } = attempt.request;
@@ -206,22 +206,22 @@
     if (attempt?.request.id !== id || attempt.phase.kind !== "draining") return [];
     // without an answer it is asked again until the time is over
     if (answer === undefined || answer === null) return [];
-    return this.giveUp(attempt, answer, input);
+    return this.abort(attempt, answer, input);
   }
 
   /** Gives up a move. The machines get commands again once that is written. */
   cancel(shard: ShardId, input: CoordinatorInput): readonly CoordinatorAction[] | Refusal {
     const attempt = this.attempts.get(shard);
     if (attempt === undefined) return Refusal.NothingToCancel({ name: shard });
-    return this.giveUp(attempt, Refusal.Cancelled({ shard }), input);
+    return this.abort(attempt, Refusal.Cancelled({ shard }), input);
   }
 
   /** Goes on with every move: by what was read, by the facts, and by the time that has passed. */
   step(input: CoordinatorInput): readonly CoordinatorAction[] {
-    return [...this.attempts.values()].flatMap((attempt) => this.advance(attempt, input));
+    return [...this.attempts.values()].flatMap((attempt) => this.advanceAttempt(attempt, input));
   }
 
-  private advance(attempt: Attempt, input: CoordinatorInput): readonly CoordinatorAction[] {
+  private advanceAttempt(attempt: HandoffAttempt, input: CoordinatorInput): readonly CoordinatorAction[] {
     const { now, assignment } = input;
     const { shard } = attempt.request;
     // what a term leaves behind is ended by the repairs of the next one
@@ -230,7 +230,7 @@
     const { phase } = attempt;
     switch (phase.kind) {
       case "offered": {
-        const isLate = now - attempt.since >= this.times.offerMs;
+        const isLate = now - attempt.since >= this.timeouts.offerMs;
         return isLate ? this.end(attempt, Refusal.NoAnswer({ member: attempt.request.target }), now) : [];
       }
       case "beginning":
@@ -245,24 +245,24 @@
 
   /** A write is on its way: sent again as it is until it is answered, or until the record shows another revision. */
   private awaitWrite(
-    attempt: Attempt,
-    phase: Extract<Phase, { kind: "beginning" | "ending" }>,
+    attempt: HandoffAttempt,
+    phase: Extract<HandoffPhase, { kind: "beginning" | "ending" }>,
     input: CoordinatorInput,
   ): readonly CoordinatorAction[] {
     const { now, assignment } = input;
     const { shard } = attempt.request;
     const revision = assignment.recordOf(shard)?.revision ?? 0;
-    if (revision !== phase.write.revision) return this.resume(attempt, phase, input);
+    if (revision !== phase.write.revision) return this.continueFromRecord(attempt, phase, input);
     // one that is carried out yet is ended by the repairs: nobody is asked to release it
-    if (phase.kind === "beginning" && now - attempt.since >= this.times.drainMs)
+    if (phase.kind === "beginning" && now - attempt.since >= this.timeouts.drainMs)
       return this.end(attempt, Refusal.NotWritten({ shard }), now);
-    if (phase.failed || now - attempt.sentAt < this.times.repeatMs) return [];
+    if (phase.failed || now - attempt.writeSentAt < this.timeouts.retryMs) return [];
     return this.write(attempt, phase, phase.write, now);
   }
 
   private drain(
-    attempt: Attempt,
-    phase: Extract<Phase, { kind: "draining" }>,
+    attempt: HandoffAttempt,
+    phase: Extract<HandoffPhase, { kind: "draining" }>,
     input: CoordinatorInput,
   ): readonly CoordinatorAction[] {
     const { now, assignment } = input;
@@ -272,38 +272,43 @@
       this.attempts.set(shard, { ...attempt, since: now, phase: { kind: "released" } });
       return [];
     }
-    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.finished(attempt, input);
+    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.endFinished(attempt, input);
     const facts = input.facts(shard);
-    if (now - attempt.since >= this.times.drainMs)
-      return this.giveUp(attempt, drainObstacle(attempt, facts), input);
-    if (!phase.raised) {
-      this.attempts.set(shard, { ...attempt, phase: { ...phase, raised: true } });
+    if (now - attempt.since >= this.timeouts.drainMs)
+      return this.abort(attempt, drainObstacle(attempt, facts), input);
+    if (!phase.tokensRaised) {
+      this.attempts.set(shard, { ...attempt, phase: { ...phase, tokensRaised: true } });
       return [{ kind: "raise", shard }];
     }
-    const isDue = phase.askedAt === null || now - phase.askedAt >= this.times.repeatMs;
+    const isDue =
+      phase.releaseRequestedAt === null || now - phase.releaseRequestedAt >= this.timeouts.retryMs;
     if (!facts.fenced || !isDue) return [];
-    this.attempts.set(shard, { ...attempt, phase: { ...phase, askedAt: now } });
+    this.attempts.set(shard, { ...attempt, phase: { ...phase, releaseRequestedAt: now } });
     const request = { id, term: attempt.term, shard, epoch: attempt.epoch };
     return [{ kind: "release", to: attempt.source, request }];
   }
 
-  private awaitTake(attempt: Attempt, input: CoordinatorInput): readonly CoordinatorAction[] {
+  private awaitTake(attempt: HandoffAttempt, input: CoordinatorInput): readonly CoordinatorAction[] {
     const { now, assignment } = input;
     const { shard, target } = attempt.request;
     const state = assignment.recordOf(shard)?.state;
-    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.finished(attempt, input);
-    if (now - attempt.since < this.times.takeMs) return [];
-    return this.giveUp(attempt, Refusal.NotTaken({ member: target }), input);
+    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.endFinished(attempt, input);
+    if (now - attempt.since < this.timeouts.takeMs) return [];
+    return this.abort(attempt, Refusal.NotTaken({ member: target }), input);
   }
 
-  private finished(attempt: Attempt, input: CoordinatorInput): readonly CoordinatorAction[] {
+  private endFinished(attempt: HandoffAttempt, input: CoordinatorInput): readonly CoordinatorAction[] {
     const { shard, target } = attempt.request;
     const isTaken = input.assignment.ownershipOf(shard)?.owner === target;
     return this.end(attempt, isTaken ? null : Refusal.Overtaken({ shard }), input.now);
   }
 
   /** Writes the end of a handoff that doesn't go on; where none was begun, it ends at once. */
-  private giveUp(attempt: Attempt, refusal: Refusal, input: CoordinatorInput): readonly CoordinatorAction[] {
+  private abort(
+    attempt: HandoffAttempt,
+    refusal: Refusal,
+    input: CoordinatorInput,
+  ): readonly CoordinatorAction[] {
     const { phase, request } = attempt;
     if (phase.kind === "offered") return this.end(attempt, refusal, input.now);
     if (phase.kind === "ending") return [];
@@ -315,24 +320,29 @@
   }
 
   private write(
-    attempt: Attempt,
-    phase: Phase,
+    attempt: HandoffAttempt,
+    phase: HandoffPhase,
     write: ShardWrite,
     now: number,
   ): readonly CoordinatorAction[] {
-    this.attempts.set(attempt.request.shard, { ...attempt, phase, sentAt: now });
+    this.attempts.set(attempt.request.shard, { ...attempt, phase, writeSentAt: now });
     return [{ kind: "write", id: attempt.request.id, write }];
   }
 
-  private end(attempt: Attempt, refusal: Refusal | null, now: number): readonly CoordinatorAction[] {
+  private end(attempt: HandoffAttempt, refusal: Refusal | null, now: number): readonly CoordinatorAction[] {
     this.attempts.delete(attempt.request.shard);
-    const ended = { request: attempt.request, source: attempt.source, refusal, tookMs: now - attempt.began };
+    const ended = {
+      request: attempt.request,
+      source: attempt.source,
+      refusal,
+      tookMs: now - attempt.startedAt,
+    };
     return [{ kind: "ended", attempt: ended }];
   }
 }
 
 /** Why a shard wasn't drained and released in time. */
-const drainObstacle = (attempt: Attempt, facts: ShardFacts): Refusal => {
-  if (facts.unfenced !== null) return Refusal.MachineNotHeard({ machine: facts.unfenced });
+const drainObstacle = (attempt: HandoffAttempt, facts: ShardFacts): Refusal => {
+  if (facts.unfencedMachine !== null) return Refusal.MachineNotHeard({ machine: facts.unfencedMachine });
   return Refusal.NoAnswer({ member: attempt.source });
 };
--- a/packages/shards/src/handoff-attempt.ts
+++ b/packages/shards/src/handoff-attempt.ts
@@ -18,7 +18,7 @@
 }
 
 /** The times that a handoff may take, in milliseconds. */
-export interface HandoffTimes {
+export interface HandoffTimeouts {
   /** For the target's answer. */
   readonly offerMs: number;
   /** For draining and releasing; the machines get no commands meanwhile. */
@@ -26,21 +26,21 @@
   /** For the target to take a released shard. */
   readonly takeMs: number;
   /** How long after a request without an answer it is sent again. */
-  readonly repeatMs: number;
+  readonly retryMs: number;
 }
 
 /**
  * A gang is stopped as a whole only if all its machines are told within a few seconds (`gang_peer_s`), so no machine is
  * left without commands for longer than three.
  */
-export const HANDOFF_TIMES: HandoffTimes = { offerMs: 3000, drainMs: 3000, takeMs: 2000, repeatMs: 400 };
+export const HANDOFF_TIMEOUTS: HandoffTimeouts = { offerMs: 3000, drainMs: 3000, takeMs: 2000, retryMs: 400 };
 
 /** Where an attempt stands. */
-export type Phase =
+export type HandoffPhase =
   | { readonly kind: "offered" }
   /** A write is on its way. It is sent again until it is answered; if it failed, the record's next state is awaited. */
   | { readonly kind: "beginning"; readonly write: ShardWrite; readonly failed: boolean }
-  | { readonly kind: "draining"; readonly raised: boolean; readonly askedAt: number | null }
+  | { readonly kind: "draining"; readonly tokensRaised: boolean; readonly releaseRequestedAt: number | null }
   | { readonly kind: "released" }
   | {
       readonly kind: "ending";
@@ -50,16 +50,16 @@
     };
 
 /** One try to hand a shard over, in one term and by one leader. Times are those of `CoordinatorInput.now`. */
-export interface Attempt {
+export interface HandoffAttempt {
   readonly request: MoveRequest;
   readonly source: string;
   readonly epoch: number;
   readonly term: number;
   /** When the target was asked. */
-  readonly began: number;
+  readonly startedAt: number;
   /** When the present phase began. */
   readonly since: number;
   /** When the last write was sent. */
-  readonly sentAt: number;
-  readonly phase: Phase;
+  readonly writeSentAt: number;
+  readonly phase: HandoffPhase;
 }
--- a/packages/shards/src/repairs.ts
+++ b/packages/shards/src/repairs.ts
@@ -16,21 +16,21 @@
 export const repairsOf = (
   assignment: Assignment,
   machines: ReadonlyMap<ShardId, number>,
-  isTried: (shard: ShardId) => boolean,
-  most: number,
+  isMoving: (shard: ShardId) => boolean,
+  maxWrites: number,
 ): readonly ShardWrite[] => {
   const { term } = assignment;
   if (term === null || !assignment.inForce) return [];
   const writes: ShardWrite[] = [];
-  for (const [shard, { state }] of assignment.recorded()) {
-    if (isTried(shard)) continue;
+  for (const [shard, { state }] of assignment.recordedShards()) {
+    if (isMoving(shard)) continue;
     const write = state._tag === "Owned" ? pinShard(assignment, shard) : endHandoff(assignment, shard);
     if (write !== null) writes.push(write);
   }
   for (const [shard, count] of machines) {
-    if (count < MACHINES_WORTH_A_RECORD || assignment.recordOf(shard) !== null || isTried(shard)) continue;
+    if (count < MACHINES_WORTH_A_RECORD || assignment.recordOf(shard) !== null || isMoving(shard)) continue;
     const write = pinShard(assignment, shard);
     if (write !== null) writes.push(write);
   }
-  return writes.slice(0, Math.max(0, most));
+  return writes.slice(0, Math.max(0, maxWrites));
 };
--- a/packages/shards/src/shard-state.ts
+++ b/packages/shards/src/shard-state.ts
@@ -35,7 +35,7 @@
 }
 
 /** The JSON form of a record. Its names never change, since other versions read them. */
-interface StoredForm {
+interface ShardRecordJson {
   readonly epoch: number;
   readonly owner: string;
   readonly phase?: "draining" | "released";
@@ -45,7 +45,7 @@
 }
 
 /** What is written for a state. */
-export const encodeShardState = (state: ShardState): StoredForm => {
+export const encodeShardState = (state: ShardState): ShardRecordJson => {
   const { epoch, owner } = state;
   if (state._tag === "Owned") return { epoch, owner };
   const { id, target, term } = state.handoff;
@@ -58,7 +58,7 @@
 /** Reads a record; left: what is wrong with it. Fields that it doesn't know are ignored. */
 export const decodeShardState = (value: unknown): Either.Either<ShardState, string> => {
   if (typeof value !== "object" || value === null) return Either.left("not an object");
-  const { epoch, owner, phase, id, target, term } = value as Record<keyof StoredForm, unknown>;
+  const { epoch, owner, phase, id, target, term } = value as Record<keyof ShardRecordJson, unknown>;
   if (!isCount(epoch)) return Either.left("epoch is not a count");
   if (!isName(owner)) return Either.left("owner is not a name");
   if (phase === undefined || phase === null) return Either.right(ShardState.Owned({ epoch, owner }));
--- a/packages/shards/src/transitions.ts
+++ b/packages/shards/src/transitions.ts
@@ -20,7 +20,7 @@
 }
 
 /** Whether a step can be decided on, or why not. */
-export type Step = { readonly write: ShardWrite } | { readonly refusal: Refusal };
+export type TransitionResult = { readonly write: ShardWrite } | { readonly refusal: Refusal };
 
 const writeOf = (assignment: Assignment, term: TermView, shard: ShardId, state: ShardState): ShardWrite => ({
   shard,
@@ -34,7 +34,7 @@
   assignment: Assignment,
   shard: ShardId,
   handoff: Omit<Handoff, "term">,
-): Step => {
+): TransitionResult => {
   const { term } = assignment;
   if (term === null || !assignment.inForce) return { refusal: Refusal.NotInForce() };
   if (!assignment.isMember(handoff.target))
@@ -53,29 +53,33 @@
 };
 
 /** The owner releases a shard that the leader says is drained. */
-export const releaseShard = (assignment: Assignment, me: string, request: ReleaseRequest): Step => {
+export const releaseShard = (
+  assignment: Assignment,
+  self: string,
+  request: ReleaseRequest,
+): TransitionResult => {
   const { term } = assignment;
   const { shard, epoch } = request;
   if (term === null || !assignment.inForce) return { refusal: Refusal.NotInForce() };
   const state = assignment.recordOf(shard)?.state;
-  const isHeld =
+  const isReleasable =
     state?._tag === "Draining" &&
-    state.owner === me &&
+    state.owner === self &&
     state.epoch === epoch &&
     state.handoff.id === request.id &&
     state.handoff.term === term.number &&
     request.term === term.number;
-  if (!isHeld) return { refusal: Refusal.NotHolder({ member: me, shard, epoch }) };
+  if (!isReleasable) return { refusal: Refusal.NotHolder({ member: self, shard, epoch }) };
   return { write: writeOf(assignment, term, shard, ShardState.Released({ ...state })) };
 };
 
 /** The target takes a released shard; null: it isn't its to take. */
-export const takeShard = (assignment: Assignment, me: string, shard: ShardId): ShardWrite | null => {
+export const takeShard = (assignment: Assignment, self: string, shard: ShardId): ShardWrite | null => {
   const { term } = assignment;
   const state = assignment.recordOf(shard)?.state;
   if (term === null || !assignment.inForce || state?._tag !== "Released") return null;
-  if (state.handoff.target !== me || state.handoff.term !== term.number) return null;
-  return writeOf(assignment, term, shard, ShardState.Owned({ epoch: state.epoch + 1, owner: me }));
+  if (state.handoff.target !== self || state.handoff.term !== term.number) return null;
+  return writeOf(assignment, term, shard, ShardState.Owned({ epoch: state.epoch + 1, owner: self }));
 };
 
 /**
@@ -90,14 +94,19 @@
   if (term === null || !assignment.inForce || state === undefined || state._tag === "Owned") return null;
   const { epoch, owner } = state;
   if (assignment.isMember(owner)) {
-    const isHeld = state._tag === "Draining";
-    return writeOf(assignment, term, shard, ShardState.Owned({ epoch: isHeld ? epoch : epoch + 1, owner }));
+    const isStillOwned = state._tag === "Draining";
+    return writeOf(
+      assignment,
+      term,
+      shard,
+      ShardState.Owned({ epoch: isStillOwned ? epoch : epoch + 1, owner }),
+    );
   }
   const { target } = state.handoff;
-  const isTargets = state._tag === "Released" && assignment.isMember(target);
-  const heir = isTargets ? target : assignment.defaultOwner(shard);
-  if (heir === null) return null;
-  return writeOf(assignment, term, shard, ShardState.Owned({ epoch: epoch + 1, owner: heir }));
+  const goesToTarget = state._tag === "Released" && assignment.isMember(target);
+  const nextOwner = goesToTarget ? target : assignment.defaultOwner(shard);
+  if (nextOwner === null) return null;
+  return writeOf(assignment, term, shard, ShardState.Owned({ epoch: epoch + 1, owner: nextOwner }));
 };
 
 /**
--- a/packages/shards/test/assignment.test.ts
+++ b/packages/shards/test/assignment.test.ts
@@ -6,7 +6,7 @@
 import {
   Assignment,
   beginHandoff,
-  countedBy,
+  countingController,
   countMachines,
   decodeShardState,
   describeRefusal,
@@ -38,7 +38,7 @@
   members = MEMBERS,
   number = 7,
 ): Assignment =>
-  Assignment.empty.withTerm({ number, revision: 50, members }).reread(
+  Assignment.empty.withTerm({ number, revision: 50, members }).withSnapshot(
     records.map(([shard, state], i) => ({ shard, revision: 60 + i, value: encodeShardState(state) })),
     number,
     99,
@@ -97,7 +97,7 @@
     assert.ok(Either.isLeft(decodeShardState(bad)), JSON.stringify(bad));
   const assignment = Assignment.empty
     .withTerm({ number: 7, revision: 50, members: MEMBERS })
-    .reread([{ shard: SHARD, revision: 60, value: { epoch: "x" } }], 7, 99);
+    .withSnapshot([{ shard: SHARD, revision: 60, value: { epoch: "x" } }], 7, 99);
   const write = pinShard(assignment, SHARD);
   assert.equal(write?.state.owner, assignment.defaultOwner(SHARD));
   assert.equal(write?.state.epoch, 61);
@@ -110,23 +110,25 @@
     [second, ShardState.Owned({ epoch: 1, owner: "inland" })],
   ]);
   const value = encodeShardState(ShardState.Owned({ epoch: 2, owner: "inland" }));
-  const after = before.changed([{ shard: first, revision: 120, value }], 7, 120);
-  assert.deepEqual(after.changedSince(before), [first]);
+  const after = before.withChanges([{ shard: first, revision: 120, value }], 7, 120);
+  assert.deepEqual(after.shardsChangedSince(before), [first]);
   assert.equal(after.recordOf(second), before.recordOf(second));
   assert.equal(before.ownershipOf(first)?.owner, "north", "the earlier version stays as it was");
   assert.deepEqual(
-    after.changed([{ shard: first, revision: 110, value: {} }], 7, 110).changedSince(after),
+    after.withChanges([{ shard: first, revision: 110, value: {} }], 7, 110).shardsChangedSince(after),
     [],
   );
-  assert.deepEqual(after.changed([{ shard: first, revision: 130 }], 7, 130).changedSince(after), [first]);
+  assert.deepEqual(after.withChanges([{ shard: first, revision: 130 }], 7, 130).shardsChangedSince(after), [
+    first,
+  ]);
 });
 
 test("shards are in force only under the term that the leader wrote so, once the records are as recent", () => {
   const term = { number: 7, revision: 50, members: MEMBERS };
   assert.equal(Assignment.empty.withTerm(term).inForce, false);
-  assert.equal(Assignment.empty.withTerm(term).reread([], 7, 49).inForce, false);
-  assert.equal(Assignment.empty.withTerm(term).reread([], 6, 50).inForce, false);
-  assert.equal(Assignment.empty.withTerm(term).reread([], 7, 50).inForce, true);
+  assert.equal(Assignment.empty.withTerm(term).withSnapshot([], 7, 49).inForce, false);
+  assert.equal(Assignment.empty.withTerm(term).withSnapshot([], 6, 50).inForce, false);
+  assert.equal(Assignment.empty.withTerm(term).withSnapshot([], 7, 50).inForce, true);
 });
 
 test("each step needs the state before it, and an epoch never comes again", () => {
@@ -147,7 +149,7 @@
   const released = releaseShard(draining, "north", request);
   assert.ok("write" in released);
   const open = read([[SHARD, released.write.state]]);
-  assert.equal(countedBy(open, SHARD), null);
+  assert.equal(countingController(open, SHARD), null);
   assert.equal(takeShard(open, "south", SHARD), null);
   assert.deepEqual(
     { ...takeShard(open, "inland", SHARD)?.state },
@@ -177,7 +179,7 @@
 
 test("a second release that fails says nothing of the first: the shard isn't held until another record is read", () => {
   const draining = read([[SHARD, ShardState.Draining({ epoch: 3, owner: "north", handoff })]]);
-  const ownerView = OwnerView.of("north", draining);
+  const ownerView = OwnerView.create("north", draining);
   assert.ok(ownerView.ownsForCertain(SHARD, true));
   const step = ownerView.answerRelease({ id: "move-1", term: 7, shard: SHARD, epoch: 3 });
   assert.ok("write" in step);
@@ -185,7 +187,7 @@
   assert.ok(!sent.ownsForCertain(SHARD, true));
   assert.ok(!sent.withAssignment(draining).ownsForCertain(SHARD, true));
   const value = encodeShardState(ShardState.Owned({ epoch: 3, owner: "north" }));
-  const back = draining.changed([{ shard: SHARD, revision: 200, value }], 7, 200);
+  const back = draining.withChanges([{ shard: SHARD, revision: 200, value }], 7, 200);
   assert.ok(sent.withAssignment(back).ownsForCertain(SHARD, true));
 });
 
--- a/packages/shards/test/handoffs.property.test.ts
+++ b/packages/shards/test/handoffs.property.test.ts
@@ -18,7 +18,7 @@
   ["n-15", "west"],
 ]);
 /** After this long without troubles every handoff has ended. */
-const CALM_MS = 20_000;
+const RECOVERY_MS = 20_000;
 
 class Step implements fc.Command<object, World> {
   constructor(
@@ -29,7 +29,7 @@
   run(_model: object, world: World): void {
     this.apply(world);
     world.check();
-    assert.deepEqual(world.invariants.broken, []);
+    assert.deepEqual(world.invariants.violations, []);
   }
   toString = (): string => this.text;
 }
@@ -64,7 +64,7 @@
     .tuple(node, ms(6000))
     .map(
       ([name, duration]) =>
-        new Step(`refuse(${name}, ${duration})`, (world) => world.faults.refuse(name, duration)),
+        new Step(`refuse(${name}, ${duration})`, (world) => world.faults.refuseState(name, duration)),
     ),
   fc
     .double({ min: 0, max: 0.5, noNaN: true })
@@ -78,17 +78,17 @@
     .tuple(node, ms(4000))
     .map(
       ([name, duration]) =>
-        new Step(`deafen(${name}, ${duration})`, (world) => world.faults.deafen(name, duration)),
+        new Step(`deafen(${name}, ${duration})`, (world) => world.faults.loseAnswers(name, duration)),
     ),
   fc
     .tuple(node, ms(8000))
     .map(
       ([name, duration]) =>
-        new Step(`lag(${name}, ${duration})`, (world) => world.faults.lag(name, duration)),
+        new Step(`lag(${name}, ${duration})`, (world) => world.faults.delayReads(name, duration)),
     ),
   fc
     .constantFrom("n-13", "n-15")
-    .map((id) => new Step(`silence(${id})`, (world) => world.faults.silence(id))),
+    .map((id) => new Step(`silence(${id})`, (world) => world.faults.silenceWorker(id))),
   node.map((name) => new Step(`crash(${name})`, (world) => world.faults.crash(name))),
   fc
     .tuple(node, fc.integer({ min: 0, max: 9 }))
@@ -111,32 +111,33 @@
     ),
 ];
 
-interface Totals {
-  executed: number;
-  readonly ended: Map<string, number>;
+interface RunTotals {
+  executedCount: number;
+  readonly outcomes: Map<string, number>;
 }
 
-const history = (without: Guard | null, totals: Totals) =>
+const historyProperty = (disabledGuard: Guard | null, totals: RunTotals) =>
   fc.property(fc.commands(steps, { maxCommands: 60, size: "max" }), fc.nat(1e9), (commands, seed) => {
-    const world = new World(seed, without, NODES, MACHINES);
+    const world = new World(seed, disabledGuard, NODES, MACHINES);
     for (const [name] of NODES) world.faults.restart(name, true);
     world.advance(5000);
     fc.modelRun(() => ({ model: {}, real: world }), commands);
-    world.faults.calm();
-    world.advance(CALM_MS);
-    totals.executed += world.invariants.executed;
-    for (const outcome of world.ended) totals.ended.set(outcome, (totals.ended.get(outcome) ?? 0) + 1);
-    assert.deepEqual(world.invariants.broken, []);
+    world.faults.clear();
+    world.advance(RECOVERY_MS);
+    totals.executedCount += world.invariants.executedCount;
+    for (const outcome of world.moveOutcomes)
+      totals.outcomes.set(outcome, (totals.outcomes.get(outcome) ?? 0) + 1);
+    assert.deepEqual(world.invariants.violations, []);
     assert.deepEqual(world.unfinished(), [], "once troubles are over every handoff ends");
   });
 
 test("no shard has two owners, no machine is counted twice, no old command is carried out, every handoff ends", () => {
-  const totals: Totals = { executed: 0, ended: new Map() };
-  fc.assert(history(null, totals), { seed: 27, numRuns: 200, endOnFailure: true });
+  const totals: RunTotals = { executedCount: 0, outcomes: new Map() };
+  fc.assert(historyProperty(null, totals), { seed: 27, numRuns: 200, endOnFailure: true });
   // the runs were no idle ones
-  assert.ok(totals.executed > 10_000, `${totals.executed} commands`);
+  assert.ok(totals.executedCount > 10_000, `${totals.executedCount} commands`);
   for (const outcome of ["done", "CommandInDoubt", "TermChanged", "NotTaken", "MachineNotHeard", "NotHolder"])
-    assert.ok((totals.ended.get(outcome) ?? 0) > 0, `${outcome}: ${JSON.stringify([...totals.ended])}`);
+    assert.ok((totals.outcomes.get(outcome) ?? 0) > 0, `${outcome}: ${JSON.stringify([...totals.outcomes])}`);
 });
 
 /** Each guard, what its absence breaks, and a seed that shows it soon. "fencingToken" is left to the search of all interleavings. */
@@ -153,7 +154,7 @@
 ];
 for (const [guard, expected, seed] of GUARDS)
   test(`without the guard "${guard}" a property fails`, () => {
-    const without = history(guard, { executed: 0, ended: new Map() });
+    const without = historyProperty(guard, { executedCount: 0, outcomes: new Map() });
     const result = fc.check(without, { seed, numRuns: 120, endOnFailure: true });
     assert.ok(result.failed, `not noticed in ${result.numRuns} runs`);
     const { errorInstance } = result;
--- a/packages/shards/test/interleavings.test.ts
+++ b/packages/shards/test/interleavings.test.ts
@@ -24,15 +24,15 @@
 for (const [what, bounds, states] of SEARCHES)
   test(`all interleavings of one handoff: ${what}`, () => {
     const found = new Interleavings(bounds).explore(SHARD);
-    console.log(`${what}: ${found.states} states, ends: ${JSON.stringify([...found.ends].sort())}`);
-    assert.deepEqual(found.broken, []);
+    console.log(`${what}: ${found.states} states, ends: ${JSON.stringify([...found.finalOwners].sort())}`);
+    assert.deepEqual(found.violations, []);
     assert.equal(found.states, states);
     // both outcomes come up: the target has the shard, or the source has it still
-    assert.ok((found.ends.get("north") ?? 0) > 0 && (found.ends.get("inland") ?? 0) > 0);
+    assert.ok((found.finalOwners.get("north") ?? 0) > 0 && (found.finalOwners.get("inland") ?? 0) > 0);
   });
 
 for (const guard of ["pause", "fencingToken", "revision"] as const)
   test(`without the guard "${guard}" the search finds a broken property`, () => {
     const bounds = { ...NONE, commands: 1, copies: 1, timeouts: 1 };
-    assert.notDeepEqual(new Interleavings(bounds, guard).explore(SHARD).broken, []);
+    assert.notDeepEqual(new Interleavings(bounds, guard).explore(SHARD).violations, []);
   });
--- a/packages/shards/test/interleavings.ts
+++ b/packages/shards/test/interleavings.ts
@@ -1,6 +1,6 @@
 /** A breadth-first search through everything that can happen during one handoff, within stated bounds. */
 import type { ShardId } from "../src/index.js";
-import { type Mail, mailText } from "./world-network.js";
+import { type Message, messageKey } from "./world-network.js";
 import type { Node } from "./world-nodes.js";
 import { type Guard, World } from "./world.js";
 
@@ -21,33 +21,33 @@
 
 interface State {
   readonly world: World;
-  readonly left: Bounds;
+  readonly remaining: Bounds;
 }
 
 /** What a search found. */
-export interface Found {
+export interface SearchResult {
   readonly states: number;
-  readonly broken: readonly string[];
+  readonly violations: readonly string[];
   /** Who owns the shard where nothing more can happen. */
-  readonly ends: ReadonlyMap<string, number>;
+  readonly finalOwners: ReadonlyMap<string, number>;
   /** Final states in which the handoff is still open. */
-  readonly stuck: number;
+  readonly openHandoffs: number;
 }
 
 const TIMEOUT_MS = 3500;
 const MAX_STATES = 200_000;
 
-const newWorld = (without: Guard | null): World => {
+const newWorld = (disabledGuard: Guard | null): World => {
   const nodes = [
     [NAMES.leader, "west"],
     [NAMES.source, "east"],
     [NAMES.target, "east"],
   ] as const;
-  const world = new World(1, without, nodes, new Map([["n-4", "east"]]));
+  const world = new World(1, disabledGuard, nodes, new Map([["n-4", "east"]]));
   world.busy = false;
   for (const [name] of nodes) world.faults.restart(name, true);
   world.advance(5000);
-  for (const node of world.nodes.values()) node.windowUntil = node.leaseUntil = Infinity;
+  for (const node of world.nodes.values()) node.fencingWindowEnd = node.leaseUntil = Infinity;
   return world;
 };
 
@@ -55,26 +55,26 @@
 export class Interleavings {
   constructor(
     private readonly bounds: Bounds,
-    private readonly without: Guard | null = null,
+    private readonly disabledGuard: Guard | null = null,
   ) {}
 
-  explore(shard: ShardId): Found {
-    const first = newWorld(this.without);
+  explore(shard: ShardId): SearchResult {
+    const first = newWorld(this.disabledGuard);
     const leader = first.node(NAMES.leader);
     // the machine has sent a heartbeat, so that nothing stands against a handoff
-    first.ask(leader, shard);
-    while (first.network.mail.length > 0) first.deliver(0);
+    first.requestHeartbeats(leader, shard);
+    while (first.network.inFlight.length > 0) first.deliver(0);
     const request = { id: "move-1", shard, target: NAMES.target, by: "operator" } as const;
-    const begun = leader.leadingCoordinator.request(request, first.inputOf(leader));
+    const begun = leader.leadingCoordinator.startMove(request, first.inputOf(leader));
     if ("_tag" in begun) throw new Error(`not begun: ${begun._tag}`);
     first.carryOut(leader, begun);
-    return this.search({ world: first, left: this.bounds }, shard);
+    return this.search({ world: first, remaining: this.bounds }, shard);
   }
 
-  private search(start: State, shard: ShardId): Found {
+  private search(start: State, shard: ShardId): SearchResult {
     const seen = new Set<string>();
-    const ends = new Map<string, number>();
-    let stuck = 0;
+    const finalOwners = new Map<string, number>();
+    let openHandoffs = 0;
     let queue: State[] = [start];
     while (queue.length > 0) {
       const next: State[] = [];
@@ -83,61 +83,71 @@
         // before known states are left out: a property may break on one of two ways to the same state
         for (const { world } of successors) {
           world.check();
-          if (world.invariants.broken.length > 0)
-            return { states: seen.size, broken: world.invariants.broken, ends, stuck };
+          if (world.invariants.violations.length > 0)
+            return {
+              states: seen.size,
+              violations: world.invariants.violations,
+              finalOwners: finalOwners,
+              openHandoffs: openHandoffs,
+            };
         }
         const fresh = successors.filter((successor) => {
-          const key = JSON.stringify(successor.left) + successor.world.describe();
+          const key = JSON.stringify(successor.remaining) + successor.world.stateKey();
           if (seen.has(key)) return false;
           seen.add(key);
           return true;
         });
         if (seen.size > MAX_STATES) throw new Error(`more than ${MAX_STATES} states`);
         next.push(...fresh);
-        if (fresh.length > 0 || state.world.network.mail.length > 0) continue;
+        if (fresh.length > 0 || state.world.network.inFlight.length > 0) continue;
         const record = state.world.records.get(shard)?.state;
         const owner = record?.owner ?? "default";
-        ends.set(owner, (ends.get(owner) ?? 0) + 1);
-        if (record !== undefined && record._tag !== "Owned") stuck++;
+        finalOwners.set(owner, (finalOwners.get(owner) ?? 0) + 1);
+        if (record !== undefined && record._tag !== "Owned") openHandoffs++;
       }
       queue = next;
     }
-    return { states: seen.size, broken: [], ends, stuck };
+    return { states: seen.size, violations: [], finalOwners: finalOwners, openHandoffs: openHandoffs };
   }
 
   private successors(state: State): State[] {
-    const { world, left } = state;
+    const { world, remaining: remaining } = state;
     const states: State[] = [];
-    const then = (change: (copy: World) => void, bounds: Partial<Bounds> = {}): void => {
+    const addSuccessor = (change: (copy: World) => void, bounds: Partial<Bounds> = {}): void => {
       const copy = world.copy();
       change(copy);
-      states.push({ world: copy, left: { ...left, ...bounds } });
+      states.push({ world: copy, remaining: { ...remaining, ...bounds } });
     };
-    world.network.mail.forEach((mail, index) => {
-      then((copy) => deliver(copy, index, true));
-      if (left.losses > 0) then((copy) => deliver(copy, index, false), { losses: left.losses - 1 });
-      if (left.copies > 0) then((copy) => void copy.network.mail.push(mail), { copies: left.copies - 1 });
+    world.network.inFlight.forEach((mail, index) => {
+      addSuccessor((copy) => deliver(copy, index, true));
+      if (remaining.losses > 0)
+        addSuccessor((copy) => deliver(copy, index, false), { losses: remaining.losses - 1 });
+      if (remaining.copies > 0)
+        addSuccessor((copy) => void copy.network.inFlight.push(mail), { copies: remaining.copies - 1 });
     });
-    for (const name of world.nodes.keys()) this.ownSteps(name, world, then);
-    if (mayBeSettled(world)) then(settle);
-    if (left.commands > 0) then((copy) => command(copy), { commands: left.commands - 1 });
-    if (left.timeouts > 0) then((copy) => void (copy.now += TIMEOUT_MS), { timeouts: left.timeouts - 1 });
-    for (const party of left.crashes)
-      then((copy) => crash(copy, NAMES[party]), { crashes: left.crashes.filter((other) => other !== party) });
+    for (const name of world.nodes.keys()) this.ownSteps(name, world, addSuccessor);
+    if (mayBeSettled(world)) addSuccessor(settle);
+    if (remaining.commands > 0) addSuccessor((copy) => command(copy), { commands: remaining.commands - 1 });
+    if (remaining.timeouts > 0)
+      addSuccessor((copy) => void (copy.now += TIMEOUT_MS), { timeouts: remaining.timeouts - 1 });
+    for (const party of remaining.crashes)
+      addSuccessor((copy) => crash(copy, NAMES[party]), {
+        crashes: remaining.crashes.filter((other) => other !== party),
+      });
     return states;
   }
 
   /** What a process does by itself, where that changes anything. */
-  private ownSteps(name: string, world: World, then: (change: (copy: World) => void) => void): void {
+  private ownSteps(name: string, world: World, addSuccessor: (change: (copy: World) => void) => void): void {
     const node = world.node(name);
     const known = node.assignment.term?.number ?? 0;
     const { term } = world;
-    if (term !== null && known < term.number) then((copy) => copy.learn(copy.node(name), term));
-    if (!knowsRecords(world, node)) then((copy) => copy.read(copy.node(name)));
-    if (node.ownerView.pendingTakes().length > 0) then((copy) => copy.take(copy.node(name)));
+    if (term !== null && known < term.number) addSuccessor((copy) => copy.learnTerm(copy.node(name), term));
+    if (!knowsRecords(world, node)) addSuccessor((copy) => copy.readRecords(copy.node(name)));
+    if (node.ownerView.pendingTakes().length > 0) addSuccessor((copy) => copy.takeReleased(copy.node(name)));
     if (world.leader?.node !== name) return;
-    if (world.membersChanged()) then((copy) => copy.writeTerm(copy.node(name)));
-    then((copy) => lead(copy, copy.node(name)));
+    if (world.membersChanged()) addSuccessor((copy) => copy.writeTerm(copy.node(name)));
+    addSuccessor((copy) => lead(copy, copy.node(name)));
   }
 }
 
@@ -146,17 +156,17 @@
  * than that it never arrives. What is for a process that is over is dropped.
  */
 const deliver = (world: World, index: number, isAnswered: boolean): void => {
-  const known = new Set(world.network.mail);
+  const known = new Set(world.network.inFlight);
   world.deliver(index);
-  const isReply = (mail: Mail): boolean =>
+  const isReply = (mail: Message): boolean =>
     mail.kind === "written" ||
     mail.kind === "offered" ||
     mail.kind === "releaseAnswer" ||
     mail.kind === "commandAnswer";
-  const reply = world.network.mail.findIndex((mail) => !known.has(mail) && isReply(mail));
+  const reply = world.network.inFlight.findIndex((mail) => !known.has(mail) && isReply(mail));
   if (reply < 0) return;
   if (isAnswered) world.deliver(reply);
-  else world.network.mail.splice(reply, 1);
+  else world.network.inFlight.splice(reply, 1);
 };
 
 /** Whether a process would learn nothing by reading the records. */
@@ -176,20 +186,20 @@
 };
 
 const settle = (world: World): void => {
-  for (const node of world.nodes.values()) node.ownerView = node.ownerView.settled();
+  for (const node of world.nodes.values()) node.ownerView = node.ownerView.settle();
 };
 
 /** A step of the leader. What is on its way already isn't sent again, so that the search ends. */
 const lead = (world: World, node: Node): void => {
   if (!world.mayAct(node) || node.coordinator === null) return;
-  const before = new Set(world.network.mail.map(mailText));
-  const known = world.network.mail.length;
+  const before = new Set(world.network.inFlight.map(messageKey));
+  const known = world.network.inFlight.length;
   world.carryOut(node, node.coordinator.step(world.inputOf(node)));
   node.nextRepair = 0;
   for (const write of world.repairs(node))
-    if (!world.isOnItsWay(node, write)) world.sendWrite(node, null, write);
-  world.network.mail = world.network.mail.filter(
-    (mail, index) => index < known || !before.has(mailText(mail)),
+    if (!world.isInFlight(node, write)) world.sendWrite(node, null, write);
+  world.network.inFlight = world.network.inFlight.filter(
+    (mail, index) => index < known || !before.has(messageKey(mail)),
   );
   node.nextRepair = 0;
 };
@@ -205,7 +215,7 @@
   const wasLeader = world.leader?.node === name;
   world.faults.restart(name, true);
   const node = world.node(name);
-  node.windowUntil = node.leaseUntil = Infinity;
+  node.fencingWindowEnd = node.leaseUntil = Infinity;
   if (!wasLeader) return;
   world.leader = node.process;
   world.startLeading(node);
--- a/packages/shards/test/rebalancer.test.ts
+++ b/packages/shards/test/rebalancer.test.ts
@@ -21,7 +21,7 @@
 ];
 const SHARDS = [...shardsOfZone("east"), ...shardsOfZone("west")];
 const owned = (ownerOf: (shard: ShardId, index: number) => string, members = MEMBERS): Assignment =>
-  Assignment.empty.withTerm({ number: 1, revision: 1, members }).reread(
+  Assignment.empty.withTerm({ number: 1, revision: 1, members }).withSnapshot(
     SHARDS.map((shard, i) => ({
       shard,
       revision: 2,
@@ -39,9 +39,9 @@
   assignment,
   loads: new Map(SHARDS.map((shard) => [shard, load(8)])),
   draining: new Set(),
-  blocked: () => false,
+  isBlocked: () => false,
   hysteresis: 0.3,
-  most: 100,
+  maxMoves: 100,
   ...more,
 });
 const home = (shard: ShardId, i: number): string =>
@@ -86,7 +86,7 @@
 
 test("what is blocked isn't proposed, and others are in its place", () => {
   const blocked = (shard: ShardId): boolean => shard === SHARDS[0];
-  const moves = planMoves(input(owned(home), { draining: new Set(["a"]), blocked }));
+  const moves = planMoves(input(owned(home), { draining: new Set(["a"]), isBlocked: blocked }));
   assert.equal(moves.filter((move) => move.reason === "drain").length, 7);
   assert.ok(moves.every((move) => move.shard !== SHARDS[0]));
 });
@@ -102,7 +102,7 @@
       const loads = new Map(SHARDS.map((shard, i) => [shard, load(machines[i]!)]));
       let assignment = owned((_, i) => names[i]!);
       for (let round = 0; ; round++) {
-        const asked = input(assignment, { loads, most });
+        const asked = input(assignment, { loads, maxMoves: most });
         const moves = planMoves(asked);
         assert.ok(moves.length <= most);
         assert.deepEqual(planMoves(asked), moves);
--- a/packages/shards/test/world-faults.ts
+++ b/packages/shards/test/world-faults.ts
@@ -18,7 +18,7 @@
     node.knowsShards = knowsShards;
     this.world.nodes.set(name, node);
     this.world.removeKey(name);
-    this.world.join(node);
+    this.world.joinMembers(node);
   }
 
   /** The process stands still, and doesn't notice it. */
@@ -28,35 +28,35 @@
   }
 
   /** The state service refuses this node. */
-  refuse(name: string, ms: number): void {
+  refuseState(name: string, ms: number): void {
     const node = this.world.node(name);
-    node.cutUntil = Math.max(node.cutUntil, this.world.now + ms);
+    node.stateRefusedUntil = Math.max(node.stateRefusedUntil, this.world.now + ms);
   }
 
   /** Answers to a node's writes are lost, and what it reads falls behind. */
-  deafen(name: string, ms: number): void {
+  loseAnswers(name: string, ms: number): void {
     const node = this.world.node(name);
-    node.deafUntil = Math.max(node.deafUntil, this.world.now + ms);
-    this.lag(name, ms);
+    node.answersLostUntil = Math.max(node.answersLostUntil, this.world.now + ms);
+    this.delayReads(name, ms);
   }
 
   /** A node reads nothing new for a while. */
-  lag(name: string, ms: number): void {
+  delayReads(name: string, ms: number): void {
     const node = this.world.node(name);
     node.nextRead = Math.max(node.nextRead, this.world.now + ms);
   }
 
   /** A worker answers nothing any more. */
-  silence(machine: string): void {
+  silenceWorker(machine: string): void {
     this.world.worker(machine).silent = true;
   }
 
   /** Ends all troubles, but for workers that are silent. */
-  calm(): void {
-    this.world.network.calm();
-    this.world.forgetMoves();
+  clear(): void {
+    this.world.network.clearFaults();
+    this.world.clearRequestedMoves();
     for (const node of this.world.nodes.values()) {
-      node.cutUntil = node.frozenUntil = node.deafUntil = node.nextRead = this.world.now;
+      node.stateRefusedUntil = node.frozenUntil = node.answersLostUntil = node.nextRead = this.world.now;
       if (!node.alive || !node.knowsShards) this.restart(node.name, true);
     }
   }
--- a/packages/shards/test/world-invariants.ts
+++ b/packages/shards/test/world-invariants.ts
@@ -20,29 +20,29 @@
 
 /** Keeps what happened, and says which property broke. */
 export class Invariants {
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   /** How many commands were carried out, to show that a run was no idle one. */
-  executed = 0;
+  executedCount = 0;
   /** The owner of each epoch of each shard. */
   private owners = new Map<string, string>();
   /** The latest epoch of each shard that began because the shard had been released. */
-  private handedOver = new Map<ShardId, number>();
+  private handoffEpochs = new Map<ShardId, number>();
 
   /** The same history so far, without what was broken or counted in it. */
   copy(): Invariants {
     const copy = new Invariants();
     copy.owners = new Map(this.owners);
-    copy.handedOver = new Map(this.handedOver);
+    copy.handoffEpochs = new Map(this.handoffEpochs);
     return copy;
   }
 
   /** One owner for each epoch. `before`: the record that the write replaced. */
-  written({ shard, state }: ShardWrite, before: StoredShard | undefined): void {
+  recordWrite({ shard, state }: ShardWrite, before: StoredShard | undefined): void {
     const { epoch, owner } = state;
-    if (before?.state._tag === "Released") this.handedOver.set(shard, epoch);
+    if (before?.state._tag === "Released") this.handoffEpochs.set(shard, epoch);
     const name = `${shard} ${epoch}`;
     const ownerBefore = this.owners.get(name) ?? owner;
-    if (ownerBefore !== owner) this.broken.push(`epoch ${name}: ${ownerBefore}, then ${owner}`);
+    if (ownerBefore !== owner) this.violations.push(`epoch ${name}: ${ownerBefore}, then ${owner}`);
     this.owners.set(name, ownerBefore);
   }
 
@@ -50,15 +50,15 @@
    * No command is carried out while a shard is released, nor one of an epoch that a handoff ended. `state` undefined: the
    * shard has no record; `presentTerm` null: shards aren't in force, and nothing is promised.
    */
-  commandExecuted(command: ExecutedCommand, state: ShardState | undefined, presentTerm: number | null): void {
-    this.executed++;
+  recordExecution(command: ExecutedCommand, state: ShardState | undefined, presentTerm: number | null): void {
+    this.executedCount++;
     if (state === undefined || presentTerm === null) return;
     const { machine, shard, term, epoch } = command;
     const isOwned = state._tag !== "Released";
     // after a change of term an earlier leader's command is in doubt until the worker has seen the new fencing token
-    const isPresent = epoch >= (this.handedOver.get(shard) ?? 0) || term !== presentTerm;
+    const isPresent = epoch >= (this.handoffEpochs.get(shard) ?? 0) || term !== presentTerm;
     if (!isOwned || !isPresent)
-      this.broken.push(`${machine} carried out a command of epoch ${epoch} in ${JSON.stringify(state)}`);
+      this.violations.push(`${machine} carried out a command of epoch ${epoch} in ${JSON.stringify(state)}`);
   }
 
   /** No shard is counted twice. */
@@ -66,7 +66,7 @@
     for (const shard of shards) {
       const owners = nodes.filter((node) => node.counts(shard));
       if (owners.length > 1)
-        this.broken.push(`${shard} is counted by ${owners.map((node) => node.name).join(" and ")}`);
+        this.violations.push(`${shard} is counted by ${owners.map((node) => node.name).join(" and ")}`);
     }
   }
 }
--- a/packages/shards/test/world-network.ts
+++ b/packages/shards/test/world-network.ts
@@ -17,7 +17,7 @@
 }
 
 /** What a message says. */
-export type MailBody =
+export type MessageBody =
   | { readonly kind: "write"; readonly from: Process; readonly id: string | null; readonly write: ShardWrite }
   | {
       readonly kind: "written";
@@ -63,10 +63,10 @@
     };
 
 /** A message on its way; `due`: when it arrives, in milliseconds. */
-export type Mail = MailBody & { readonly due: number };
+export type Message = MessageBody & { readonly due: number };
 
 /** A message without its time of arrival: two with the same text say the same. */
-export const mailText = (mail: Mail): string => JSON.stringify({ ...mail, due: 0 });
+export const messageKey = (mail: Message): string => JSON.stringify({ ...mail, due: 0 });
 
 /** The longest that a slow message, or the second copy of one, takes. */
 const SLOW_MS = 8000;
@@ -83,7 +83,7 @@
   slow = 0;
   /** The same for messages to and from workers. */
   slowWorkers = 0;
-  mail: Mail[] = [];
+  inFlight: Message[] = [];
   private readonly generator: ReturnType<typeof xoroshiro128plus>;
 
   constructor(seed: number) {
@@ -93,7 +93,7 @@
   /** A network without troubles that has the same messages on their way. */
   copy(): Network {
     const copy = new Network(0);
-    copy.mail = [...this.mail];
+    copy.inFlight = [...this.inFlight];
     return copy;
   }
 
@@ -103,30 +103,30 @@
   }
 
   /** Sends a message at the time `now`. */
-  send(message: MailBody, now: number): void {
+  send(message: MessageBody, now: number): void {
     if (this.random() < this.loss) return;
     const isWorkers = message.kind === "command" || message.kind === "commandAnswer";
     const isSlow = this.random() < Math.max(this.slow, isWorkers ? this.slowWorkers : 0);
     const due = now + SHORTEST_MS + this.random() * (isSlow ? SLOW_MS : SPREAD_MS);
-    this.mail.push({ ...message, due });
-    if (this.random() < this.copies) this.mail.push({ ...message, due: due + this.random() * SLOW_MS });
+    this.inFlight.push({ ...message, due });
+    if (this.random() < this.copies) this.inFlight.push({ ...message, due: due + this.random() * SLOW_MS });
   }
 
   /** Puts a message off, since the process that it is for stands still. */
-  putOff(mail: Mail, due: number): void {
-    this.mail.push({ ...mail, due });
+  postpone(mail: Message, due: number): void {
+    this.inFlight.push({ ...mail, due });
   }
 
   /** Takes a message out. */
-  remove(index: number): Mail {
-    const mail = this.mail[index];
+  remove(index: number): Message {
+    const mail = this.inFlight[index];
     if (mail === undefined) throw new Error(`there is no message ${index}`);
-    this.mail = this.mail.filter((_, other) => other !== index);
+    this.inFlight = this.inFlight.filter((_, other) => other !== index);
     return mail;
   }
 
   /** No more troubles; what is late stays late. */
-  calm(): void {
+  clearFaults(): void {
     this.loss = this.copies = this.slow = this.slowWorkers = 0;
   }
 }
--- a/packages/shards/test/world-nodes.ts
+++ b/packages/shards/test/world-nodes.ts
@@ -12,7 +12,7 @@
   /** How often the leader has raised the machine's fencing token in its term. */
   fencingTokenStep: number;
   /** Commands without an answer. */
-  outstanding: { readonly fencingToken: number; readonly sentAt: number }[];
+  unansweredCommands: { readonly fencingToken: number; readonly sentAt: number }[];
 }
 
 /** One process of a controller. */
@@ -22,15 +22,15 @@
   knowsShards = true;
   ownerView: OwnerView;
   /** The end of its fencing window. */
-  windowUntil = -1;
+  fencingWindowEnd = -1;
   leaseUntil = -1;
   nextRenew = 0;
   nextRead = 0;
-  learnedAt = 0;
+  termLearnedAt = 0;
   frozenUntil = 0;
-  cutUntil = 0;
+  stateRefusedUntil = 0;
   /** Its writes are carried out, but it hears nothing of that. */
-  deafUntil = 0;
+  answersLostUntil = 0;
   nextRepair = 0;
   coordinator: Coordinator | null = null;
   machines = new Map<string, MachineView>();
@@ -38,14 +38,14 @@
     readonly name: string,
     readonly zone: string,
   ) {
-    this.ownerView = OwnerView.of(name, Assignment.empty);
+    this.ownerView = OwnerView.create(name, Assignment.empty);
   }
   /** A node in the same state that goes on by itself. */
   copy(): Node {
     const copy = Object.assign(new Node(this.name, this.zone), this);
     copy.coordinator = this.coordinator?.copy() ?? null;
     copy.machines = new Map(
-      [...this.machines].map(([id, view]) => [id, { ...view, outstanding: [...view.outstanding] }]),
+      [...this.machines].map(([id, view]) => [id, { ...view, outstanding: [...view.unansweredCommands] }]),
     );
     return copy;
   }
@@ -70,7 +70,11 @@
 
   /** What this process knows of a machine; nothing yet, if it never asked. */
   viewOf(machine: string): MachineView {
-    const view = this.machines.get(machine) ?? { seenFencingToken: 0, fencingTokenStep: 0, outstanding: [] };
+    const view = this.machines.get(machine) ?? {
+      seenFencingToken: 0,
+      fencingTokenStep: 0,
+      unansweredCommands: [],
+    };
     this.machines.set(machine, view);
     return view;
   }
--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -7,7 +7,7 @@
   type CoordinatorAction,
   type CoordinatorInput,
   encodeShardState,
-  HANDOFF_TIMES,
+  HANDOFF_TIMEOUTS,
   Refusal,
   repairsOf,
   type ShardFacts,
@@ -19,7 +19,7 @@
 } from "../src/index.js";
 import { Faults } from "./world-faults.js";
 import { Invariants } from "./world-invariants.js";
-import { type Mail, type MailBody, mailText, Network, type Process } from "./world-network.js";
+import { type Message, type MessageBody, messageKey, Network, type Process } from "./world-network.js";
 import { Node } from "./world-nodes.js";
 
 /** What may be taken out, to show that a property then fails. */
@@ -41,7 +41,7 @@
 const STEP_MS = 50;
 const REPAIR_MS = 1000;
 /** A command is in doubt once it had no answer for so long. */
-const DOUBTED_AFTER_MS = 200;
+const COMMAND_IN_DOUBT_AFTER_MS = 200;
 /** A worker: the highest fencing token that it has seen, and whether it answers. */
 interface ModelWorker {
   fencingToken: number;
@@ -54,7 +54,7 @@
   revision = 1;
   term: TermView | null = null;
   enabledTerm = 0;
-  readonly ended: string[] = [];
+  readonly moveOutcomes: string[] = [];
   network: Network;
   invariants = new Invariants();
   readonly faults = new Faults(this);
@@ -65,14 +65,14 @@
   leader: Process | null = null;
   nodes: Map<string, Node>;
   workers: Map<string, ModelWorker>;
-  private readonly wanted = new Map<ShardId, string>();
-  private moves = 0;
+  private readonly requestedMoves = new Map<ShardId, string>();
+  private moveCount = 0;
   /** The machines of each shard. */
   private readonly machines = new Map<ShardId, string[]>();
 
   constructor(
     seed: number,
-    private readonly without: Guard | null,
+    private readonly disabledGuard: Guard | null,
     nodes: readonly (readonly [string, string])[],
     private readonly machineZones: ReadonlyMap<string, string>,
   ) {
@@ -87,7 +87,7 @@
 
   /** A copy that goes on by itself. It draws no random numbers of its own. */
   copy(): World {
-    const copy = new World(0, this.without, [], this.machineZones);
+    const copy = new World(0, this.disabledGuard, [], this.machineZones);
     const { now, revision, term, enabledTerm, busy, leader } = this;
     Object.assign(copy, { now, revision, term, enabledTerm, busy, leader });
     copy.records = new Map(this.records);
@@ -96,7 +96,7 @@
     copy.workers = new Map([...this.workers].map(([id, worker]) => [id, { ...worker }]));
     copy.network = this.network.copy();
     copy.invariants = this.invariants.copy();
-    copy.moves = this.moves;
+    copy.moveCount = this.moveCount;
     return copy;
   }
 
@@ -123,7 +123,7 @@
     if (worker === undefined) throw new Error(`there is no machine ${machine}`);
     return worker;
   }
-  private send(message: MailBody): void {
+  private send(message: MessageBody): void {
     this.network.send(message, this.now);
   }
 
@@ -131,12 +131,12 @@
 
   /** Lets time pass, with all that processes do by themselves. */
   advance(ms: number): void {
-    for (let left = ms; left > 0 && this.invariants.broken.length === 0; left -= STEP_MS) {
+    for (let left = ms; left > 0 && this.invariants.violations.length === 0; left -= STEP_MS) {
       this.now += STEP_MS;
-      this.endLeases();
-      for (const node of this.nodes.values()) this.act(node);
+      this.expireLeases();
+      for (const node of this.nodes.values()) this.runNode(node);
       for (;;) {
-        const index = this.network.mail.findIndex((mail) => mail.due <= this.now);
+        const index = this.network.inFlight.findIndex((mail) => mail.due <= this.now);
         if (index < 0) break;
         this.deliver(index);
       }
@@ -148,13 +148,13 @@
     this.memberKeys.delete(name);
     if (this.leader?.node === name) this.leader = null;
   }
-  join(node: Node): void {
+  joinMembers(node: Node): void {
     node.incarnation = ++this.revision;
     this.memberKeys.set(node.name, node.incarnation);
     node.leaseUntil = this.now + LEASE_MS;
     node.nextRenew = this.now;
   }
-  private endLeases(): void {
+  private expireLeases(): void {
     for (const [name, incarnation] of [...this.memberKeys]) {
       const node = this.node(name);
       if (node.incarnation === incarnation && this.now > node.leaseUntil) this.removeKey(name);
@@ -164,49 +164,53 @@
   // --- membership ----------------------------------------------------------------------------------------
 
   private reachesState(node: Node): boolean {
-    return node.alive && this.now >= node.frozenUntil && this.now >= node.cutUntil;
+    return node.alive && this.now >= node.frozenUntil && this.now >= node.stateRefusedUntil;
   }
   mayAct(node: Node): boolean {
-    return node.alive && node.isMember && (this.without === "window" || this.now < node.windowUntil);
+    return (
+      node.alive && node.isMember && (this.disabledGuard === "window" || this.now < node.fencingWindowEnd)
+    );
   }
 
-  private act(node: Node): void {
+  private runNode(node: Node): void {
     if (!node.alive || this.now < node.frozenUntil) return;
     if (this.reachesState(node)) {
-      if (this.memberKeys.get(node.name) !== node.incarnation) this.join(node);
-      if (this.now >= node.nextRenew) this.renew(node);
-      if (this.now >= node.nextRead) this.read(node);
+      if (this.memberKeys.get(node.name) !== node.incarnation) this.joinMembers(node);
+      if (this.now >= node.nextRenew) this.renewLease(node);
+      if (this.now >= node.nextRead) this.readRecords(node);
     }
-    if (!node.ownerView.isSettled && this.now >= node.learnedAt + FENCING_WINDOW_MS)
-      node.ownerView = node.ownerView.settled();
-    this.take(node);
-    this.lead(node);
+    if (!node.ownerView.isSettled && this.now >= node.termLearnedAt + FENCING_WINDOW_MS)
+      node.ownerView = node.ownerView.settle();
+    this.takeReleased(node);
+    this.runLeader(node);
   }
 
-  private renew(node: Node): void {
+  private renewLease(node: Node): void {
     node.nextRenew = this.now + RENEW_MS;
     node.leaseUntil = this.now + LEASE_MS;
-    node.windowUntil = this.now + FENCING_WINDOW_MS;
-    if (this.term !== null) this.learn(node, this.term);
+    node.fencingWindowEnd = this.now + FENCING_WINDOW_MS;
+    if (this.term !== null) this.learnTerm(node, this.term);
   }
 
-  learn(node: Node, term: TermView): void {
+  learnTerm(node: Node, term: TermView): void {
     if ((node.assignment.term?.number ?? 0) >= term.number) return;
     node.ownerView = node.ownerView.withTerm(term);
-    node.learnedAt = this.now;
-    if (this.without === "settle") node.ownerView = node.ownerView.settled();
-    if (this.without === "fresh") this.pretendFresh(node);
+    node.termLearnedAt = this.now;
+    if (this.disabledGuard === "settle") node.ownerView = node.ownerView.settle();
+    if (this.disabledGuard === "fresh") this.markRecordsFresh(node);
     for (const view of node.machines.values()) view.fencingTokenStep = 0;
   }
 
   /** Takes what was read before the term for all that there is. */
-  private pretendFresh(node: Node): void {
+  private markRecordsFresh(node: Node): void {
     const { assignment } = node;
-    node.ownerView = node.ownerView.withAssignment(assignment.changed([], this.enabledTerm, this.revision));
+    node.ownerView = node.ownerView.withAssignment(
+      assignment.withChanges([], this.enabledTerm, this.revision),
+    );
   }
 
   /** Reads all records. How long ago that was is how far behind a process is. */
-  read(node: Node): void {
+  readRecords(node: Node): void {
     node.nextRead = this.now + 50 + this.network.random() * (this.network.slow > 0 ? 3000 : 100);
     const rows = [...this.records].map(([shard, { revision, state }]) => ({
       shard,
@@ -214,13 +218,13 @@
       value: encodeShardState(state),
     }));
     node.ownerView = node.ownerView.withAssignment(
-      node.assignment.reread(rows, this.enabledTerm, this.revision),
+      node.assignment.withSnapshot(rows, this.enabledTerm, this.revision),
     );
   }
 
   // --- the leader ----------------------------------------------------------------------------------------
 
-  private lead(node: Node): void {
+  private runLeader(node: Node): void {
     if (!this.reachesState(node)) return;
     if (this.leader === null && this.memberKeys.get(node.name) === node.incarnation) {
       this.leader = node.process;
@@ -234,23 +238,26 @@
     if (this.membersChanged()) this.writeTerm(node);
     if (!this.mayAct(node) || node.coordinator === null) return;
     this.carryOut(node, node.coordinator.step(this.inputOf(node)));
-    if (this.without !== "repair") for (const write of this.repairs(node)) this.sendWrite(node, null, write);
+    if (this.disabledGuard !== "repair")
+      for (const write of this.repairs(node)) this.sendWrite(node, null, write);
     if (!this.busy) return;
-    this.command(node);
-    this.tryMoves(node);
+    this.sendCommands(node);
+    this.attemptMoves(node);
   }
 
   repairs(node: Node): readonly ShardWrite[] {
     if (this.now < node.nextRepair) return [];
     node.nextRepair = this.now + REPAIR_MS;
-    const isTried = (shard: ShardId): boolean => node.leadingCoordinator.isBusy(shard);
+    const isTried = (shard: ShardId): boolean => node.leadingCoordinator.isMoving(shard);
     return repairsOf(node.assignment, this.machineCounts(), isTried, 8);
   }
 
   /** A new leader knows no moves and no machines. */
   startLeading(node: Node): void {
-    const patience = { ...HANDOFF_TIMES, drainMs: 1e12, takeMs: 1e12 };
-    node.coordinator = new Coordinator(this.without === "patience" ? patience : HANDOFF_TIMES);
+    const withoutTimeouts = { ...HANDOFF_TIMEOUTS, drainMs: 1e12, takeMs: 1e12 };
+    node.coordinator = new Coordinator(
+      this.disabledGuard === "patience" ? withoutTimeouts : HANDOFF_TIMEOUTS,
+    );
     node.machines = new Map();
   }
 
@@ -276,7 +283,7 @@
     const number = (this.term?.number ?? 0) + 1;
     this.term = { number, revision: ++this.revision, members };
     if (members.every(({ name }) => this.node(name).knowsShards)) this.enabledTerm = number;
-    this.learn(node, this.term);
+    this.learnTerm(node, this.term);
   }
 
   inputOf(node: Node): CoordinatorInput {
@@ -287,9 +294,9 @@
     const machines = this.machinesOf(shard);
     const unheard = machines.find((id) => node.viewOf(id).seenFencingToken < node.firstFencingToken);
     const isDoubted = (id: string): boolean =>
-      node.viewOf(id).outstanding.some(({ sentAt }) => this.now - sentAt > DOUBTED_AFTER_MS);
+      node.viewOf(id).unansweredCommands.some(({ sentAt }) => this.now - sentAt > COMMAND_IN_DOUBT_AFTER_MS);
     const doubted = machines.find(isDoubted);
-    const unanswered = machines.find((id) => node.viewOf(id).outstanding.length > 0);
+    const unanswered = machines.find((id) => node.viewOf(id).unansweredCommands.length > 0);
     const unfenced = machines.find((id) => node.viewOf(id).seenFencingToken < node.fencingTokenOf(id));
     const obstacle =
       unheard !== undefined
@@ -297,23 +304,24 @@
         : doubted !== undefined
           ? Refusal.CommandInDoubt({ machine: doubted })
           : null;
-    const fenced = this.without === "fencingToken" || (unfenced === undefined && unanswered === undefined);
-    return { machines: machines.length, obstacle, fenced, unfenced: unfenced ?? unanswered ?? null };
+    const fenced =
+      this.disabledGuard === "fencingToken" || (unfenced === undefined && unanswered === undefined);
+    return { machines: machines.length, obstacle, fenced, unfencedMachine: unfenced ?? unanswered ?? null };
   }
 
   /** An operator wants a shard elsewhere. It is tried again, whoever leads, until it is there. */
   move(shard: ShardId, target: string): void {
-    this.wanted.set(shard, target);
+    this.requestedMoves.set(shard, target);
   }
 
-  private tryMoves(node: Node): void {
-    for (const [shard, target] of this.wanted) {
-      if (node.leadingCoordinator.isBusy(shard) || this.network.random() > 0.2) continue;
-      const request = { id: `move-${++this.moves}`, shard, target, by: "operator" } as const;
-      const answer = node.leadingCoordinator.request(request, this.inputOf(node));
+  private attemptMoves(node: Node): void {
+    for (const [shard, target] of this.requestedMoves) {
+      if (node.leadingCoordinator.isMoving(shard) || this.network.random() > 0.2) continue;
+      const request = { id: `move-${++this.moveCount}`, shard, target, by: "operator" } as const;
+      const answer = node.leadingCoordinator.startMove(request, this.inputOf(node));
       if (!("_tag" in answer)) this.carryOut(node, answer);
-      else if (answer._tag === "SameOwner") this.wanted.delete(shard);
-      else this.ended.push(answer._tag);
+      else if (answer._tag === "SameOwner") this.requestedMoves.delete(shard);
+      else this.moveOutcomes.push(answer._tag);
     }
   }
 
@@ -328,24 +336,24 @@
           break;
         case "raise":
           for (const id of this.machinesOf(action.shard)) node.viewOf(id).fencingTokenStep++;
-          this.ask(node, action.shard);
+          this.requestHeartbeats(node, action.shard);
           break;
         case "release":
           this.send({ kind: "release", from: node.process, to: action.to, request: action.request });
           break;
         case "ended":
-          this.ended.push(action.attempt.refusal?._tag ?? "done");
+          this.moveOutcomes.push(action.attempt.refusal?._tag ?? "done");
       }
   }
 
   /** Questions to machines that weren't seen under their fencing token, and commands to others now and then. */
-  private command(node: Node): void {
+  private sendCommands(node: Node): void {
     for (const machine of this.machineZones.keys()) {
       const view = node.viewOf(machine);
       const fencingToken = node.fencingTokenOf(machine);
       // a command without an answer is settled by a raised fencing token
-      if (view.outstanding.length > 0 && this.network.random() < 0.02) view.fencingTokenStep++;
-      if (view.seenFencingToken < fencingToken || view.outstanding.length > 0) {
+      if (view.unansweredCommands.length > 0 && this.network.random() < 0.02) view.fencingTokenStep++;
+      if (view.seenFencingToken < fencingToken || view.unansweredCommands.length > 0) {
         if (this.network.random() < 0.3) this.sendCommand(node, machine, null);
         continue;
       }
@@ -357,16 +365,16 @@
   commandMachine(node: Node, machine: string): boolean {
     const shard = this.shardOfMachine(machine);
     const isPaused = node.leadingCoordinator.isPaused(node.assignment, shard);
-    if (isPaused && this.without !== "pause") return false;
+    if (isPaused && this.disabledGuard !== "pause") return false;
     const view = node.viewOf(machine);
-    view.outstanding.push({ fencingToken: node.fencingTokenOf(machine), sentAt: this.now });
+    view.unansweredCommands.push({ fencingToken: node.fencingTokenOf(machine), sentAt: this.now });
     const epoch = node.assignment.inForce ? (node.assignment.ownershipOf(shard)?.epoch ?? null) : null;
     this.sendCommand(node, machine, epoch, true);
     return true;
   }
 
   /** Asks the machines of a shard for heartbeats, under their present fencing tokens. */
-  ask(node: Node, shard: ShardId): void {
+  requestHeartbeats(node: Node, shard: ShardId): void {
     for (const id of this.machinesOf(shard)) this.sendCommand(node, id, null);
   }
 
@@ -379,15 +387,15 @@
 
   // --- members -------------------------------------------------------------------------------------------
 
-  take(node: Node): void {
+  takeReleased(node: Node): void {
     if (!this.mayAct(node)) return;
     for (const write of node.ownerView.pendingTakes())
-      if (!this.isOnItsWay(node, write)) this.sendWrite(node, null, write);
+      if (!this.isInFlight(node, write)) this.sendWrite(node, null, write);
   }
 
   /** Whether such a write, or the answer to one, is on its way. */
-  isOnItsWay(node: Node, write: ShardWrite): boolean {
-    return this.network.mail.some((mail) => {
+  isInFlight(node: Node, write: ShardWrite): boolean {
+    return this.network.inFlight.some((mail) => {
       const by = mail.kind === "write" ? mail.from.node : mail.kind === "written" ? mail.to.node : null;
       return by === node.name && "write" in mail && mail.write.shard === write.shard;
     });
@@ -411,31 +419,31 @@
     const mail = this.network.remove(index);
     const addressee = "to" in mail ? (typeof mail.to === "string" ? mail.to : mail.to.node) : null;
     const frozenUntil = addressee === null ? 0 : this.node(addressee).frozenUntil;
-    if (frozenUntil > this.now) this.network.putOff(mail, frozenUntil);
+    if (frozenUntil > this.now) this.network.postpone(mail, frozenUntil);
     else this.receive(mail);
   }
 
-  private receive(mail: Mail): void {
+  private receive(mail: Message): void {
     switch (mail.kind) {
       case "write":
         return this.applyWrite(mail);
       case "command":
-        return this.execute(mail);
+        return this.receiveCommand(mail);
       case "offer":
-        return this.offered(mail);
+        return this.receiveOffer(mail);
       case "release":
-        return this.asked(mail);
+        return this.receiveReleaseRequest(mail);
     }
     const node = this.processOf(mail.to);
     if (node === null) return;
     const coordinator = node.coordinator;
     switch (mail.kind) {
       case "written": {
-        if (this.now < node.deafUntil) return;
+        if (this.now < node.answersLostUntil) return;
         const { write, revision, outcome } = mail;
         if (outcome === "written")
           node.ownerView = node.ownerView.withAssignment(
-            node.assignment.written(write.shard, { revision, state: write.state }),
+            node.assignment.withOwnWrite(write.shard, { revision, state: write.state }),
           );
         if (coordinator !== null && mail.id !== null)
           this.carryOut(
@@ -461,7 +469,7 @@
       case "commandAnswer": {
         const view = node.viewOf(mail.machine);
         view.seenFencingToken = Math.max(view.seenFencingToken, mail.seenFencingToken);
-        view.outstanding = view.outstanding.filter(
+        view.unansweredCommands = view.unansweredCommands.filter(
           ({ fencingToken, sentAt }) =>
             !(mail.isCommand && sentAt === mail.sentAt) && fencingToken >= view.seenFencingToken,
         );
@@ -469,20 +477,20 @@
     }
   }
 
-  private applyWrite({ from, id, write }: Extract<Mail, { kind: "write" }>): void {
+  private applyWrite({ from, id, write }: Extract<Message, { kind: "write" }>): void {
     const before = this.records.get(write.shard);
     const isCarriedOut =
-      (this.without === "revision" || (before?.revision ?? 0) === write.revision) &&
-      (this.without === "term" || this.term?.revision === write.termRevision);
+      (this.disabledGuard === "revision" || (before?.revision ?? 0) === write.revision) &&
+      (this.disabledGuard === "term" || this.term?.revision === write.termRevision);
     if (isCarriedOut) {
       this.records.set(write.shard, { revision: ++this.revision, state: write.state });
-      this.invariants.written(write, before);
+      this.invariants.recordWrite(write, before);
     }
     const outcome = isCarriedOut ? "written" : "failed";
     this.send({ kind: "written", to: from, id, write, outcome, revision: this.revision });
   }
 
-  private offered({ from, to, offer }: Extract<Mail, { kind: "offer" }>): void {
+  private receiveOffer({ from, to, offer }: Extract<Message, { kind: "offer" }>): void {
     const node = this.node(to);
     if (!node.alive) return;
     const condition = { mayAct: this.mayAct(node), reachesWorkers: true, freeConnections: 100 };
@@ -490,19 +498,19 @@
     this.send({ kind: "offered", to: from, offer, answer });
   }
 
-  private asked({ from, to, request }: Extract<Mail, { kind: "release" }>): void {
+  private receiveReleaseRequest({ from, to, request }: Extract<Message, { kind: "release" }>): void {
     const node = this.node(to);
     if (!node.alive) return;
     const step = node.ownerView.answerRelease(request);
     const answer = "refusal" in step ? step.refusal : null;
     if ("write" in step && this.reachesState(node)) {
-      if (this.without !== "releasing") node.ownerView = node.ownerView.releaseSent(step.write);
+      if (this.disabledGuard !== "releasing") node.ownerView = node.ownerView.releaseSent(step.write);
       this.sendWrite(node, null, step.write);
     }
     this.send({ kind: "releaseAnswer", to: from, request, answer });
   }
 
-  private execute(mail: Extract<Mail, { kind: "command" }>): void {
+  private receiveCommand(mail: Extract<Message, { kind: "command" }>): void {
     const worker = this.worker(mail.machine);
     if (worker.silent) return;
     const accepted = mail.fencingToken >= worker.fencingToken;
@@ -520,22 +528,22 @@
   }
 
   /** No more moves are wanted. */
-  forgetMoves(): void {
-    this.wanted.clear();
+  clearRequestedMoves(): void {
+    this.requestedMoves.clear();
   }
 
   /** The state as text, without the times of messages. */
-  describe(): string {
+  stateKey(): string {
     const { now, records, term, enabledTerm, memberKeys, leader } = this;
     const nodes = [...this.nodes.values()].map((node) => [
       node.name,
       node.alive,
       node.incarnation,
-      node.ownerView.describe(),
-      node.coordinator?.describe() ?? null,
+      node.ownerView.stateKey(),
+      node.coordinator?.stateKey() ?? null,
       [...node.machines],
     ]);
-    const mail = this.network.mail.map(mailText).sort();
+    const mail = this.network.inFlight.map(messageKey).sort();
     return JSON.stringify([
       now,
       [...records],
@@ -554,7 +562,7 @@
   private commandExecuted(machine: string, term: number, epoch: number): void {
     const shard = this.shardOfMachine(machine);
     const isInForce = this.term !== null && this.enabledTerm === this.term.number;
-    this.invariants.commandExecuted(
+    this.invariants.recordExecution(
       { machine, shard, term, epoch },
       this.records.get(shard)?.state,
       isInForce ? (this.term?.number ?? null) : null,
@@ -576,7 +584,7 @@
   unfinished(): string[] {
     const open = [...this.records].filter(([, { state }]) => state._tag !== "Owned").map(([shard]) => shard);
     const leading = this.leader === null ? null : this.node(this.leader.node);
-    const tried = leading?.coordinator?.size ?? 0;
+    const tried = leading?.coordinator?.moveCount ?? 0;
     const unowned = this.shards.filter((shard) => {
       const owners = [...this.nodes.values()].filter((node) =>
         node.ownerView.ownsForCertain(shard, this.mayAct(node)),
--- a/src/core/shards/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -40,7 +40,7 @@
       machines: relevant.length,
       obstacle: this.obstacleOf(relevant),
       fenced: unfenced === undefined,
-      unfenced: unfenced?.id ?? null,
+      unfencedMachine: unfenced?.id ?? null,
     };
   }
 
--- a/src/io/call.ts
+++ b/src/io/call.ts
@@ -16,22 +16,22 @@
   readonly why: string;
 }> {}
 
-/** A request. `type` is that of the body, JSON unless it says otherwise. */
+/** A request. `contentType` is that of the body, JSON unless it says otherwise. */
 export interface Call {
   readonly addr: string;
   readonly method: "GET" | "POST" | "DELETE";
   readonly path: string;
   readonly body?: string | Buffer;
-  readonly type?: string;
+  readonly contentType?: string;
   readonly timeout: Duration.Duration;
 }
 
 /** Connections that are kept between calls: so many to each address, the last used first. */
-export const makeAgent = (sockets: number): http.Agent =>
+export const makeKeepAliveAgent = (sockets: number): http.Agent =>
   new http.Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets, scheduling: "lifo" });
 
 /** Closes the unused connections to an address. */
-export const closeFree = (agent: http.Agent, addr: string): void => {
+export const closeIdleConnections = (agent: http.Agent, addr: string): void => {
   const { host, port } = endpoint(addr);
   for (const socket of agent.freeSockets[agent.getName({ host, port })] ?? []) socket.destroy();
 };
@@ -43,10 +43,10 @@
 
 const MAX_REPLY_BYTES = 64 * 1024 * 1024;
 
-const headersOf = ({ body, type }: Call): http.OutgoingHttpHeaders =>
+const headersOf = ({ body, contentType: contentType }: Call): http.OutgoingHttpHeaders =>
   body === undefined
     ? {}
-    : { "content-type": type ?? "application/json", "content-length": Buffer.byteLength(body) };
+    : { "content-type": contentType ?? "application/json", "content-length": Buffer.byteLength(body) };
 
 /** Reads an answer to its end, unless it is too large. */
 const readReply = (
@@ -76,10 +76,10 @@
 export const call = (agent: http.Agent, request: Call): Effect.Effect<Reply, CallFailed> =>
   Effect.async<Reply, CallFailed>((resume) => {
     let sent = false;
-    let over = false;
+    let settled = false;
     const finish = (result: Effect.Effect<Reply, CallFailed>): void => {
-      if (over) return;
-      over = true;
+      if (settled) return;
+      settled = true;
       clearTimeout(timer);
       resume(result);
     };
@@ -113,14 +113,14 @@
     outgoing.on("response", (response) => readReply(response, outgoing, finish, fail));
     outgoing.end(request.body);
     return Effect.sync(() => {
-      over = true;
+      settled = true;
       clearTimeout(timer);
       outgoing.destroy();
     });
   });
 
 /** The body as JSON, or undefined. */
-export const json = (reply: Reply): unknown => {
+export const parseJson = (reply: Reply): unknown => {
   try {
     return JSON.parse(reply.body.toString("utf8")) as unknown;
   } catch {
--- a/src/io/clock.ts
+++ b/src/io/clock.ts
@@ -6,5 +6,5 @@
 export const now = (): Instant => instant(performance.now());
 
 /** When something happened that another node's time of day tells: about, as the nodes' times of day differ a little. */
-export const instantOf = (then: Date): Instant =>
+export const instantOfDate = (then: Date): Instant =>
   instant(performance.now() - Math.max(0, Date.now() - then.getTime()));
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -3,20 +3,20 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { RateLimiter } from "../core/rates/rate-limiter.js";
-import { call, json, makeAgent, type Reply } from "./call.js";
+import { call, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
 import { now } from "./clock.js";
 import {
-  listedMachines,
+  parseMachineList,
   type ListedMachine,
-  listPath,
+  machineListPath,
   releaseBody,
   releasePath,
   rentBody,
-  rentedMachines,
+  parseRentedMachines,
   rentPath,
-  typesPath,
-  wireTypes,
-  type WireType,
+  machineTypesPath,
+  parseMachineTypes,
+  type WireMachineType,
 } from "./codec.js";
 
 /** A request that failed. `sent`: the cloud may have carried it out, or may yet. */
@@ -27,7 +27,7 @@
 
 /** Every method waits until this node's share of the cloud's rate admits it. */
 export class CloudClient {
-  private readonly agent = makeAgent(6);
+  private readonly agent = makeKeepAliveAgent(6);
   private readonly rateLimiter: RateLimiter;
 
   /** `rps`: the rate of all nodes together; the leader makes nearly all calls. */
@@ -64,9 +64,9 @@
   }
 
   /** The machine types with their present prices. */
-  types(): Effect.Effect<WireType[], CloudFailed> {
-    return Effect.flatMap(this.send("GET", typesPath), (reply) => {
-      const rows = reply.status === 200 ? wireTypes(json(reply)) : null;
+  listMachineTypes(): Effect.Effect<WireMachineType[], CloudFailed> {
+    return Effect.flatMap(this.send("GET", machineTypesPath), (reply) => {
+      const rows = reply.status === 200 ? parseMachineTypes(parseJson(reply)) : null;
       return rows === null
         ? Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` }))
         : Effect.succeed(rows);
@@ -77,7 +77,7 @@
    * Scale-out: the names of the machines rented, up to `count`; null: none to be had. Fails when it can't be told whether
    * it was carried out; repeating it under the same name is safe.
    */
-  rent(
+  rentMachines(
     name: string,
     type: string,
     zone: string,
@@ -85,8 +85,8 @@
     count: number,
   ): Effect.Effect<string[] | null, CloudFailed> {
     return Effect.flatMap(this.send("POST", rentPath, rentBody(name, type, zone, spot, count)), (reply) => {
-      const body = json(reply);
-      if (reply.status === 200) return Effect.succeed(rentedMachines(body));
+      const body = parseJson(reply);
+      if (reply.status === 200) return Effect.succeed(parseRentedMachines(body));
       const why = (body as { error?: string } | undefined)?.error ?? `status ${reply.status}`;
       if (reply.status === 400 || (reply.status === 503 && why === "no capacity"))
         return Effect.succeed(null);
@@ -95,7 +95,7 @@
   }
 
   /** Scale-in of 100 machines at most. Once it has succeeded they are gone, with all that ran on them. */
-  release(machines: readonly string[]): Effect.Effect<void, CloudFailed> {
+  releaseMachines(machines: readonly string[]): Effect.Effect<void, CloudFailed> {
     return Effect.flatMap(this.send("POST", releasePath, releaseBody(machines)), (reply) =>
       reply.status === 200
         ? Effect.void
@@ -104,10 +104,10 @@
   }
 
   /** The whole machine list, as old as the cloud's lag. */
-  list(): Effect.Effect<ListedMachine[], CloudFailed> {
+  listMachines(): Effect.Effect<ListedMachine[], CloudFailed> {
     const page = (from: string | null, rows: ListedMachine[]): Effect.Effect<ListedMachine[], CloudFailed> =>
-      Effect.flatMap(this.send("GET", listPath(from)), (reply) => {
-        const listed = reply.status === 200 ? listedMachines(json(reply)) : null;
+      Effect.flatMap(this.send("GET", machineListPath(from)), (reply) => {
+        const listed = reply.status === 200 ? parseMachineList(parseJson(reply)) : null;
         if (listed === null)
           return Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` }));
         rows.push(...listed.rows);
--- a/src/io/codec/cloud.ts
+++ b/src/io/codec/cloud.ts
@@ -4,7 +4,7 @@
 import { isEndpoint } from "./endpoint.js";
 
 /** A machine type as the cloud lists it; stored as it is, so that every controller reads the same. */
-export interface WireType {
+export interface WireMachineType {
   label: string;
   vcpus: number;
   gpus?: number | null;
@@ -18,12 +18,12 @@
 }
 
 /** Where the cloud lists its machine types and their present prices. */
-export const typesPath = "/flavors";
+export const machineTypesPath = "/flavors";
 /** The machine types of an answer; null: it isn't a list of them. */
-export const wireTypes = (body: unknown): WireType[] | null => {
+export const parseMachineTypes = (body: unknown): WireMachineType[] | null => {
   const builds = (body as { builds?: unknown } | undefined)?.builds;
   if (!Array.isArray(builds)) return null;
-  const rows = builds as WireType[];
+  const rows = builds as WireMachineType[];
   return rows.every(
     (type) => typeof type.label === "string" && type.vcpus > 0 && Array.isArray(type.districts),
   )
@@ -31,7 +31,7 @@
     : null;
 };
 /** Machine types in the core's terms; prices per hour. */
-export const typesOf = (rows: readonly WireType[]): MachineType[] =>
+export const toMachineTypes = (rows: readonly WireMachineType[]): MachineType[] =>
   rows.map((type) => ({
     name: type.label,
     cpus: type.vcpus,
@@ -51,14 +51,14 @@
 export const rentBody = (name: string, type: string, zone: string, spot: boolean, count: number): string =>
   JSON.stringify({ rental: name, build: type, district: zone, loaners: spot, how_many: count });
 /** The names of the machines that a scale-out request was answered with. */
-export const rentedMachines = (body: unknown): string[] =>
+export const parseRentedMachines = (body: unknown): string[] =>
   (body as { hearths?: string[] } | undefined)?.hearths ?? [];
 /** Where machines are returned. */
 export const releasePath = "/rentals/release";
 /** Names of machines to return, 100 at most. */
 export const releaseBody = (machines: readonly string[]): string => JSON.stringify({ hearths: machines });
 /** One page of the machine list, beginning after the machine `from`. */
-export const listPath = (from: string | null): string =>
+export const machineListPath = (from: string | null): string =>
   `/rentals?most=500${from === null ? "" : `&from=${from}`}`;
 
 /** A machine of the list, which lags: it may be gone already. `ageMs` counts from its scale-out request. */
@@ -84,7 +84,7 @@
 }
 
 /** One page of the machine list; null: it isn't one. */
-export const listedMachines = (body: unknown): { rows: ListedMachine[]; more: boolean } | null => {
+export const parseMachineList = (body: unknown): { rows: ListedMachine[]; more: boolean } | null => {
   const page = body as WireMachineList | undefined;
   if (!Array.isArray(page?.hearths)) return null;
   return {
--- a/src/io/codec/state-service.ts
+++ b/src/io/codec/state-service.ts
@@ -47,32 +47,32 @@
     : { key: event.delete, revision: event.stamp };
 
 /** Paths, bodies and answers of the state service. Times to live and waits go over the wire in milliseconds. */
-export const state = {
-  get: (key: string) => `/store/${key}`,
-  list: (prefix: string, from: string | null) =>
+export const stateServiceApi = {
+  keyPath: (key: string) => `/store/${key}`,
+  listPath: (prefix: string, from: string | null) =>
     `/store?under=${prefix}&most=1000${from === null ? "" : `&from=${from}`}`,
-  commit: "/commit",
-  grants: "/grants",
-  extend: (leaseId: number) => `/grants/${leaseId}/extend`,
-  grant: (leaseId: number) => `/grants/${leaseId}`,
-  watch: (prefix: string, from: number, waitMs: number) =>
+  commitPath: "/commit",
+  leasesPath: "/grants",
+  leaseRenewalPath: (leaseId: number) => `/grants/${leaseId}/extend`,
+  leasePath: (leaseId: number) => `/grants/${leaseId}`,
+  watchPath: (prefix: string, from: number, waitMs: number) =>
     `/watch?under=${prefix}&from=${from}&wait_ms=${waitMs}`,
-  grantBody: (ttl: Duration.Duration) => JSON.stringify({ ttl_ms: Math.round(Duration.toMillis(ttl)) }),
-  leaseIdOf: (body: unknown) => (body as { permit: number }).permit,
+  leaseBody: (ttl: Duration.Duration) => JSON.stringify({ ttl_ms: Math.round(Duration.toMillis(ttl)) }),
+  parseLeaseId: (body: unknown) => (body as { permit: number }).permit,
   /** Without changes a transaction only compares. */
-  commitBody: (when: readonly Condition[], apply: readonly Change[]) =>
+  commitBody: (conditions: readonly Condition[], operations: readonly Change[]) =>
     JSON.stringify({
-      when: when.map((condition) => ({ path: condition.key, stamp: condition.revision })),
-      ...(apply.length === 0 ? {} : { apply: apply.map(changeOf) }),
+      when: conditions.map((condition) => ({ path: condition.key, stamp: condition.revision })),
+      ...(operations.length === 0 ? {} : { apply: operations.map(changeOf) }),
     }),
-  row: (body: unknown) => rowOf(body as WireRow),
-  rows: (body: unknown) => {
+  parseRow: (body: unknown) => rowOf(body as WireRow),
+  parseRows: (body: unknown) => {
     const page = body as { rows: WireRow[]; more: boolean; ledger: number };
     return { rows: page.rows.map(rowOf), more: page.more, revision: page.ledger };
   },
   revision: (body: unknown) => (body as { ledger: number }).ledger,
-  failed: (body: unknown) => (body as { failed?: string[] } | undefined)?.failed ?? [],
-  events: (body: unknown) => {
+  parseFailedKeys: (body: unknown) => (body as { failed?: string[] } | undefined)?.failed ?? [],
+  parseEvents: (body: unknown) => {
     const answer = body as { ledger: number; news?: WireEvent[] };
     return { revision: answer.ledger, events: (answer.news ?? []).map(eventOf) };
   },
--- a/src/io/codec/user-api.ts
+++ b/src/io/codec/user-api.ts
@@ -38,8 +38,8 @@
 };
 
 const ajv = new Ajv({ strict: false });
-const checkJob = ajv.compile<WireJob>(submissionSchema);
-const checkRecord = ajv.compile<WireJob>(jobRecordSchema);
+const validateSubmission = ajv.compile<WireJob>(submissionSchema);
+const validateJobRecord = ajv.compile<WireJob>(jobRecordSchema);
 
 /** A submission as it came, of which the job's record is made, and what the core calls its fields. */
 export interface Submission {
@@ -56,9 +56,9 @@
     return "not JSON";
   }
   if (typeof value !== "object" || value === null || Array.isArray(value)) return "not an object";
-  if (!checkJob(value)) {
-    const first = checkJob.errors?.[0];
-    return `${first?.instancePath.slice(1) || "the body"} ${first?.message ?? "is not valid"}`;
+  if (!validateSubmission(value)) {
+    const firstError = validateSubmission.errors?.[0];
+    return `${firstError?.instancePath.slice(1) || "the body"} ${firstError?.message ?? "is not valid"}`;
   }
   // only what we know is kept
   const wire = Object.fromEntries(
@@ -71,11 +71,11 @@
     if (wire.awaits.length === 0) delete wire.awaits;
     else wire.awaits = [...new Set(wire.awaits)];
   }
-  return { wire, spec: specOf(wire) };
+  return { wire, spec: toJobSpec(wire) };
 };
 
 /** What the core knows of a job. Its record in the state service is the submission as it was accepted. */
-export const specOf = (wire: WireJob): JobSpec => ({
+export const toJobSpec = (wire: WireJob): JobSpec => ({
   id: wire.ref,
   className: wire.roster,
   team: wire.crew,
@@ -100,29 +100,29 @@
 });
 
 /** What the accepting node writes: with the time of day, so that a failover makes no job young again. */
-export const jobRecord = (wire: WireJob, accepted: Date): object => ({
+export const encodeJobRecord = (wire: WireJob, accepted: Date): object => ({
   ...wire,
   accepted_ms: accepted.getTime(),
 });
 
 /** A blocked job's record as it is once its last parent is done: its start latency counts from then. */
-export const releasedRecord = (record: object, released: Date): object => ({
+export const withReleaseTime = (record: object, released: Date): object => ({
   ...record,
   released_ms: released.getTime(),
 });
 
-const dateIn = (record: unknown, field: "accepted_ms" | "released_ms"): Date | null => {
+const readDate = (record: unknown, field: "accepted_ms" | "released_ms"): Date | null => {
   const ms = (record as Record<string, unknown>)[field];
   return Number.isSafeInteger(ms) ? new Date(ms as number) : null;
 };
 
 /** The time of day at which the job of this record was accepted; null in the records of early versions. */
-export const acceptedOf = (record: unknown): Date | null => dateIn(record, "accepted_ms");
+export const acceptanceTimeOf = (record: unknown): Date | null => readDate(record, "accepted_ms");
 /** The time of day at which the last job that it depends on was done; null: it depends on none. */
-export const releasedOf = (record: unknown): Date | null => dateIn(record, "released_ms");
+export const releaseTimeOf = (record: unknown): Date | null => readDate(record, "released_ms");
 
 /** A fan-in set as it was read; null: it can't be one. */
-export const readFanin = (value: unknown): FaninRecord | null => {
+export const decodeFanin = (value: unknown): FaninRecord | null => {
   const { joined, released } = (value ?? {}) as Partial<FaninRecord>;
   return Array.isArray(joined) && joined.every((parent) => typeof parent === "string")
     ? { joined, released: released === true }
@@ -130,14 +130,14 @@
 };
 
 /** A job record as it was read; null: it can't be what was accepted under this id. */
-export const readJob = (id: string, value: unknown): JobSpec | null =>
-  typeof value === "object" && value !== null && checkRecord(value) && value.ref === id
-    ? specOf(value)
+export const decodeJobRecord = (id: string, value: unknown): JobSpec | null =>
+  typeof value === "object" && value !== null && validateJobRecord(value) && value.ref === id
+    ? toJobSpec(value)
     : null;
 
 /** What a user is told of a job. */
-export type UserState = "queued" | "running" | "done" | "cancelled";
-const USER_STATES: Record<UserState, string> = {
+export type UserJobState = "queued" | "running" | "done" | "cancelled";
+const WIRE_STATES: Record<UserJobState, string> = {
   queued: "queued",
   running: "running",
   done: "done",
@@ -145,11 +145,16 @@
 };
 
 /** Answer to a submission and to a cancel. */
-export const jobAnswer = (id: string, state: UserState): string =>
-  JSON.stringify({ ref: id, status: USER_STATES[state] });
+export const jobAnswer = (id: string, state: UserJobState): string =>
+  JSON.stringify({ ref: id, status: WIRE_STATES[state] });
 /** Answer to the question for a job's status; `done` and `running` count tasks. */
-export const pollAnswer = (id: string, state: UserState, done: number, running: number): string =>
-  JSON.stringify({ ref: id, status: USER_STATES[state], done, running });
+export const jobStatusAnswer = (id: string, state: UserJobState, done: number, running: number): string =>
+  JSON.stringify({ ref: id, status: WIRE_STATES[state], done, running });
 
 /** Paths of the API for users and workers. */
-export const paths = { runs: "/v2/runs", cancel: "cancel", up: "/up", beat: "/agent/beat" } as const;
+export const apiPaths = {
+  jobs: "/v2/runs",
+  cancel: "cancel",
+  health: "/up",
+  heartbeat: "/agent/beat",
+} as const;
--- a/src/io/codec/workers.ts
+++ b/src/io/codec/workers.ts
@@ -99,7 +99,7 @@
 };
 
 const VERBS = { start: "start", stop: "halt", forget: "reap" } as const;
-const wireCommand = (command: Command) => ({
+const encodeCommand = (command: Command) => ({
   verb: VERBS[command.op],
   chore: taskName(command.job, command.index),
   try: command.attempt,
@@ -108,7 +108,7 @@
 
 /** Answer to a heartbeat (200). The worker drops it if it has seen a higher fencing token. */
 export const heartbeatAnswer = (fencingToken: number, commands: readonly Command[]): string =>
-  JSON.stringify({ baton: fencingToken, orders: commands.map(wireCommand) });
+  JSON.stringify({ baton: fencingToken, orders: commands.map(encodeCommand) });
 
 /** Answer to a heartbeat (421) that another member takes; null: which one isn't known. */
 export const redirectAnswer = (member: string | null): string =>
@@ -121,4 +121,4 @@
   fencingToken: number,
   workerEpoch: number,
   commands: readonly Command[],
-): string => JSON.stringify({ baton: fencingToken, shift: workerEpoch, orders: commands.map(wireCommand) });
+): string => JSON.stringify({ baton: fencingToken, shift: workerEpoch, orders: commands.map(encodeCommand) });
--- a/src/io/schemas.ts
+++ b/src/io/schemas.ts
@@ -2,7 +2,7 @@
 
 const text = { type: "string", minLength: 1 } as const;
 const positive = { type: "number", exclusiveMinimum: 0 } as const;
-const amount = { type: "number", minimum: 0 } as const;
+const nonNegative = { type: "number", minimum: 0 } as const;
 const address = { type: "string", pattern: "^[0-9.]+:[0-9]{1,5}$" } as const;
 
 const object = <P extends Record<string, unknown>>(properties: P, optional: readonly string[] = []) => ({
@@ -33,7 +33,13 @@
       zones: { type: "array", items: text },
       teams: {
         type: "array",
-        items: object({ name: text, cpus: amount, cpus_max: amount, gpus: amount, gpus_max: amount }),
+        items: object({
+          name: text,
+          cpus: nonNegative,
+          cpus_max: nonNegative,
+          gpus: nonNegative,
+          gpus_max: nonNegative,
+        }),
       },
       objectives: { type: "array", items: { type: "object" } },
       workers: object({ report_s: positive, lease_s: positive, cancel_s: positive }),
@@ -49,7 +55,7 @@
         },
         ["next"],
       ),
-      cloud: object({ rps: positive, list_lag_s: amount }),
+      cloud: object({ rps: positive, list_lag_s: nonNegative }),
       machine_limits: object(
         { core_share: positive, ram_mb: positive, max_connections: { type: "integer", minimum: 16 } },
         ["core_share", "ram_mb"],
@@ -147,19 +153,19 @@
   urgency: { type: "string", enum: ["critical", "urgent", "normal", "idle"] },
   chores: { type: "integer", minimum: 1, maximum: 100_000 },
   vcpus: positive,
-  gpus: amount,
+  gpus: nonNegative,
   mem_gb: positive,
   bundle: text,
-  image_gb: amount,
+  image_gb: nonNegative,
   builds: nullable({ type: "array", items: text }),
   district: nullable(text),
   together: { type: "boolean" },
   apart: { type: "boolean" },
   loaners: { type: "boolean" },
-  expected_s: amount,
-  bookmark_s: amount,
-  stash_s: amount,
-  due_s: nullable(amount),
+  expected_s: nonNegative,
+  bookmark_s: nonNegative,
+  stash_s: nonNegative,
+  due_s: nullable(nonNegative),
   awaits: nullable({ type: "array", items: { type: "string", pattern: "^req-[0-9]{1,18}$" } }),
 } as const;
 
@@ -167,10 +173,21 @@
 export const submissionSchema = object(submission, ["builds", "district", "due_s", "awaits"]);
 
 /** A job record: earlier versions accepted submissions that lack some fields, and those jobs have to run. */
-const LENIENT = ["gpus", "together", "apart", "loaners", "expected_s", "bookmark_s", "stash_s"] as const;
+const MISSING_IN_EARLY_RECORDS = [
+  "gpus",
+  "together",
+  "apart",
+  "loaners",
+  "expected_s",
+  "bookmark_s",
+  "stash_s",
+] as const;
 
 /** A stored job record, which may come from an earlier version. */
 export const jobRecordSchema = object(
-  { ...submission, ...Object.fromEntries(LENIENT.map((name) => [name, nullable(submission[name])])) },
-  ["builds", "district", "due_s", "awaits", ...LENIENT],
+  {
+    ...submission,
+    ...Object.fromEntries(MISSING_IN_EARLY_RECORDS.map((name) => [name, nullable(submission[name])])),
+  },
+  ["builds", "district", "due_s", "awaits", ...MISSING_IN_EARLY_RECORDS],
 );
--- a/src/io/server.ts
+++ b/src/io/server.ts
@@ -6,7 +6,7 @@
 export const readBody = (
   request: http.IncomingMessage,
   maxBytes: number,
-  then: (body: Buffer | null) => void,
+  onBody: (body: Buffer | null) => void,
 ): void => {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -15,7 +15,7 @@
     if (size <= maxBytes) chunks.push(chunk);
     else chunks.length = 0;
   });
-  request.on("end", () => then(size > maxBytes ? null : Buffer.concat(chunks)));
+  request.on("end", () => onBody(size > maxBytes ? null : Buffer.concat(chunks)));
   request.on("error", () => undefined);
 };
 
--- a/src/io/settings.ts
+++ b/src/io/settings.ts
@@ -9,11 +9,11 @@
 export interface Settings {
   readonly member: string;
   readonly zone: string;
-  readonly front: string;
+  readonly apiBind: string;
   readonly peerBind: string;
   readonly peers: readonly { readonly member: string; readonly zone: string; readonly addr: string }[];
-  readonly cloud: string;
-  readonly state: string;
+  readonly cloudAddr: string;
+  readonly stateServiceAddr: string;
   readonly teams: readonly Team[];
   readonly workers: { readonly reportS: number; readonly leaseS: number; readonly cancelS: number };
   readonly stateLimits: {
@@ -28,7 +28,7 @@
   readonly cloudLimits: { readonly rps: number; readonly listLag: Duration.Duration };
   readonly maxConnections: number;
   /** How soon the platform's objectives expect tasks of a class to start. */
-  readonly startGoals: ReadonlyMap<string, Duration.Duration>;
+  readonly startLatencyGoals: ReadonlyMap<string, Duration.Duration>;
   readonly operator: OperatorSettings;
 }
 
@@ -86,31 +86,31 @@
 }
 
 /** One clear line for whoever started the program with a bad file. */
-export class BadSettings extends Error {}
+export class InvalidSettings extends Error {}
 
-const read = <T>(path: string, check: ValidateFunction<T>): T => {
+const readSettingsFile = <T>(path: string, check: ValidateFunction<T>): T => {
   let text: string;
   try {
     text = readFileSync(path, "utf8");
   } catch (error) {
-    throw new BadSettings(`${path}: can't be read: ${(error as Error).message}`);
+    throw new InvalidSettings(`${path}: can't be read: ${(error as Error).message}`);
   }
   let value: unknown;
   try {
     value = JSON.parse(text);
   } catch (error) {
-    throw new BadSettings(`${path}: not JSON: ${(error as Error).message}`);
+    throw new InvalidSettings(`${path}: not JSON: ${(error as Error).message}`);
   }
   if (check(value)) return value;
-  const first = check.errors?.[0];
-  const named = first?.params as { additionalProperty?: string } | undefined;
-  const field = first?.instancePath.slice(1).replaceAll("/", ".") || "the file";
-  throw new BadSettings(
-    `${path}: ${field} ${first?.message ?? "is not valid"}${named?.additionalProperty === undefined ? "" : `: ${named.additionalProperty}`}`,
+  const firstError = check.errors?.[0];
+  const errorParams = firstError?.params as { additionalProperty?: string } | undefined;
+  const field = firstError?.instancePath.slice(1).replaceAll("/", ".") || "the file";
+  throw new InvalidSettings(
+    `${path}: ${field} ${firstError?.message ?? "is not valid"}${errorParams?.additionalProperty === undefined ? "" : `: ${errorParams.additionalProperty}`}`,
   );
 };
 
-const startGoalsOf = (
+const startLatencyGoalsOf = (
   objectives: NonNullable<PlatformFile["params"]["objectives"]>,
 ): Map<string, Duration.Duration> => {
   const goals = new Map<string, Duration.Duration>();
@@ -143,39 +143,39 @@
   maxGpus: team.gpus_max,
 });
 
-const operatorSettingsOf = (own: OperatorFile): OperatorSettings => ({
-  memberLease: Duration.seconds(own.member_lease_s),
-  reuse: own.reuse,
-  idleBoots: own.idle_boots,
-  warmFor: Duration.seconds(own.warm_s),
+const operatorSettingsOf = (file: OperatorFile): OperatorSettings => ({
+  memberLease: Duration.seconds(file.member_lease_s),
+  reuse: file.reuse,
+  idleBoots: file.idle_boots,
+  warmFor: Duration.seconds(file.warm_s),
   shards: {
-    enabled: own.shards.enabled,
-    movesAtOnce: own.shards.moves_at_once,
-    hysteresis: own.shards.hysteresis,
-    rehearseEvery: own.shards.rehearsal_s > 0 ? Duration.seconds(own.shards.rehearsal_s) : null,
+    enabled: file.shards.enabled,
+    movesAtOnce: file.shards.moves_at_once,
+    hysteresis: file.shards.hysteresis,
+    rehearseEvery: file.shards.rehearsal_s > 0 ? Duration.seconds(file.shards.rehearsal_s) : null,
   },
-  operatorsSocket: own.operators_socket === "" ? null : own.operators_socket,
+  operatorsSocket: file.operators_socket === "" ? null : file.operators_socket,
 });
 
-/** The settings of both files, the operators' with its defaults; throws `BadSettings`. */
+/** The settings of both files, the operators' with its defaults; throws `InvalidSettings`. */
 export const loadSettings = (platformPath: string, operatorPath: string | undefined): Settings => {
   const ajv = new Ajv({ useDefaults: true, strict: false });
-  const file = read(platformPath, ajv.compile<PlatformFile>(platformSchema));
+  const platformFile = readSettingsFile(platformPath, ajv.compile<PlatformFile>(platformSchema));
   const checkOperator = ajv.compile<OperatorFile>(operatorSchema);
   const defaults = {} as OperatorFile;
   checkOperator(defaults);
-  const own = operatorPath === undefined ? defaults : read(operatorPath, checkOperator);
-  const { params } = file;
+  const operatorFile = operatorPath === undefined ? defaults : readSettingsFile(operatorPath, checkOperator);
+  const { params } = platformFile;
   if (params.workers.cancel_s <= params.workers.lease_s)
-    throw new BadSettings(`${platformPath}: params.workers.cancel_s must be longer than lease_s`);
+    throw new InvalidSettings(`${platformPath}: params.workers.cancel_s must be longer than lease_s`);
   return {
-    member: file.member,
-    zone: file.domain,
-    front: file.front,
-    peerBind: file.peer_bind,
-    peers: file.seeds.map((seed) => ({ member: seed.member, zone: seed.domain, addr: seed.addr })),
-    cloud: file.external.cloud,
-    state: file.external.state,
+    member: platformFile.member,
+    zone: platformFile.domain,
+    apiBind: platformFile.front,
+    peerBind: platformFile.peer_bind,
+    peers: platformFile.seeds.map((seed) => ({ member: seed.member, zone: seed.domain, addr: seed.addr })),
+    cloudAddr: platformFile.external.cloud,
+    stateServiceAddr: platformFile.external.state,
     teams: params.teams.map(teamOf),
     workers: {
       reportS: params.workers.report_s,
@@ -185,7 +185,7 @@
     stateLimits: stateLimitsOf(params.state),
     cloudLimits: { rps: params.cloud.rps, listLag: Duration.seconds(params.cloud.list_lag_s) },
     maxConnections: params.machine_limits.max_connections,
-    startGoals: startGoalsOf(params.objectives ?? []),
-    operator: operatorSettingsOf(own),
+    startLatencyGoals: startLatencyGoalsOf(params.objectives ?? []),
+    operator: operatorSettingsOf(operatorFile),
   };
 };
--- a/src/io/shard-codec.ts
+++ b/src/io/shard-codec.ts
@@ -72,12 +72,12 @@
 } as const;
 
 /** A refusal as it is sent. */
-export const refusalText = (refusal: Refusal | null): RefusalText => ({
+export const encodeRefusal = (refusal: Refusal | null): RefusalText => ({
   refusal: refusal === null ? "" : JSON.stringify(refusal),
 });
 
 /** A refusal as it came; what this version doesn't know is a refusal all the same. */
-export const parseRefusal = ({ refusal }: RefusalText, member: string): Refusal | null => {
+export const decodeRefusal = ({ refusal }: RefusalText, member: string): Refusal | null => {
   if (refusal === "") return null;
   try {
     const value: unknown = JSON.parse(refusal);
--- a/src/io/state-client.ts
+++ b/src/io/state-client.ts
@@ -3,17 +3,23 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Instant } from "../core/time.js";
-import { type Call, call, type CallFailed, json, makeAgent, type Reply } from "./call.js";
+import { type Call, call, type CallFailed, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
 import { now } from "./clock.js";
-import { type Change, type Condition, type Row, state as wire, type WatchEvent } from "./codec.js";
-import { overTheRate, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
+import { type Change, type Condition, type Row, stateServiceApi as wire, type WatchEvent } from "./codec.js";
+import { rateLimited, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
 import { type RateLimits, StatePacer, type Urgency } from "./state-pacer.js";
 
-export { isOverTheRate, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
+export {
+  isRateLimited as isOverTheRate,
+  type StateError,
+  TooOld,
+  Unanswered,
+  Unavailable,
+} from "./state-errors.js";
 export type { Urgency } from "./state-pacer.js";
 
 /**
- * What became of a transaction. `false`: the keys `failed` haven't the revision of their condition. `null`: the service
+ * What became of a transaction. `false`: the keys `parseFailedKeys` haven't the revision of their condition. `null`: the service
  * refuses it as it is, without having compared anything, and would refuse it again.
  */
 export type CommitResult =
@@ -36,16 +42,16 @@
 /** A request, and how it keeps to this node's share of the rates. */
 interface StateRequest extends Pick<Call, "method" | "path" | "body"> {
   readonly urgency?: Urgency;
-  readonly changes?: number;
+  readonly changeCount?: number;
   readonly timeout?: Duration.Duration;
   readonly agent?: http.Agent;
-  readonly patience?: Duration.Duration | undefined;
+  readonly maxWait?: Duration.Duration | undefined;
 }
 
-const TIMEOUT = Duration.seconds(1.5);
+const REQUEST_TIMEOUT = Duration.seconds(1.5);
 const LIST_TIMEOUT = Duration.seconds(3);
 /** How much later than its end the answer to a watch may come. */
-const WATCH_LATENCY = Duration.seconds(3);
+const WATCH_GRACE = Duration.seconds(3);
 const MAX_ERROR_LENGTH = 200;
 
 const unexpected = (reply: Reply): Unavailable => new Unavailable({ why: `status ${reply.status}` });
@@ -54,8 +60,8 @@
 export class StateClient {
   /** Since when requests fail; null: the last one got an answer other than 503. */
   failingSince: Instant | null = null;
-  private readonly agent: http.Agent = makeAgent(24);
-  private readonly watchAgent: http.Agent = makeAgent(4);
+  private readonly agent: http.Agent = makeKeepAliveAgent(24);
+  private readonly watchAgent: http.Agent = makeKeepAliveAgent(4);
   private readonly pacer: StatePacer;
 
   /** `limits` are those of all nodes together. */
@@ -76,11 +82,11 @@
   get(
     key: string,
     urgency: Urgency = "first",
-    patience?: Duration.Duration,
+    maxWait?: Duration.Duration,
   ): Effect.Effect<Row | null, StateError> {
-    return this.send({ method: "GET", path: wire.get(key), urgency, patience }).pipe(
+    return this.send({ method: "GET", path: wire.keyPath(key), urgency, maxWait: maxWait }).pipe(
       Effect.flatMap((reply) => {
-        if (reply.status === 200) return Effect.succeed(wire.row(json(reply)));
+        if (reply.status === 200) return Effect.succeed(wire.parseRow(parseJson(reply)));
         return reply.status === 404 ? Effect.succeed(null) : Effect.fail(unexpected(reply));
       }),
     );
@@ -93,10 +99,10 @@
       rows: Row[],
       revision: number | null,
     ): Effect.Effect<Listing, StateError> =>
-      this.send({ method: "GET", path: wire.list(prefix, from), timeout: LIST_TIMEOUT }).pipe(
+      this.send({ method: "GET", path: wire.listPath(prefix, from), timeout: LIST_TIMEOUT }).pipe(
         Effect.flatMap((reply) => {
           if (reply.status !== 200) return Effect.fail(unexpected(reply));
-          const listed = wire.rows(json(reply));
+          const listed = wire.parseRows(parseJson(reply));
           rows.push(...listed.rows);
           // a watch from the first page's revision tells what changed while the others were read
           const first = revision ?? listed.revision;
@@ -111,18 +117,25 @@
 
   /** Compare-and-swap of all keys at once. Fails as `Unanswered` where it may have been carried out, or may be yet. */
   commit(
-    when: readonly Condition[],
-    apply: readonly Change[],
+    conditions: readonly Condition[],
+    operations: readonly Change[],
     urgency: Urgency = "first",
-    patience?: Duration.Duration,
+    maxWait?: Duration.Duration,
   ): Effect.Effect<CommitResult, StateError> {
-    const body = wire.commitBody(when, apply);
-    const changes = apply.length;
-    return this.send({ method: "POST", path: wire.commit, body, urgency, changes, patience }).pipe(
+    const body = wire.commitBody(conditions, operations);
+    const changeCount = operations.length;
+    return this.send({
+      method: "POST",
+      path: wire.commitPath,
+      body,
+      urgency,
+      changeCount: changeCount,
+      maxWait: maxWait,
+    }).pipe(
       Effect.flatMap((reply): Effect.Effect<CommitResult, StateError> => {
-        const value = json(reply);
+        const value = parseJson(reply);
         if (reply.status === 200) return Effect.succeed({ ok: true, revision: wire.revision(value) });
-        if (reply.status === 409) return Effect.succeed({ ok: false, failed: wire.failed(value) });
+        if (reply.status === 409) return Effect.succeed({ ok: false, failed: wire.parseFailedKeys(value) });
         if (reply.status === 400)
           return Effect.succeed({ ok: null, error: reply.body.toString("utf8").slice(0, MAX_ERROR_LENGTH) });
         return Effect.fail(new Unanswered({ why: `status ${reply.status}` }));
@@ -131,17 +144,19 @@
   }
 
   /** A new lease, which ends unless it is extended in time; gives its id. */
-  grant(ttl: Duration.Duration): Effect.Effect<number, StateError> {
-    return this.send({ method: "POST", path: wire.grants, body: wire.grantBody(ttl) }).pipe(
+  grantLease(ttl: Duration.Duration): Effect.Effect<number, StateError> {
+    return this.send({ method: "POST", path: wire.leasesPath, body: wire.leaseBody(ttl) }).pipe(
       Effect.flatMap((reply) =>
-        reply.status === 200 ? Effect.succeed(wire.leaseIdOf(json(reply))) : Effect.fail(unexpected(reply)),
+        reply.status === 200
+          ? Effect.succeed(wire.parseLeaseId(parseJson(reply)))
+          : Effect.fail(unexpected(reply)),
       ),
     );
   }
 
   /** Renews a lease for its whole time; false: it has ended. */
-  extend(leaseId: number, timeout: Duration.Duration): Effect.Effect<boolean, StateError> {
-    return this.send({ method: "POST", path: wire.extend(leaseId), body: "{}", timeout }).pipe(
+  renewLease(leaseId: number, timeout: Duration.Duration): Effect.Effect<boolean, StateError> {
+    return this.send({ method: "POST", path: wire.leaseRenewalPath(leaseId), body: "{}", timeout }).pipe(
       Effect.flatMap((reply) => {
         if (reply.status === 200) return Effect.succeed(true);
         return reply.status === 404 ? Effect.succeed(false) : Effect.fail(unexpected(reply));
@@ -150,8 +165,8 @@
   }
 
   /** Ends a lease at once, and with it the keys that are attached to it. */
-  revoke(leaseId: number): Effect.Effect<void, StateError> {
-    return Effect.asVoid(this.send({ method: "DELETE", path: wire.grant(leaseId) }));
+  revokeLease(leaseId: number): Effect.Effect<void, StateError> {
+    return Effect.asVoid(this.send({ method: "DELETE", path: wire.leasePath(leaseId) }));
   }
 
   /** Waits until a key with the prefix has changed after the revision, or `wait` is over. */
@@ -160,28 +175,34 @@
     from: number,
     wait: Duration.Duration,
   ): Effect.Effect<WatchedEvents, StateError | TooOld> {
-    const path = wire.watch(prefix, from, Duration.toMillis(wait));
-    const timeout = Duration.sum(wait, WATCH_LATENCY);
+    const path = wire.watchPath(prefix, from, Duration.toMillis(wait));
+    const timeout = Duration.sum(wait, WATCH_GRACE);
     return this.send({ method: "GET", path, timeout, agent: this.watchAgent }).pipe(
       Effect.flatMap((reply): Effect.Effect<WatchedEvents, StateError | TooOld> => {
         if (reply.status === 410) return Effect.fail(new TooOld());
         if (reply.status !== 200) return Effect.fail(unexpected(reply));
-        return Effect.succeed(wire.events(json(reply)));
+        return Effect.succeed(wire.parseEvents(parseJson(reply)));
       }),
     );
   }
 
   private send(request: StateRequest): Effect.Effect<Reply, StateError> {
-    const { urgency = "first", changes = 0, timeout = TIMEOUT, agent = this.agent, patience } = request;
+    const {
+      urgency = "first",
+      changeCount: changeCount = 0,
+      timeout = REQUEST_TIMEOUT,
+      agent = this.agent,
+      maxWait: maxWait,
+    } = request;
     const { method, path, body } = request;
-    const made = call(agent, {
+    const response = call(agent, {
       ...{ addr: this.addr, method, path, timeout },
       ...(body === undefined ? {} : { body }),
     });
     return Effect.zipRight(
-      this.pacer.admit({ urgency, changes, patience }),
-      Effect.mapError(made, (failed) => this.callFailed(failed)),
-    ).pipe(Effect.flatMap((reply) => this.checked(reply)));
+      this.pacer.admit({ urgency, changeCount: changeCount, maxWait: maxWait }),
+      Effect.mapError(response, (failed) => this.callFailed(failed)),
+    ).pipe(Effect.flatMap((reply) => this.checkStatus(reply)));
   }
 
   private callFailed(failed: CallFailed): StateError {
@@ -190,14 +211,14 @@
   }
 
   /** What is the same for all requests: 503 and 429 say that nothing was carried out. */
-  private checked(reply: Reply): Effect.Effect<Reply, StateError> {
+  private checkStatus(reply: Reply): Effect.Effect<Reply, StateError> {
     if (reply.status === 503) {
       this.failingSince ??= now();
       return Effect.fail(new Unavailable({ why: "503" }));
     }
     this.failingSince = null;
     if (reply.status !== 429) return Effect.succeed(reply);
-    this.pacer.refused();
-    return Effect.fail(overTheRate());
+    this.pacer.onRateLimited();
+    return Effect.fail(rateLimited());
   }
 }
--- a/src/io/state-errors.ts
+++ b/src/io/state-errors.ts
@@ -11,11 +11,11 @@
 /** The failure of any request but a watch. */
 export type StateError = Unavailable | Unanswered;
 
-const OVER_THE_RATE = "429";
+const RATE_LIMITED = "429";
 
 /** The failure of a request that the service refused for its rate. */
-export const overTheRate = (): Unavailable => new Unavailable({ why: OVER_THE_RATE });
+export const rateLimited = (): Unavailable => new Unavailable({ why: RATE_LIMITED });
 
 /** The service couldn't take it within its rate, and may be able to a moment later. */
-export const isOverTheRate = (error: StateError): boolean =>
-  error._tag === "Unavailable" && error.why === OVER_THE_RATE;
+export const isRateLimited = (error: StateError): boolean =>
+  error._tag === "Unavailable" && error.why === RATE_LIMITED;
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -3,15 +3,15 @@
 import * as Effect from "effect/Effect";
 import type { Command, Heartbeat } from "../core/records.js";
 import type { CommandOutcome } from "../core/scheduler/scheduler.js";
-import { call, closeFree, json, makeAgent, type Reply } from "./call.js";
+import { call, closeIdleConnections, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
 import { commandsBody, commandsPath, parseHeartbeat } from "./codec.js";
 
-const TIMEOUT = Duration.seconds(2);
+const COMMAND_TIMEOUT = Duration.seconds(2);
 /** A question without commands may be asked again, so it needn't wait long. */
-const QUESTION_TIMEOUT = Duration.seconds(1);
+const HEARTBEAT_REQUEST_TIMEOUT = Duration.seconds(1);
 
 /** How many calls may be under way or queued for each that may be under way. */
-const QUEUED_PER_CALL = 4;
+const MAX_OPEN_PER_CONCURRENT_CALL = 4;
 
 /** A batch of commands for one worker, and what has to hold for the worker to execute it. */
 export interface WorkerCommands {
@@ -32,36 +32,36 @@
 
 /** Calls to workers, which may hang: only so many at a time, each with a short timeout. */
 export class WorkerClient {
-  private readonly agent = makeAgent(1);
+  private readonly agent = makeKeepAliveAgent(1);
   /** Calls under way: their time runs only once they are, so machines that hang don't hold up the others for long. */
   private readonly callPermits: Effect.Semaphore;
   /** Calls under way or queued. */
   private openCalls = 0;
   /** Workers to which a connection is kept, the longest unused first. */
-  private readonly keptConnections = new Set<string>();
+  private readonly recentlyUsedAddrs = new Set<string>();
 
-  /** `calls` at a time; `maxKept`: how many idle connections may be kept right now. */
+  /** `maxConcurrentCalls` at a time; `maxIdleConnections`: how many idle connections may be kept right now. */
   constructor(
-    private readonly calls: number,
-    private readonly maxKept: () => number,
+    private readonly maxConcurrentCalls: number,
+    private readonly maxIdleConnections: () => number,
   ) {
-    this.callPermits = Effect.unsafeMakeSemaphore(calls);
+    this.callPermits = Effect.unsafeMakeSemaphore(maxConcurrentCalls);
   }
 
   /** Whether more would be sent in time: what is queued costs memory, and is old when it is sent. */
-  hasRoom(): boolean {
-    return this.openCalls < this.calls * QUEUED_PER_CALL;
+  hasQueueCapacity(): boolean {
+    return this.openCalls < this.maxConcurrentCalls * MAX_OPEN_PER_CONCURRENT_CALL;
   }
 
   /** Marks the connection as used last, and closes those unused for longest beyond what may be kept. */
-  private keepConnection(addr: string): void {
-    this.keptConnections.delete(addr);
-    this.keptConnections.add(addr);
-    const most = Math.max(1, this.maxKept());
-    for (const oldest of this.keptConnections) {
-      if (this.keptConnections.size <= most) return;
-      this.keptConnections.delete(oldest);
-      closeFree(this.agent, oldest);
+  private markConnectionUsed(addr: string): void {
+    this.recentlyUsedAddrs.delete(addr);
+    this.recentlyUsedAddrs.add(addr);
+    const maxIdle = Math.max(1, this.maxIdleConnections());
+    for (const oldest of this.recentlyUsedAddrs) {
+      if (this.recentlyUsedAddrs.size <= maxIdle) return;
+      this.recentlyUsedAddrs.delete(oldest);
+      closeIdleConnections(this.agent, oldest);
     }
   }
 
@@ -69,15 +69,15 @@
   sendCommands(batch: WorkerCommands): Effect.Effect<WorkerAnswer> {
     const { addr, commands, maySend } = batch;
     const body = commandsBody(batch.fencingToken, batch.workerEpoch, commands);
-    const timeout = commands.length === 0 ? QUESTION_TIMEOUT : TIMEOUT;
-    const ask = Effect.suspend(() => {
+    const timeout = commands.length === 0 ? HEARTBEAT_REQUEST_TIMEOUT : COMMAND_TIMEOUT;
+    const send = Effect.suspend(() => {
       if (!maySend()) return Effect.succeed(null);
-      this.keepConnection(addr);
+      this.markConnectionUsed(addr);
       return call(this.agent, { addr, method: "POST", path: commandsPath, body, timeout });
     });
     this.openCalls++;
     return this.callPermits
-      .withPermits(1)(ask)
+      .withPermits(1)(send)
       .pipe(
         Effect.ensuring(Effect.sync(() => this.openCalls--)),
         Effect.map((reply) => (reply === null ? withoutHeartbeat("barred") : answerOf(reply))),
@@ -90,7 +90,7 @@
 
 /** 200: executed; 409: not executed, for the fencing token or the epoch. Both come with the worker's heartbeat. */
 const answerOf = (reply: Reply): WorkerAnswer => {
-  const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(json(reply)) : null;
+  const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(parseJson(reply)) : null;
   if (reply.status !== 200) return { outcome: "rejected", report: heartbeat };
   return { outcome: heartbeat === null ? "unknown" : "done", report: heartbeat };
 };
--- a/src/main.ts
+++ b/src/main.ts
@@ -8,7 +8,7 @@
 import { shardsCommand } from "./cli/shards.js";
 import { makeLog } from "./io/log.js";
 import { operatorSchema } from "./io/schemas.js";
-import { BadSettings, loadSettings } from "./io/settings.js";
+import { InvalidSettings, loadSettings } from "./io/settings.js";
 import { runController } from "./service/controller.js";
 
 const EXIT_BAD_SETTINGS = 2;
@@ -23,7 +23,7 @@
   try {
     return loadSettings(options.config, options.settings);
   } catch (error) {
-    if (!(error instanceof BadSettings)) throw error;
+    if (!(error instanceof InvalidSettings)) throw error;
     process.stderr.write(`indigowick: ${error.message}\n`);
     process.exit(EXIT_BAD_SETTINGS);
   }
--- a/src/service/api/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -1,7 +1,7 @@
 /** The HTTP server for users, workers and health checks. What it answers is up to the handlers beside it. */
 import http from "node:http";
 import * as Effect from "effect/Effect";
-import { paths } from "../../io/codec.js";
+import { apiPaths } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import { listen, readBody } from "../../io/server.js";
 import type { StateClient } from "../../io/state-client.js";
@@ -71,11 +71,11 @@
   serve(): Effect.Effect<http.Server, Error> {
     const server = http.createServer((request, response) => {
       const url = request.url ?? "";
-      if (url === paths.beat && request.method === "POST")
+      if (url === apiPaths.heartbeat && request.method === "POST")
         readBody(request, MAX_HEARTBEAT_BYTES, (body) =>
           this.send(response, answerHeartbeat(this.member, body)),
         );
-      else if (url === paths.up) this.send(response, answerHealth(this.jobCache, this.leader));
+      else if (url === apiPaths.health) this.send(response, answerHealth(this.jobCache, this.leader));
       else if (isUserPath(url)) this.serveUser(url, request, response);
       else this.send(response, refusal(404, "no such path"));
     });
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -9,8 +9,8 @@
   type Change,
   type Condition,
   jobAnswer,
-  jobRecord,
-  releasedRecord,
+  encodeJobRecord,
+  withReleaseTime,
   type Submission,
 } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
@@ -81,7 +81,7 @@
   private tryToAccept({ wire, spec }: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const { id, dependsOn } = spec;
-      const record = jobRecord(wire, new Date());
+      const record = encodeJobRecord(wire, new Date());
       if (this.mayGrowTooLarge(record, dependsOn))
         return yield* this.statusQueries.refuseUnlessAccepted(id, RECORD_TOO_LARGE_ANSWER);
       const stale = new Set<string>();
@@ -117,7 +117,9 @@
   /** Whether a record of the job would be too large at any time of its life. */
   private mayGrowTooLarge(record: object, dependsOn: readonly string[]): boolean {
     const largestFanin: FaninRecord = { joined: dependsOn, released: true };
-    return [releasedRecord(record, new Date()), largestFanin].some((value) => isTooLarge(value, this.limits));
+    return [withReleaseTime(record, new Date()), largestFanin].some((value) =>
+      isTooLarge(value, this.limits),
+    );
   }
 
   /** A parent as it is now; null: it was never accepted. `stale`: what is cached of it is behind. */
@@ -184,7 +186,7 @@
   if (parents.some((parent) => parent.state === "cancelled"))
     return { kind: "cancelled", commit: { outcome: "cancelled", tasks: job.tasks } };
   if (parents.every((parent) => parent.state === "done"))
-    return { kind: "released", record: releasedRecord(record, new Date()) };
+    return { kind: "released", record: withReleaseTime(record, new Date()) };
   const joined = parents.filter((parent) => parent.state === "done").map((parent) => parent.id);
   return { kind: "blocked", record, fanin: { joined, released: false } };
 };
--- a/src/service/api/status-queries.ts
+++ b/src/service/api/status-queries.ts
@@ -1,6 +1,6 @@
 /** What users are told of the jobs that they ask about, submit again, or submit in vain. */
 import * as Effect from "effect/Effect";
-import { jobAnswer, pollAnswer, type UserState } from "../../io/codec.js";
+import { jobAnswer, jobStatusAnswer, type UserJobState } from "../../io/codec.js";
 import type { StateError } from "../../io/state-client.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 import type { JobStatusReader } from "./job-status.js";
@@ -30,7 +30,7 @@
     return Effect.map(this.reader.statusOf(id), (status) => {
       if (status.kind === "absent") return refusal(404, "no such run");
       const { done, running } = this.countsOf(id, status);
-      return answer(200, pollAnswer(id, this.userStateOf(id, status), done, running));
+      return answer(200, jobStatusAnswer(id, this.userStateOf(id, status), done, running));
     });
   }
 
@@ -46,7 +46,7 @@
     );
   }
 
-  private userStateOf(id: string, status: AcceptedStatus): UserState {
+  private userStateOf(id: string, status: AcceptedStatus): UserJobState {
     if (status.kind === "final") return status.commit.outcome;
     const { done, running } = this.taskCounts(id);
     return done > 0 || running > 0 ? "running" : "queued";
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -2,7 +2,7 @@
 import * as Effect from "effect/Effect";
 import { unschedulableReason } from "../../core/placement/admission.js";
 import { keys } from "../../core/records.js";
-import { jobAnswer, jobRecord, parseSubmission, type Submission } from "../../io/codec.js";
+import { jobAnswer, encodeJobRecord, parseSubmission, type Submission } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import type { StateClient } from "../../io/state-client.js";
 import type { JobCache } from "../job-cache.js";
@@ -40,7 +40,7 @@
       if (this.jobCache.isUnfinished(spec.id))
         return yield* this.statusQueries.answerRepeatedSubmission(spec.id);
       if (this.jobCache.types.length === 0) return retryLater("machine types are not known yet");
-      if (isTooLarge(jobRecord(wire, new Date()), this.limits))
+      if (isTooLarge(encodeJobRecord(wire, new Date()), this.limits))
         return yield* this.statusQueries.refuseUnlessAccepted(spec.id, RECORD_TOO_LARGE_ANSWER);
       const reason = unschedulableReason(spec, this.limits.teams, this.jobCache.types);
       if (reason !== null)
@@ -55,7 +55,7 @@
   private accept({ wire, spec }: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const { id } = spec;
-      const record = jobRecord(wire, new Date());
+      const record = encodeJobRecord(wire, new Date());
       const result = yield* commitForUser(this.state, newJobConditions(id), [
         { put: keys.job(id), value: record },
       ]);
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -69,7 +69,7 @@
 }
 
 const buildBaseServices = (settings: Settings, log: Log): BaseServices => {
-  const state = new StateClient(settings.state, settings.stateLimits, settings.peers.length + 1);
+  const state = new StateClient(settings.stateServiceAddr, settings.stateLimits, settings.peers.length + 1);
   state.setLeading(false);
   return {
     settings,
@@ -77,7 +77,7 @@
     timings: leaseTimingsOf(settings.workers, settings.operator.memberLease),
     teams: new Map(settings.teams.map((team) => [team.name, team])),
     state,
-    cloud: new CloudClient(settings.cloud, settings.cloudLimits.rps),
+    cloud: new CloudClient(settings.cloudAddr, settings.cloudLimits.rps),
     peers: new Peers(settings.peers),
     apiConnections: { count: () => 0 },
   };
@@ -172,7 +172,7 @@
       timings,
       teams,
       fleet: { reuse, idleBoots, warmFor },
-      startLatencyObjectives: settings.startGoals,
+      startLatencyObjectives: settings.startLatencyGoals,
       ...(shards === null ? {} : { ownership: shards.ownership }),
       txnOps: settings.stateLimits.txnOps,
       valueKb: settings.stateLimits.valueKb,
@@ -190,7 +190,7 @@
   leader: Leader,
 ): ApiServer => {
   const options = {
-    bind: settings.front,
+    bind: settings.apiBind,
     maxConnections: Math.floor(settings.maxConnections * API_CONNECTION_SHARE),
     teams,
     valueKb: settings.stateLimits.valueKb,
@@ -269,7 +269,7 @@
     });
     yield* serveOperatorsIfConfigured(controller);
     yield* apiServer.serve();
-    log.info({ front: settings.front, peers: settings.peerBind }, "listening");
+    log.info({ front: settings.apiBind, peers: settings.peerBind }, "listening");
   });
 
 /** Runs until the process is killed; fails only when a socket can't be bound. */
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -7,16 +7,16 @@
 import { type Instant, hasElapsed } from "../core/time.js";
 import { BlockedJobs } from "../core/jobs/fanin.js";
 import { type FaninRecord, type JobSpec, keys, type MachineType } from "../core/records.js";
-import { instantOf, now } from "../io/clock.js";
+import { instantOfDate, now } from "../io/clock.js";
 import {
-  acceptedOf,
-  readFanin,
-  readJob,
-  releasedOf,
+  acceptanceTimeOf,
+  decodeFanin,
+  decodeJobRecord,
+  releaseTimeOf,
   type Row,
-  typesOf,
+  toMachineTypes,
   type WatchEvent,
-  type WireType,
+  type WireMachineType,
 } from "../io/codec.js";
 import type { Log } from "../io/log.js";
 import type { StateClient } from "../io/state-client.js";
@@ -62,8 +62,8 @@
 
 /** A record that doesn't say when it was accepted counts as accepted now. */
 const acceptedAt = (record: unknown): Instant => {
-  const date = acceptedOf(record);
-  return date === null ? now() : instantOf(date);
+  const date = acceptanceTimeOf(record);
+  return date === null ? now() : instantOfDate(date);
 };
 
 /** Watches the jobs for as long as `run` runs, and takes in what this process reads and writes in between. */
@@ -105,8 +105,8 @@
   ) {}
 
   /** The machine types, as they were read from the state service or the cloud. */
-  setTypes(rows: readonly WireType[]): void {
-    this.types = typesOf(rows);
+  setTypes(rows: readonly WireMachineType[]): void {
+    this.types = toMachineTypes(rows);
     this.onTypes(this.types);
   }
 
@@ -121,14 +121,14 @@
     const known = this.released.get(id);
     if (known !== undefined) return known;
     if (this.ended.has(id)) return "over";
-    const spec = readJob(id, value);
+    const spec = decodeJobRecord(id, value);
     if (spec === null) {
       this.log.error({ job: id }, "job record can't be read");
       return "malformed";
     }
     const accepted = acceptedAt(value);
-    const releaseDate = releasedOf(value);
-    const released = releaseDate === null ? accepted : instantOf(releaseDate);
+    const releaseDate = releaseTimeOf(value);
+    const released = releaseDate === null ? accepted : instantOfDate(releaseDate);
     const job = { spec, revision, accepted, released };
     this.released.set(id, job);
     this.onReleased(job);
@@ -142,7 +142,7 @@
     const known = this.blocked.get(id) ?? this.released.get(id);
     if (known !== undefined) return known;
     if (this.ended.has(id)) return "over";
-    const spec = readJob(id, value);
+    const spec = decodeJobRecord(id, value);
     if (spec === null) {
       this.log.error({ job: id }, "waiting job's record can't be read");
       return "malformed";
@@ -156,7 +156,7 @@
 
   /** A fan-in set that was read or written; an older one than the known changes nothing. */
   putFanin(id: string, value: unknown, revision: number): void {
-    const record = readFanin(value);
+    const record = decodeFanin(value);
     const known = this.fanins.get(id);
     if (record === null || (known !== undefined && known.revision >= revision)) return;
     this.fanins.set(id, { ...record, revision });
@@ -249,7 +249,7 @@
 
   private readonly typeLoop = Effect.gen(this, function* () {
     const row = yield* this.state.get(keys.types, "later");
-    if (row !== null) this.setTypes(row.value as WireType[]);
+    if (row !== null) this.setTypes(row.value as WireMachineType[]);
     yield* Effect.sleep(this.types.length === 0 ? TYPES_INTERVAL_UNTIL_KNOWN : TYPES_INTERVAL);
   }).pipe(
     Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -4,7 +4,7 @@
 import { jsonBytes } from "../../core/packing.js";
 import { keys, type MachineType } from "../../core/records.js";
 import { now } from "../../io/clock.js";
-import type { WireType } from "../../io/codec.js";
+import type { WireMachineType } from "../../io/codec.js";
 import type { Leadership } from "../members/membership.js";
 import type { LeaderContext } from "./leader-context.js";
 
@@ -30,7 +30,7 @@
   constructor(private readonly context: LeaderContext) {}
 
   private readonly listOnce = Effect.gen(this, function* () {
-    const rows = yield* this.context.services.cloud.list();
+    const rows = yield* this.context.services.cloud.listMachines();
     this.context.schedulerLock?.with((scheduler) => scheduler.machinesListed(rows, now()));
     this.context.stepRequested.notify();
     yield* Effect.sleep(Duration.max(this.context.options.listInterval, this.listPause(rows.length)));
@@ -50,7 +50,7 @@
 
   private readonly refreshTypesOnce = Effect.gen(this, function* () {
     const { cloud, jobCache, membership } = this.context.services;
-    const rows = yield* cloud.types();
+    const rows = yield* cloud.listMachineTypes();
     const before = jobCache.types;
     jobCache.setTypes(rows);
     this.hasUnwrittenTypes ||= !sameTypes(before, jobCache.types);
@@ -66,7 +66,7 @@
     Effect.forever,
   );
 
-  private writeTypes(rows: readonly WireType[], leadership: Leadership): Effect.Effect<void> {
+  private writeTypes(rows: readonly WireMachineType[], leadership: Leadership): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       if (jsonBytes(rows) > this.context.valueBytes) {
@@ -86,7 +86,7 @@
     const { cloud, jobCache, membership } = this.context.services;
     yield* Effect.sleep(MISSING_TYPES_DELAY);
     if (jobCache.types.length > 0 || membership.leadership !== null) return;
-    const rows = yield* cloud.types();
+    const rows = yield* cloud.listMachineTypes();
     jobCache.setTypes(rows);
     yield* Effect.sleep(MISSING_TYPES_FETCH_INTERVAL);
   });
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -11,7 +11,7 @@
 import { type FaninRecord, keys } from "../../core/records.js";
 import { type Instant, hasElapsed, plus } from "../../core/time.js";
 import { now } from "../../io/clock.js";
-import { releasedRecord } from "../../io/codec.js";
+import { withReleaseTime } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import type { CommitResult, StateClient, StateError } from "../../io/state-client.js";
 import type { JobStatusReader } from "../api/job-status.js";
@@ -174,7 +174,7 @@
     after: FaninRecord,
   ): Effect.Effect<void, StateError> {
     return Effect.gen(this, function* () {
-      const released = releasedRecord(job.record, new Date());
+      const released = withReleaseTime(job.record, new Date());
       const result = yield* this.state.commit(
         [
           { key: keys.fanin(id), revision: before.revision },
--- a/src/service/leader/scale-in.ts
+++ b/src/service/leader/scale-in.ts
@@ -29,7 +29,7 @@
         "scale-in requested",
       );
       this.dropEmptyMachineRecords(machines);
-      const gone = yield* cloud.release(machines).pipe(
+      const gone = yield* cloud.releaseMachines(machines).pipe(
         Effect.as(true),
         Effect.orElseSucceed(() => false),
       );
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -68,7 +68,7 @@
       const { type, zone, spot, count } = record;
       for (let tries = 0; ; tries++) {
         if (membership.leadership !== leadership) return;
-        const answer = yield* Effect.either(cloud.rent(name, type, zone, spot, count));
+        const answer = yield* Effect.either(cloud.rentMachines(name, type, zone, spot, count));
         if (answer._tag === "Right") {
           const machines = answer.right ?? [];
           log.info(
--- a/src/service/members/command-deliverer.ts
+++ b/src/service/members/command-deliverer.ts
@@ -54,7 +54,7 @@
         yield* waitUntil(knowsTerm);
       }
       yield* waitUntil(() => this.membership.mayAct());
-      const accepted = this.maySend(term) && this.workers.hasRoom();
+      const accepted = this.maySend(term) && this.workers.hasQueueCapacity();
       if (accepted) for (const batch of batches) Effect.runFork(this.send(term, batch));
       return { accepted };
     });
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -65,13 +65,13 @@
   private readonly revokePreviousLease = Effect.gen(this, function* () {
     const { me, state } = this.options;
     const row = yield* state.get(keys.member(me));
-    if (row !== null) yield* state.revoke(decodeMember(row.value).leaseId);
+    if (row !== null) yield* state.revokeLease(decodeMember(row.value).leaseId);
   });
 
   private readonly join = Effect.gen(this, function* () {
     const { me, zone, timings, state, log, extension, rejections, onJoined } = this.options;
     yield* this.revokePreviousLease;
-    const leaseId = yield* state.grant(timings.memberLease);
+    const leaseId = yield* state.grantLease(timings.memberLease);
     const record: MemberRecord = { zone, leaseId };
     // a late copy of an earlier process's write finds this key there and changes nothing
     const result = yield* state.commit(
@@ -79,7 +79,7 @@
       [{ put: keys.member(me), value: encodeMember(record), leaseId }, ...extension.changesOnJoin(leaseId)],
       "vital",
     );
-    if (result.ok === null) yield* Effect.ignore(state.revoke(leaseId));
+    if (result.ok === null) yield* Effect.ignore(state.revokeLease(leaseId));
     yield* rejections.sleepIfRejected("member", result);
     if (result.ok !== true) return;
     this.currentLeaseId = leaseId;
@@ -102,7 +102,7 @@
     const timeout = Duration.millis(
       Math.max(MIN_RENEWAL_TIMEOUT_MS, Duration.toMillis(timings.fencingWindow) / 2),
     );
-    const [isAlive, termRow] = yield* Effect.all([state.extend(leaseId, timeout), state.get(keys.term)], {
+    const [isAlive, termRow] = yield* Effect.all([state.renewLease(leaseId, timeout), state.get(keys.term)], {
       concurrency: 2,
     });
     if (!isAlive) {
@@ -113,7 +113,7 @@
     // the lease lives, but the key isn't this process's: nobody counts it as a member
     if (registry.hasLost(me, this.currentIncarnation)) {
       log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, joining anew");
-      yield* state.revoke(leaseId);
+      yield* state.revokeLease(leaseId);
       this.handleLoss("member key lost");
       return yield* this.join;
     }
--- a/src/service/members/peer-client.ts
+++ b/src/service/members/peer-client.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { ReleaseRequest } from "#shards";
-import { call, type CallFailed, makeAgent } from "../../io/call.js";
+import { call, type CallFailed, makeKeepAliveAgent } from "../../io/call.js";
 import {
   type Codec,
   type CommandDelivery,
@@ -86,7 +86,7 @@
  * an answer in time fails.
  */
 export class Peers {
-  private readonly agent = makeAgent(MAX_CONNECTIONS_PER_PEER);
+  private readonly agent = makeKeepAliveAgent(MAX_CONNECTIONS_PER_PEER);
   private readonly addresses: ReadonlyMap<string, string>;
 
   constructor(peers: readonly { member: string; addr: string }[]) {
@@ -104,7 +104,7 @@
       call(this.agent, {
         ...{ addr, method: "POST", path, timeout },
         body: request.encode(value),
-        type: PEER_CONTENT_TYPE,
+        contentType: PEER_CONTENT_TYPE,
       }),
     ).pipe(Effect.map((reply) => (reply.status === 200 ? answer.decode(reply.body) : null)));
   }
--- a/src/service/shards/handoff-requests.ts
+++ b/src/service/shards/handoff-requests.ts
@@ -1,7 +1,7 @@
 /** What the leader asks other controllers in a handoff: the target whether it takes a shard, the owner to release it. */
 import * as Effect from "effect/Effect";
 import type { Refusal, ReleaseRequest } from "#shards";
-import { parseRefusal, type RefusalText, type ShardOffer } from "../../io/shard-codec.js";
+import { decodeRefusal, type RefusalText, type ShardOffer } from "../../io/shard-codec.js";
 import type { Peers } from "../members/peers.js";
 import type { ShardMember } from "./shard-member.js";
 
@@ -42,7 +42,7 @@
   ): Effect.Effect<HandoffAnswer> {
     if (controller === this.me) return askSelf();
     return askPeer().pipe(
-      Effect.map((answer) => (answer === null ? undefined : parseRefusal(answer, controller))),
+      Effect.map((answer) => (answer === null ? undefined : decodeRefusal(answer, controller))),
       Effect.orElseSucceed(() => undefined),
     );
   }
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -132,7 +132,7 @@
 
   /** In quiet times no shard is, and then no hash is looked up. */
   private isAnyPaused(leading: LeadershipState): boolean {
-    return leading.coordinator.size > 0 || leading.paused.size > 0 || this.view.assignment.hasHandoffs;
+    return leading.coordinator.moveCount > 0 || leading.paused.size > 0 || this.view.assignment.hasHandoffs;
   }
 
   /** A batch of commands was sent to a machine. */
@@ -151,7 +151,7 @@
     const term = this.membership.term?.number ?? 0;
     const id = `${this.options.me}-${this.membership.incarnation}-${term}-${++this.moveNumber}`;
     const request: MoveRequest = { id, shard, target, by };
-    const answer = leading.coordinator.request(request, this.coordinatorInput(leading));
+    const answer = leading.coordinator.startMove(request, this.coordinatorInput(leading));
     if ("_tag" in answer) {
       if (by !== "operator") leading.moves.recordRefusal(shard, now());
       return answer;
@@ -280,8 +280,8 @@
   /** Shards whose machines may be given commands again. */
   private resumeCommands(leading: LeadershipState): void {
     const { assignment } = this.view;
-    const handoffs = assignment.recorded().map(([shard]) => shard);
-    const candidates = new Set([...leading.paused, ...handoffs, ...leading.coordinator.shards()]);
+    const handoffs = assignment.recordedShards().map(([shard]) => shard);
+    const candidates = new Set([...leading.paused, ...handoffs, ...leading.coordinator.movingShards()]);
     const paused = new Set(
       [...candidates].filter((shard) => leading.coordinator.isPaused(assignment, shard)),
     );
@@ -297,7 +297,7 @@
     yield* Effect.sleep(STEP_INTERVAL);
     const { leading } = this;
     if (leading === null || !this.membership.isActingLeader()) return;
-    if (leading.coordinator.size > 0)
+    if (leading.coordinator.moveCount > 0)
       this.carryOut(leading, leading.coordinator.step(this.coordinatorInput(leading)));
     this.resumeCommands(leading);
     const at = now();
@@ -325,7 +325,7 @@
 
   private repair(leading: LeadershipState, counts: ReadonlyMap<ShardId, number>): Effect.Effect<void> {
     if (!hasElapsed(now(), this.view.termLearnedAt, REPAIR_DELAY_AFTER_TERM)) return Effect.void;
-    const isMoving = (shard: ShardId): boolean => leading.coordinator.isBusy(shard);
+    const isMoving = (shard: ShardId): boolean => leading.coordinator.isMoving(shard);
     const maxWrites = Math.max(1, Math.floor(this.options.txnOps / 2));
     const writes = repairsOf(this.view.assignment, counts, isMoving, maxWrites);
     if (writes.length === 0) return Effect.void;
@@ -353,10 +353,10 @@
       assignment: this.view.assignment,
       loads,
       draining,
-      blocked: (shard, reason) =>
-        leading.coordinator.isBusy(shard) || leading.moves.isBlocked(shard, reason, now()),
+      isBlocked: (shard, reason) =>
+        leading.coordinator.isMoving(shard) || leading.moves.isBlocked(shard, reason, now()),
       hysteresis: this.options.hysteresis,
-      most: this.options.maxConcurrentMoves - leading.coordinator.size,
+      maxMoves: this.options.maxConcurrentMoves - leading.coordinator.moveCount,
     });
     for (const { shard, target, reason } of moves) this.requestMove(shard, target, reason);
   }
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -121,7 +121,7 @@
     const { assignment } = this.view;
     const byShard = this.leader.machinesByShard();
     const weights = this.leader.weights();
-    const known = new Set([...assignment.recorded().map(([shard]) => shard), ...byShard.keys()]);
+    const known = new Set([...assignment.recordedShards().map(([shard]) => shard), ...byShard.keys()]);
     const shards = [...known].sort().map((shard) => this.listed(shard, byShard.get(shard)?.length ?? 0));
     const controllers = (assignment.term?.members ?? []).map(({ name, zone }): ListedController => {
       const owned = shards.filter((shard) => shard.owner === name);
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -56,13 +56,13 @@
     private readonly state: StateClient,
     private readonly log: Log,
   ) {
-    this.current = OwnerView.of(me, Assignment.empty);
+    this.current = OwnerView.create(me, Assignment.empty);
   }
 
   /** This controller's part, as of now: settled once a fencing window has passed since it heard of its term. */
   get ownerView(): OwnerView {
     if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fencingWindow)))
-      this.current = this.current.settled();
+      this.current = this.current.settle();
     return this.current;
   }
 
@@ -89,7 +89,7 @@
 
   /** A record that this process wrote. */
   recordWritten(shard: ShardId, stored: StoredShard): void {
-    this.replace(this.current.withAssignment(this.assignment.written(shard, stored)));
+    this.replace(this.current.withAssignment(this.assignment.withOwnWrite(shard, stored)));
   }
 
   /** The shard that a machine belongs to. */
@@ -125,7 +125,7 @@
     const before = this.assignment;
     this.current = ownerView;
     const changedAt = now();
-    for (const shard of ownerView.assignment.changedSince(before)) {
+    for (const shard of ownerView.assignment.shardsChangedSince(before)) {
       const owner = ownerView.assignment.ownershipOf(shard)?.owner;
       if (owner !== before.ownershipOf(shard)?.owner) this.ownerChangedAt.set(shard, changedAt);
     }
@@ -154,14 +154,14 @@
     this.enabledTerm = 0;
     const changes: ShardChange[] = [];
     for (const row of rows) this.applyChange(row, changes);
-    const assignment = this.assignment.reread(changes, this.enabledTerm, revision);
+    const assignment = this.assignment.withSnapshot(changes, this.enabledTerm, revision);
     this.replace(this.current.withAssignment(assignment));
   }
 
   private update(events: readonly KeyChange[], revision: number): void {
     const changes: ShardChange[] = [];
     for (const event of events) this.applyChange(event, changes);
-    const assignment = this.assignment.changed(changes, this.enabledTerm, revision);
+    const assignment = this.assignment.withChanges(changes, this.enabledTerm, revision);
     this.replace(this.current.withAssignment(assignment));
   }
 
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -10,7 +10,7 @@
 import type { Change } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
 import type { ShardSettings } from "../../io/settings.js";
-import { refusalText } from "../../io/shard-codec.js";
+import { encodeRefusal } from "../../io/shard-codec.js";
 import type { StateClient, StateError } from "../../io/state-client.js";
 import type { WorkerClient } from "../../io/worker-client.js";
 import type { Membership, MembershipExtension } from "../members/membership.js";
@@ -124,8 +124,8 @@
 
   /** What other controllers ask. */
   readonly handlers: ShardHandlers = {
-    offer: (offer) => Effect.map(this.member.answerOffer(offer), refusalText),
-    release: (request) => Effect.map(this.member.answerRelease(request), refusalText),
+    offer: (offer) => Effect.map(this.member.answerOffer(offer), encodeRefusal),
+    release: (request) => Effect.map(this.member.answerRelease(request), encodeRefusal),
     operate: (request) => this.operator.answerLocally(request),
   };
 
--- a/test/call.test.ts
+++ b/test/call.test.ts
@@ -5,7 +5,7 @@
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { call, makeAgent, type Reply } from "../src/io/call.js";
+import { call, makeKeepAliveAgent, type Reply } from "../src/io/call.js";
 
 const TIMEOUT = Duration.millis(50);
 
@@ -30,7 +30,7 @@
 
 const post = (addr: string, timeout: Duration.Duration): Promise<Reply | string> =>
   Effect.runPromise(
-    call(makeAgent(1), { addr, method: "POST", path: "/orders", body: "{}", timeout }).pipe(
+    call(makeKeepAliveAgent(1), { addr, method: "POST", path: "/orders", body: "{}", timeout }).pipe(
       Effect.catchAll(({ sent, why }) => Effect.succeed(`${why}, ${sent ? "sent" : "not sent"}`)),
     ),
   );
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -3,7 +3,7 @@
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
 import { unschedulableReason } from "../src/core/placement/admission.js";
-import { parseHeartbeat, parseSubmission, readJob } from "../src/io/codec.js";
+import { parseHeartbeat, parseSubmission, decodeJobRecord } from "../src/io/codec.js";
 import { deliveryReceiptCodec, syncRequestCodec } from "../src/io/peer-codec.js";
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
 import { TEAMS, TYPES } from "./model.js";
@@ -45,8 +45,8 @@
     assert.equal(isNull, optional.includes(name), `${name}: null`);
   }
   const old = without("gpus", "loaners", "stash_s");
-  assert.equal(readJob("req-000412", old)?.gpus, 0);
-  assert.equal(readJob("req-000413", old), null);
+  assert.equal(decodeJobRecord("req-000412", old)?.gpus, 0);
+  assert.equal(decodeJobRecord("req-000413", old), null);
 });
 
 test("submissions: null and omitted are the same, and the limits of teams and machines decide", () => {
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -19,7 +19,13 @@
 } from "../src/core/records.js";
 import { fencingTokenOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
-import { type Change, type Condition, jobRecord, parseSubmission, state } from "../src/io/codec.js";
+import {
+  type Change,
+  type Condition,
+  encodeJobRecord,
+  parseSubmission,
+  stateServiceApi,
+} from "../src/io/codec.js";
 import { MachineRecordStore, opsOf } from "../src/service/leader/machine-record-store.js";
 import { encodeLeader, encodeMember, encodeTerm } from "../src/io/record-codec.js";
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
@@ -50,7 +56,7 @@
         jsonBytes(change.value) <= limits.valueKb * 1024,
         `${change.put}: ${jsonBytes(change.value)}`,
       );
-  const total = Buffer.byteLength(state.commitBody(when, apply));
+  const total = Buffer.byteLength(stateServiceApi.commitBody(when, apply));
   assert.ok(total <= 64 * 1024, `${total} bytes in all`);
 };
 const machine = (n: number): [string, MachineRecord] => [
@@ -94,7 +100,7 @@
     }),
   );
   assert.ok(typeof submission !== "string");
-  const job = jobRecord(submission.wire, new Date());
+  const job = encodeJobRecord(submission.wire, new Date());
   for (const limits of LIMITS)
     for (const value of [encodeTerm(term), encodeMember(member), encodeLeader(leader), rental, commit, job])
       assertFits(limits, [{ key: NAME, revision: BIG }], [{ put: NAME, value }]);
--- a/test/measure/shards.ts
+++ b/test/measure/shards.ts
@@ -56,7 +56,7 @@
     const revision = ++this.revision;
     this.assignment = this.assignment
       .withTerm({ number: ++this.token, revision, members })
-      .changed([], this.token, revision);
+      .withChanges([], this.token, revision);
   }
 
   owners(): Map<string, string | null> {
@@ -66,7 +66,7 @@
   private write(writes: readonly ShardWrite[]): void {
     const revision = ++this.revision;
     const rows = writes.map(({ shard, state }) => ({ shard, revision, value: encodeShardState(state) }));
-    this.assignment = this.assignment.changed(rows, this.token, revision);
+    this.assignment = this.assignment.withChanges(rows, this.token, revision);
     this.requests++;
     this.changes += writes.length;
   }
@@ -89,9 +89,9 @@
         assignment: this.assignment,
         loads,
         draining,
-        blocked: () => false,
+        isBlocked: () => false,
         hysteresis: 0.3,
-        most: 2,
+        maxMoves: 2,
       });
       if (moves.length === 0) return;
       for (const { shard, target } of moves) {
@@ -177,7 +177,7 @@
   const remembered = new Map(machinesOf(4000).map(({ id, zone }) => [id, shardOf(id, zone)]));
   const kb = Math.round((used() - before) / 1024);
   console.log(
-    `${kb} KB of heap for 4,000 machines, ${world.assignment.recorded().length} records, ${remembered.size} remembered`,
+    `${kb} KB of heap for 4,000 machines, ${world.assignment.recordedShards().length} records, ${remembered.size} remembered`,
   );
 };
 
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -34,7 +34,7 @@
 
 test("an earlier process's late write of the member key changes nothing for long", async () => {
   const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
-  const earlier = await Effect.runPromise(state.grant(Duration.seconds(600)));
+  const earlier = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
   const key = keys.member("one");
   fakeState.put(key, encodeMember({ zone: "east", leaseId: earlier }), earlier);
   const member = new Membership("one", "east", timings, state, log, [], () => Effect.succeed(true), now);
@@ -51,7 +51,7 @@
     assert.equal(late.ok, false);
     // and if the key is another's after all, this process notices and joins anew
     const before = member.incarnation;
-    const other = await Effect.runPromise(state.grant(Duration.seconds(600)));
+    const other = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
     fakeState.put(key, encodeMember({ zone: "east", leaseId: other }), other);
     await until("it joined anew", () => member.incarnation > before && attempts());
   } finally {
@@ -69,10 +69,10 @@
   try {
     await until("it joined", () => member.leaseId !== null);
     // another process's key is no reason to lead, also if the process has the same name
-    const other = await Effect.runPromise(state.grant(Duration.seconds(600)));
+    const other = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
     fakeState.put(key, encodeLeader({ member: "two", leaseId: other }), other);
     assert.equal(await tryLead(), false);
-    await Effect.runPromise(state.revoke(other));
+    await Effect.runPromise(state.revokeLease(other));
     // its own write is carried out now: as long as it renews the lease, nobody else can lead
     const leaseId = member.leaseId!;
     fakeState.put(key, encodeLeader({ member: "two", leaseId }), leaseId);
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -16,13 +16,13 @@
 import { keys, type MachineRecord } from "../src/core/records.js";
 import { shardKeys } from "../src/core/shards/shard-keys.js";
 import {
-  acceptedOf,
-  jobRecord,
+  acceptanceTimeOf,
+  encodeJobRecord,
   parseSubmission,
-  readFanin,
-  readJob,
-  releasedOf,
-  releasedRecord,
+  decodeFanin,
+  decodeJobRecord,
+  releaseTimeOf,
+  withReleaseTime,
 } from "../src/io/codec.js";
 import * as peerCodec from "../src/io/peer-codec.js";
 import { type MessageType, toAvroNames, toCodeNames } from "./wire-names.js";
@@ -172,7 +172,7 @@
 test("jobs, waiting jobs and released jobs of the last landing are read as they were meant", () => {
   const jobs = [...of("job/"), ...of("job-waiting/")];
   for (const { key, value, meaning } of jobs) {
-    const spec = readJob(idOf(key), value);
+    const spec = decodeJobRecord(idOf(key), value);
     assert.ok(spec !== null, key);
     const read = Object.entries(spec).map(([name, x]) => [
       name,
@@ -182,8 +182,8 @@
     assert.deepEqual(
       {
         ...Object.fromEntries(read),
-        acceptedMs: present(acceptedOf(value)).getTime(),
-        releasedMs: releasedOf(value)?.getTime() ?? null,
+        acceptedMs: present(acceptanceTimeOf(value)).getTime(),
+        releasedMs: releaseTimeOf(value)?.getTime() ?? null,
       },
       { ...same, dependsOn: awaits },
       key,
@@ -192,8 +192,8 @@
     const { accepted_ms: accepted, released_ms: released, ...submission } = value;
     const parsed = parseSubmission(JSON.stringify(submission));
     assert.ok(typeof parsed !== "string", key);
-    const record = jobRecord(parsed.wire, new Date(accepted as number));
-    const written = released === undefined ? record : releasedRecord(record, new Date(released as number));
+    const record = encodeJobRecord(parsed.wire, new Date(accepted as number));
+    const written = released === undefined ? record : withReleaseTime(record, new Date(released as number));
     assert.equal(JSON.stringify(written), JSON.stringify(value), key);
   }
   assert.ok(of("job-waiting/").every(({ value }) => Array.isArray(value["awaits"])));
@@ -202,7 +202,7 @@
 
 test("sets, commits, ranges and machines of the last landing are read as they were meant", () => {
   for (const { key, value, meaning } of of("job-fanin/"))
-    assert.deepEqual(readFanin(value), meaning, `${key} as it was read there`);
+    assert.deepEqual(decodeFanin(value), meaning, `${key} as it was read there`);
   const released = of("job-fanin/").filter(({ meaning }) => present(meaning)["released"] === true);
   assert.ok(released.length >= 2 && released.length < of("job-fanin/").length);
   const outcomes = of("commit/").map(({ value }) => value["outcome"]);
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -35,7 +35,7 @@
   scene.step();
   assert.equal(facts(scene).fenced, true);
   scene.s.shardDrain.raiseTokens([machine(scene, "n-2")]);
-  assert.deepEqual([facts(scene).fenced, facts(scene).unfenced], [false, "n-2"]);
+  assert.deepEqual([facts(scene).fenced, facts(scene).unfencedMachine], [false, "n-2"]);
   assert.equal(facts(scene, ["n-1"]).fenced, true);
   const [question] = (scene.step(), scene.questions("n-2"));
   assert.ok(question !== undefined);
--- a/test/shard-messages.test.ts
+++ b/test/shard-messages.test.ts
@@ -8,9 +8,9 @@
   offerCodec,
   operatorAnswerCodec,
   operatorRequestCodec,
-  parseRefusal,
+  decodeRefusal,
   refusalCodec,
-  refusalText,
+  encodeRefusal,
   releaseCodec,
   shardPaths,
 } from "../src/io/shard-codec.js";
@@ -43,12 +43,12 @@
 
 test("each refusal arrives as it was given; what isn't known is no acceptance", () => {
   for (const refusal of REFUSALS) {
-    const sent = refusalCodec.decode(refusalCodec.encode(refusalText(refusal)));
-    assert.deepEqual({ ...parseRefusal(sent, "m") }, { ...refusal });
+    const sent = refusalCodec.decode(refusalCodec.encode(encodeRefusal(refusal)));
+    assert.deepEqual({ ...decodeRefusal(sent, "m") }, { ...refusal });
   }
-  assert.equal(parseRefusal(refusalText(null), "m"), null);
+  assert.equal(decodeRefusal(encodeRefusal(null), "m"), null);
   for (const refusal of ["{", "7", "null", "{}", '{"_tag":"$match"}', '{"_tag":"FromTheFuture"}'])
-    assert.equal(parseRefusal({ refusal }, "m")?._tag, "NoAnswer", refusal);
+    assert.equal(decodeRefusal({ refusal }, "m")?._tag, "NoAnswer", refusal);
 });
 
 let peers = "";
@@ -66,8 +66,8 @@
     confirmTerm: () => assert.fail("not asked"),
   };
   const shards = {
-    offer: () => Effect.succeed(refusalText(null)),
-    release: () => Effect.succeed(refusalText(Refusal.NotInForce())),
+    offer: () => Effect.succeed(encodeRefusal(null)),
+    release: () => Effect.succeed(encodeRefusal(Refusal.NotInForce())),
     operate: () => Effect.succeed({ status: 200, body: "{}" }),
   };
   servers.push(await Effect.runPromise(servePeers(peers, { ...others, shards })));
@@ -105,7 +105,7 @@
   const release = releaseCodec.encode({ id: "m-1", term: 7, shard: SHARD, epoch: 3 });
   const [status, body] = await post(peers, shardPaths.release, release);
   assert.equal(status, 200);
-  assert.equal(parseRefusal(refusalCodec.decode(body), "m")?._tag, "NotInForce");
+  assert.equal(decodeRefusal(refusalCodec.decode(body), "m")?._tag, "NotInForce");
   for (const path of Object.values(shardPaths)) {
     for (const bad of ["", "x", Buffer.alloc(3, 0xff), release.subarray(0, 4)])
       assert.equal((await post(peers, path, bad))[0], 400, path);
--- a/test/state-client.test.ts
+++ b/test/state-client.test.ts
@@ -55,11 +55,11 @@
 });
 
 test("keys go with their lease", async () => {
-  const leaseId = await run(client.grant(Duration.seconds(60)));
+  const leaseId = await run(client.grantLease(Duration.seconds(60)));
   await run(client.commit([], [{ put: "held", value: 1, leaseId }]));
-  assert.equal(await run(client.extend(leaseId, Duration.seconds(1))), true);
-  await run(client.revoke(leaseId));
-  assert.equal(await run(client.extend(leaseId, Duration.seconds(1))), false);
+  assert.equal(await run(client.renewLease(leaseId, Duration.seconds(1))), true);
+  await run(client.revokeLease(leaseId));
+  assert.equal(await run(client.renewLease(leaseId, Duration.seconds(1))), false);
   assert.equal(await run(client.get("held")), null);
   assert.equal((await run(client.commit([], [{ put: "held", value: 1, leaseId }]))).ok, null);
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -20,13 +20,13 @@
 import { ownerOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
 import {
-  acceptedOf,
-  jobRecord,
+  acceptanceTimeOf,
+  encodeJobRecord,
   parseSubmission,
-  readJob,
-  releasedOf,
-  typesOf,
-  wireTypes,
+  decodeJobRecord,
+  releaseTimeOf,
+  toMachineTypes,
+  parseMachineTypes,
 } from "../src/io/codec.js";
 import { syncRequestCodec } from "../src/io/peer-codec.js";
 import { decodeTerm, encodeTerm } from "../src/io/record-codec.js";
@@ -65,20 +65,20 @@
 
 test("records of production are read as they were meant", () => {
   for (const { key, value, meaning } of recordsUnder<Json>(keys.jobs)) {
-    const spec = readJob(key.slice(keys.jobs.length), value);
+    const spec = decodeJobRecord(key.slice(keys.jobs.length), value);
     assert.ok(spec !== null, key);
     const read = Object.entries(spec).map(([name, x]) => [
       name,
       Duration.isDuration(x) ? Duration.toMillis(x) : x,
     ]);
     assert.deepEqual(Object.fromEntries(read), { ...meaning, dependsOn: [] });
-    assert.equal(present(acceptedOf(value)).getTime(), value["accepted_ms"]);
-    assert.equal(releasedOf(value), null);
+    assert.equal(present(acceptanceTimeOf(value)).getTime(), value["accepted_ms"]);
+    assert.equal(releaseTimeOf(value), null);
     // and are what this version would have written, field by field
     const { accepted_ms: accepted, ...submission } = value;
     const parsed = parseSubmission(JSON.stringify(submission));
     assert.ok(typeof parsed !== "string");
-    assert.deepEqual(jobRecord(parsed.wire, new Date(accepted as number)), value);
+    assert.deepEqual(encodeJobRecord(parsed.wire, new Date(accepted as number)), value);
   }
   for (const { key, value } of recordsUnder<CommitRecord>("commit/")) {
     assert.equal(keys.commit(key.slice("commit/".length)), key);
@@ -111,10 +111,10 @@
     assert.ok(value.members.some((member) => member.name === value.leader));
   }
   for (const { value } of recordsUnder<unknown[]>(keys.types)) {
-    const rows = wireTypes({ builds: value });
+    const rows = parseMachineTypes({ builds: value });
     assert.ok(rows !== null);
     assert.deepEqual(
-      typesOf(rows).map((type) => [
+      toMachineTypes(rows).map((type) => [
         type.name,
         type.cpus,
         type.memoryGb,
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -37,7 +37,13 @@
 
 test("requests to the cloud", () => {
   assert.deepEqual(
-    [codec.typesPath, codec.rentPath, codec.releasePath, codec.listPath(null), codec.listPath("n-1")],
+    [
+      codec.machineTypesPath,
+      codec.rentPath,
+      codec.releasePath,
+      codec.machineListPath(null),
+      codec.machineListPath("n-1"),
+    ],
     ["/flavors", "/rentals", "/rentals/release", "/rentals?most=500", "/rentals?most=500&from=n-1"],
   );
   assert.equal(
@@ -48,7 +54,7 @@
 });
 
 test("requests to the state service", () => {
-  const { state } = codec;
+  const { stateServiceApi: state } = codec;
   assert.equal(
     state.commitBody(
       [{ key: "a/b", revision: 0 }],
@@ -58,15 +64,20 @@
       '{"write":"a/c","value":null},{"delete":"c/d"}]}',
   );
   assert.equal(state.commitBody([], []), '{"when":[]}');
-  assert.equal(state.grantBody(Duration.seconds(5)), '{"ttl_ms":5000}');
+  assert.equal(state.leaseBody(Duration.seconds(5)), '{"ttl_ms":5000}');
   assert.deepEqual(
-    [state.get("a/b"), state.list("c/", null), state.list("c/", "c/7"), state.watch("c/", 431, 10_000)],
+    [
+      state.keyPath("a/b"),
+      state.listPath("c/", null),
+      state.listPath("c/", "c/7"),
+      state.watchPath("c/", 431, 10_000),
+    ],
     ["/store/a/b", "/store?under=c/&most=1000", "/store?under=c/&most=1000&from=c/7"].concat(
       "/watch?under=c/&from=431&wait_ms=10000",
     ),
   );
   assert.deepEqual(
-    [state.commit, state.grants, state.extend(7), state.grant(7)],
+    [state.commitPath, state.leasesPath, state.leaseRenewalPath(7), state.leasePath(7)],
     ["/commit", "/grants", "/grants/7/extend", "/grants/7"],
   );
 });
@@ -183,7 +194,7 @@
 
 test("submissions that are refused", async () => {
   assert.equal(await submit("req-1"), '503 {"error":"machine types are not known yet"} retry-after 1');
-  jobCache.setTypes(codec.wireTypes({ builds: [TYPE] }) ?? []);
+  jobCache.setTypes(codec.parseMachineTypes({ builds: [TYPE] }) ?? []);
   assert.equal(await ask("POST", "/v2/runs", "{"), '400 {"error":"not JSON"}');
   assert.equal(await ask("POST", "/v2/runs", "[]"), '400 {"error":"not an object"}');
   assert.equal(await submit("req-1", { chores: 0 }), '400 {"error":"chores must be >= 1"}');
