--- a/src/core/cluster/cluster-state.ts
+++ b/src/core/cluster/cluster-state.ts
@@ -68,7 +68,7 @@
   /** Nothing of it is started before this; null: at once. */
   retryAt: Instant | null;
   /** How often it was tried again after it had failed on several machines, and failed once more. */
-  failedRetries: number;
+  retryDelayCount: number;
   /** A commit was decided on and has not failed. */
   committing: boolean;
   /** Tasks that run or save right now. */
@@ -266,7 +266,7 @@
   failedOn: new Map(),
   refusedOn: new Map(),
   retryAt: null,
-  failedRetries: 0,
+  retryDelayCount: 0,
   committing: false,
   runningTasks: 0,
   rank: RANK[spec.priority],
--- a/src/core/commands/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -23,7 +23,7 @@
 const PROBE_INTERVAL = Duration.seconds(1);
 /** Behind a network partition there may be hundreds that can't answer: after a few questions each is asked less often. */
 const SLOW_PROBE_INTERVAL = Duration.seconds(4);
-const UNANSWERED_BEFORE_SLOW_PROBING = 4;
+const UNANSWERED_BATCHES_BEFORE_SLOW_PROBING = 4;
 /** Questions put in one step: after a failover all machines are asked, a few at a time, or a share of all. */
 const MIN_PROBE_LIMIT = 12;
 const PROBE_LIMIT_SHARE = 0.01;
@@ -114,9 +114,7 @@
 
   /** The member that passes on its heartbeats; right after its shard was handed over, the new owner. */
   private primaryRoute(machine: Machine): string | null {
-    return (
-      this.context.options.ownership?.commandRouteOverride(machine.id, machine.zone) ?? machine.relayedBy
-    );
+    return this.context.options.ownership?.routeOverride(machine.id, machine.zone) ?? machine.relayedBy;
   }
 
   /**
@@ -174,7 +172,7 @@
     if (!machine.recorded || machine.addr === null) return false;
     if (machine.commandsInFlight || machine.releaseRequestedAt !== null) return false;
     const isProbedOften =
-      machine.unansweredBatches < UNANSWERED_BEFORE_SLOW_PROBING || !this.isSilent(machine, now);
+      machine.unansweredBatches < UNANSWERED_BATCHES_BEFORE_SLOW_PROBING || !this.isSilent(machine, now);
     const interval = isProbedOften ? PROBE_INTERVAL : SLOW_PROBE_INTERVAL;
     return machine.probedAt === null || hasElapsed(now, machine.probedAt, interval);
   }
--- a/src/core/heartbeats/attempt-results.ts
+++ b/src/core/heartbeats/attempt-results.ts
@@ -103,8 +103,8 @@
 /** Tasks that fail during a pause were started before it: they are part of the same try. */
 const delayNextRetry = (job: Job, now: Instant): void => {
   if (job.retryAt !== null && now < job.retryAt) return;
-  const delay = Duration.times(FIRST_RETRY_DELAY, 2 ** Math.min(job.failedRetries, 10));
-  job.failedRetries++;
+  const delay = Duration.times(FIRST_RETRY_DELAY, 2 ** Math.min(job.retryDelayCount, 10));
+  job.retryDelayCount++;
   job.retryAt = plus(now, Duration.min(delay, MAX_RETRY_DELAY));
 };
 
--- a/src/core/leases/lease-expiry.ts
+++ b/src/core/leases/lease-expiry.ts
@@ -59,8 +59,8 @@
   }
 
   /** Takes in a member's evidence, unless it is of another term or of another process than the term names. */
-  renewalsReported(report: LeaseRenewalReport, now: Instant): void {
-    const { member, incarnation, termNumber, completeUpTo, renewals: renewals } = report;
+  addReport(report: LeaseRenewalReport, now: Instant): void {
+    const { member, incarnation, termNumber, completeUpTo, renewals } = report;
     const evidence = this.evidenceByMember.get(member);
     if (termNumber !== this.context.term.number || evidence?.incarnation !== incarnation) return;
     evidence.lastUpdateAt = now;
@@ -117,7 +117,7 @@
   /** The last moment at which anybody can have answered its worker, also under an earlier term. */
   private latestRenewalOf(machine: Machine): Instant {
     let latest = plus(this.context.termBegan, this.context.options.timings.fencingWindow);
-    for (const { lastRenewalByMachine: lastRenewalByMachine } of this.evidenceByMember.values()) {
+    for (const { lastRenewalByMachine } of this.evidenceByMember.values()) {
       const at = lastRenewalByMachine.get(machine.id);
       if (at !== undefined && at > latest) latest = at;
     }
--- a/src/core/scheduler/scheduler-context.ts
+++ b/src/core/scheduler/scheduler-context.ts
@@ -30,7 +30,7 @@
   /** No commands may be sent to the machine: its shard is being handed over. */
   isPaused(machine: string, zone: string): boolean;
   /** The member that commands go by, where that isn't the one which passes on the machine's heartbeats; null: it is. */
-  commandRouteOverride(machine: string, zone: string): string | null;
+  routeOverride(machine: string, zone: string): string | null;
 }
 
 /** Shared by the parts of one `Scheduler`, which alone replaces the term. */
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -164,9 +164,9 @@
   }
 
   /** The cloud's answer to a release; `removeReleased`: it was carried out (S3). */
-  releaseAnswered(ids: readonly string[], released: boolean, now: Instant): void {
+  releaseAnswered(ids: readonly string[], wasReleased: boolean, now: Instant): void {
     for (const id of ids) {
-      if (!released) this.machineIntake.releaseFailed(id, now);
+      if (!wasReleased) this.machineIntake.releaseFailed(id, now);
       else if (this.machineIntake.removeReleased(id)) this.leaseExpiry.forgetMachine(id);
     }
   }
@@ -185,7 +185,7 @@
 
   /** A member's evidence for the expiry of leases: which workers it answered (S3). */
   leaseRenewalsReported(report: LeaseRenewalReport, now: Instant): void {
-    this.leaseExpiry.renewalsReported(report, now);
+    this.leaseExpiry.addReport(report, now);
     for (const { machine: id, at } of report.renewals) {
       const machine = this.cluster.machines.get(id);
       if (machine === undefined) continue;
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -119,7 +119,7 @@
   /** What the leader's core asks. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.leader.isPaused(machine, zone),
-    commandRouteOverride: (machine, zone) => this.view.newOwnerOf(machine, zone),
+    routeOverride: (machine, zone) => this.view.newOwnerOf(machine, zone),
   };
 
   /** What other controllers ask. */
--- a/test/cluster-fixture.ts
+++ b/test/cluster-fixture.ts
@@ -36,7 +36,7 @@
         teams: new Map(TEAMS.map((team) => [team.name, team])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
         startLatencyObjectives: new Map(),
-        ownership: { isPaused: (machine) => this.paused.has(machine), commandRouteOverride: () => null },
+        ownership: { isPaused: (machine) => this.paused.has(machine), routeOverride: () => null },
       },
       term,
       10,
--- a/test/model/shards.ts
+++ b/test/model/shards.ts
@@ -59,7 +59,7 @@
   /** What a leader's core is told. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.handoff?.shard === shardOf(machine, zone),
-    commandRouteOverride: () => null,
+    routeOverride: () => null,
   };
 
   private machinesOf(scheduler: Scheduler, shard: ShardId): Machine[] {
