--- a/src/core/cluster/capacity-index.ts
+++ b/src/core/cluster/capacity-index.ts
@@ -1,19 +1,18 @@
 /**
- * Items by how many whole processors are free on them, so that a search meets only those where a task may fit. It knows
- * nothing of what it indexes; the cluster indexes its machines here.
+ * An index of items by their number of free whole processors, so that a search visits only those where a task may
+ * fit. It is generic; the cluster uses it for machines.
  */
 import { CAPACITY_EPSILON } from "../placement/quota.js";
 
-/** The bucket of a number of free processors. */
 const bucketOf = (cpus: number): number => Math.floor(cpus + CAPACITY_EPSILON);
 
-/** Items with free processors, in buckets of one processor. Within a bucket the one that came first is met first. */
+/** Items with free processors, in buckets of one processor each; within a bucket in insertion order. */
 export class CapacityIndex<Item> {
-  /** The items by whole free processors. */
+  /** The items, by free processors rounded down. */
   readonly buckets: Set<Item>[] = [];
   private readonly bucketByItem = new Map<Item, number>();
 
-  /** Notes that `cpus` processors are free on an item; nothing: it leaves the index. */
+  /** Sets an item's number of free processors; with none free, the item leaves the index. */
   set(item: Item, cpus: number): void {
     const bucket = cpus <= CAPACITY_EPSILON ? -1 : bucketOf(cpus);
     const previous = this.bucketByItem.get(item) ?? -1;
@@ -33,16 +32,16 @@
     return this.bucketByItem.has(item);
   }
 
-  /** Those with at least so many processors free, give or take one. */
+  /** The items with at least `cpus` free processors, and some with a fraction of a processor less. */
   *atLeast(cpus: number): Iterable<Item> {
-    // buckets that are added during the walk are met as well
+    // buckets that are added during the iteration are visited too
     for (let bucket = bucketOf(cpus); bucket < this.buckets.length; bucket++) {
       const items = this.buckets[bucket];
       if (items !== undefined) yield* items;
     }
   }
 
-  /** Adds empty buckets up to `bucket`, and returns that one. */
+  /** Adds empty buckets up to and including `bucket`, and returns the last one. */
   private growTo(bucket: number): Set<Item> {
     let last = new Set<Item>();
     while (this.buckets.length <= bucket) {
--- a/src/core/cluster/cluster-attempts.ts
+++ b/src/core/cluster/cluster-attempts.ts
@@ -1,7 +1,7 @@
 /**
- * Adds, changes and removes attempts, and keeps consistent what follows from them: the capacity in use on machines and by
- * teams, the counts by class and rank, and which tasks are pending. A task is pending only while it has no attempt that
- * runs or can still start (S4).
+ * Adds, changes and removes attempts, and updates everything derived from them: the capacity in use by machine and by
+ * team, the counts by class and rank, and the pending tasks. A task is pending only while it has no attempt that runs
+ * or can still start (S4).
  */
 import { indexMachine, machineOf, removePending, scheduleReconciliation } from "./cluster-indices.js";
 import {
@@ -17,7 +17,7 @@
 
 type Sign = 1 | -1;
 
-/** Counts up or down; an entry of nothing is deleted. */
+/** Adds `sign` to a count; an entry that reaches zero is deleted. */
 const adjustCount = <K>(counts: Map<K, number>, key: K, sign: Sign): void => {
   const total = (counts.get(key) ?? 0) + sign;
   if (total <= 0) counts.delete(key);
@@ -31,7 +31,7 @@
   cluster.usageByTeam.set(spec.team, usage);
 };
 
-/** Counts the capacity that an attempt begins or ceases to use. */
+/** Adds or subtracts the capacity that an attempt occupies. */
 const adjustCapacity = (cluster: Cluster, machine: Machine, attempt: TaskAttempt, sign: Sign): void => {
   const { spec } = attempt;
   if (spec === null) {
@@ -62,6 +62,7 @@
   else cluster.unacknowledgedStarts.delete(attempt);
 };
 
+/** Indexes an attempt whose job record is unknown. */
 const addOrphan = (cluster: Cluster, attempt: TaskAttempt): void => {
   const orphans = cluster.orphanedAttempts.get(attempt.job);
   if (orphans === undefined) cluster.orphanedAttempts.set(attempt.job, new Set([attempt]));
@@ -74,7 +75,7 @@
   if (orphans?.size === 0) cluster.orphanedAttempts.delete(attempt.job);
 };
 
-/** A task is pending again once it has no attempt that may run, and isn't done (S4, S7). */
+/** Makes a task pending again if it isn't done and has no attempt that may run (S4, S7). */
 const restorePending = (cluster: Cluster, job: Job, index: number): void => {
   if (job.done.has(index)) return;
   const attempts = job.attempts.get(index);
@@ -100,7 +101,7 @@
   restorePending(cluster, job, attempt.index);
 };
 
-/** Adds an attempt on a machine of the cluster; the task is no longer pending. */
+/** Adds an attempt; its task is no longer pending if the attempt may run or is done. */
 export const addAttempt = (cluster: Cluster, attempt: TaskAttempt): void => {
   const machine = machineOf(cluster, attempt);
   machine.attempts.set(attemptKey(attempt.job, attempt.index, attempt.attempt), attempt);
@@ -114,7 +115,7 @@
   if (job !== undefined) addToJob(cluster, job, attempt);
 };
 
-/** Changes an attempt, keeping the capacity in use and the job's pending tasks consistent. */
+/** Changes an attempt, and updates the capacity in use and the job's pending tasks accordingly. */
 export const updateAttempt = (cluster: Cluster, attempt: TaskAttempt, change: Partial<TaskAttempt>): void => {
   const machine = machineOf(cluster, attempt);
   const wasOccupying = occupiesCapacity(attempt);
@@ -131,7 +132,7 @@
   else removePending(cluster, job, attempt.index);
 };
 
-/** Removes an attempt; callers have made certain that the attempt neither runs nor can still start (S4). */
+/** Removes an attempt. The caller must be certain that it neither runs nor can still start (S4). */
 export const removeAttempt = (cluster: Cluster, attempt: TaskAttempt): void => {
   const machine = machineOf(cluster, attempt);
   machine.attempts.delete(attemptKey(attempt.job, attempt.index, attempt.attempt));
--- a/src/core/cluster/cluster-indices.ts
+++ b/src/core/cluster/cluster-indices.ts
@@ -1,16 +1,16 @@
-/** Keeps the indices of `Cluster` that follow from the fields of one machine or one job. Internal to `cluster-*`. */
+/** Maintains the indices of `Cluster` that depend on a single machine or job. Internal to the `cluster-*` modules. */
 import * as Data from "effect/Data";
 import type { Cluster, TaskAttempt, Job, Machine } from "./cluster-state.js";
 import { CAPACITY_EPSILON } from "../placement/quota.js";
 
-/** An attempt is on a machine that the cluster doesn't have: a fault of this program, which no caller can make good. */
+/** An attempt refers to a machine that the cluster doesn't have. This is a bug, which callers can't recover from. */
 export class AttemptWithoutMachine extends Data.TaggedError("AttemptWithoutMachine")<{
   readonly job: string;
   readonly machine: string;
   readonly message: string;
 }> {}
 
-/** The machine that an attempt is on. A machine is dropped only after its attempts, so there always is one. */
+/** The machine that an attempt is on. It always exists, since a machine is removed only after its attempts. */
 export const machineOf = (cluster: Cluster, attempt: TaskAttempt): Machine => {
   const machine = cluster.machines.get(attempt.machine);
   if (machine !== undefined) return machine;
@@ -26,7 +26,7 @@
   else index.delete(machine);
 };
 
-/** Puts a machine into the indices that follow from its own fields. */
+/** Updates the indices that depend on the machine's own fields. */
 export const indexMachine = (cluster: Cluster, machine: Machine): void => {
   updateIndex(cluster.unconfirmed, machine, machine.recorded && !machine.confirmed);
   updateIndex(cluster.unrecorded, machine, !machine.recorded && machine.lastHeartbeatAt !== null);
@@ -34,13 +34,13 @@
   cluster.capacityIndex.set(machine, hasMemory ? machine.cpus - machine.used.cpus : 0);
 };
 
-/** A task is no longer to be started. */
+/** Removes a task from the job's pending ones. */
 export const removePending = (cluster: Cluster, job: Job, index: number): void => {
   job.pending.delete(index);
   if (job.pending.size === 0) cluster.pendingJobs.delete(job);
 };
 
-/** Something about a task's attempts has changed: the reconciler looks at their machines. */
+/** Queues the machines of all attempts of a task for reconciliation. */
 export const scheduleReconciliation = (cluster: Cluster, job: Job, index: number): void => {
   const attempts = job.attempts.get(index);
   if (attempts === undefined) return;
--- a/src/core/cluster/cluster-jobs.ts
+++ b/src/core/cluster/cluster-jobs.ts
@@ -1,11 +1,11 @@
-/** Adds and drops jobs, and marks their tasks as finished, with the indices that follow from them. */
+/** Adds and removes jobs, marks their tasks as finished, and maintains the indices that depend on them. */
 import { addAttempt, removeAttempt } from "./cluster-attempts.js";
 import { machineOf, removePending, scheduleReconciliation } from "./cluster-indices.js";
 import { type Cluster, type Job, newJob } from "./cluster-state.js";
 import type { JobSpec } from "../records.js";
 import type { Instant } from "../time.js";
 
-/** Adds a released job, and gives it the attempts that machines reported before its record was read. */
+/** Adds a released job, and assigns it the attempts that machines reported before its record was read. */
 export const addJob = (
   cluster: Cluster,
   spec: JobSpec,
@@ -24,7 +24,7 @@
   return job;
 };
 
-/** Drops a job that is over. Its attempts stay until the reconciler has stopped them. */
+/** Removes a job that has ended. Its attempts stay until the reconciler has stopped them. */
 export const removeJob = (cluster: Cluster, job: Job): void => {
   cluster.jobs.delete(job.spec.id);
   cluster.pendingJobs.delete(job);
@@ -34,7 +34,7 @@
     for (const attempt of attempts) cluster.reconcileQueue.add(machineOf(cluster, attempt));
 };
 
-/** The tasks from `from` up to `to` are finished, for ever (S7): none of them is started again. */
+/** Marks the tasks from `from` up to, but without, `to` as finished: none of them is ever started again (S7). */
 export const markFinished = (cluster: Cluster, job: Job, from: number, to: number): void => {
   if (to === from + 1 && job.done.has(from)) return;
   job.done.add(from, to);
--- a/src/core/cluster/cluster-machines.ts
+++ b/src/core/cluster/cluster-machines.ts
@@ -1,24 +1,24 @@
-/** Adds, changes and drops machines, with the indices that follow from them. */
+/** Adds, changes and removes machines, and maintains the indices that depend on them. */
 import { removeAttempt } from "./cluster-attempts.js";
 import { indexMachine } from "./cluster-indices.js";
 import type { Cluster, Machine } from "./cluster-state.js";
 import type { Instant } from "../time.js";
 
-/** The index of heartbeats is kept here, so this module alone writes the field on which it rests. */
+/** Lets this module, which maintains `byLastHeartbeat`, write the read-only field that it is ordered by. */
 type Writable<T> = { -readonly [K in keyof T]: T[K] };
 
-/** The fields of a machine on which indices rest: they are changed by `setMachine` alone. */
+/** The fields of a machine that indices depend on. Only `setMachine` changes them. */
 export type MachineChange = Partial<
   Pick<Machine, "recorded" | "confirmed" | "cpus" | "gpus" | "memoryGb" | "cacheGb">
 >;
 
-/** Adds a machine that the cluster doesn't have. */
+/** Adds a machine that isn't in the cluster yet. */
 export const addMachine = (cluster: Cluster, machine: Machine): void => {
   cluster.machines.set(machine.id, machine);
   indexMachine(cluster, machine);
 };
 
-/** Changes fields on which indices rest. */
+/** Changes fields that indices depend on, and updates the indices. */
 export const setMachine = (cluster: Cluster, machine: Machine, change: MachineChange): void => {
   Object.assign(machine, change);
   indexMachine(cluster, machine);
@@ -26,7 +26,7 @@
   cluster.capacityVersion++;
 };
 
-/** A newer message of its worker came at `heardAt`; moves it to the end of `byLastHeartbeat`. */
+/** Records that a heartbeat of a machine arrived at `heardAt`, and moves it to the end of `byLastHeartbeat`. */
 export const recordHeartbeat = (cluster: Cluster, machine: Machine, heardAt: Instant): void => {
   if (machine.lastHeartbeatAt !== null && heardAt <= machine.lastHeartbeatAt) return;
   const isFirst = machine.lastHeartbeatAt === null;
@@ -40,7 +40,7 @@
   cluster.capacityVersion++;
 };
 
-/** Counts a command batch without an answer, or resets the count once one is answered. */
+/** Counts an unanswered command batch, or resets the count after an answered one. */
 export const recordCommandAnswer = (
   cluster: Cluster,
   machine: Machine,
@@ -59,7 +59,7 @@
   cluster.unreachable.delete(machine);
 };
 
-/** Drops a machine that is gone for certain (S3), with all its attempts. */
+/** Removes a machine that certainly no longer exists (S3), with all its attempts. */
 export const removeMachine = (cluster: Cluster, machine: Machine): void => {
   for (const attempt of [...machine.attempts.values()]) removeAttempt(cluster, attempt);
   cluster.machines.delete(machine.id);
--- a/src/core/cluster/cluster-state.ts
+++ b/src/core/cluster/cluster-state.ts
@@ -1,7 +1,7 @@
 /**
- * What the leader knows: jobs, machines, and the placements that tie tasks to machines. Types, constructors and plain
- * predicates only. What changes several of these fields together is in the other `cluster-*` modules, which keep the
- * indices of `Cluster` consistent.
+ * The leader's model of the cluster: jobs, machines, and the attempts that place tasks on machines. This module has
+ * only types, constructors and predicates; changes that affect indices are in the other `cluster-*` modules, which
+ * keep the indices of `Cluster` consistent.
  */
 import { CapacityIndex } from "./capacity-index.js";
 import type { Usage } from "../placement/quota.js";
@@ -9,77 +9,84 @@
 import { type JobSpec, type MachineRecord, RANK, type TaskState, type ExitReason } from "../records.js";
 import { type Instant, plus } from "../time.js";
 
-/** Identifies one message of a worker: messages of one epoch are numbered, and a newer epoch is newer than all earlier ones. */
+/** Identifies one heartbeat of a worker. They are ordered by the worker's epoch, then by sequence number. */
 export interface HeartbeatId {
   readonly workerEpoch: number;
   readonly sequence: number;
 }
 
 /**
- * One attempt of a task that is, or may be, on a machine. While an attempt exists the task is started nowhere else (S4):
- * it is removed only once it is certain that the attempt neither runs nor can still start.
+ * One attempt of a task that is, or may be, on a machine. While it exists the task is started nowhere else (S4): it
+ * is removed only once it is certain that it neither runs nor can still start.
  */
 export interface TaskAttempt {
+  /** The job's ID. */
   readonly job: string;
+  /** The task's number within the job. */
   readonly index: number;
+  /** The attempt's own number, which is never reused; a later attempt of the same task has a higher one. */
   readonly attempt: number;
+  /** The machine's ID. */
   readonly machine: string;
-  /** The job's spec; null while the job record is not known. */
+  /** The job's spec; null while the job's record is unknown. */
   readonly spec: JobSpec | null;
-  /** As last reported by the worker; `dispatched`: the start command was decided on and has not shown in a heartbeat. */
+  /** As last reported by the worker; `dispatched`: a start was decided on, and no heartbeat has shown it yet. */
   state: TaskState | "dispatched";
-  /** Why the attempt ended; null until it exited. */
+  /** Why the attempt exited; null until it has. */
   exitReason: ExitReason | null;
-  /** When it entered its present state. */
+  /** When it entered its current state. */
   stateSince: Instant;
-  /** When it began to run; null if heartbeats came too seldom to tell. */
+  /** When it began to run; null if it hasn't, or if heartbeats were too far apart to tell. */
   runningSince: Instant | null;
-  /** Token under which a start command got no answer: it may still be executed until the worker saw a higher token. */
+  /** The token of an unanswered start command, which may be executed until the worker has seen a higher token. */
   unacknowledgedToken: number | null;
-  /** The heartbeat with which the worker answered the start; it may arrive later, and newer ones are conclusive. */
+  /**
+   * The heartbeat with which the worker answered the start; null if no such heartbeat is awaited. It may be received
+   * after the answer itself; it or any newer one shows whether the attempt exists.
+   */
   acknowledgedBy: HeartbeatId | null;
-  /** A stop command was decided on. */
+  /** Whether a stop command was decided on. */
   stopping: boolean;
-  /** Its finish is in the state service, so the worker may forget the task (S7). */
+  /** Whether its finish is stored in the state service, so that the worker may forget the task (S7). */
   stored: boolean;
 }
 
-/** An unfinished released job, with the state of its tasks. */
+/** A released, unfinished job, with the state of its tasks. */
 export interface Job {
   readonly spec: JobSpec;
-  /** When it was accepted: its deadline counts from there. */
+  /** When it was accepted. Its deadline counts from here. */
   readonly acceptedAt: Instant;
-  /** When it could first start, all its dependencies being done: its age in the queue counts from there. */
+  /** When its dependencies were done, so that it could start. Its age in the queue counts from here. */
   readonly releasedAt: Instant;
-  /** Revision of the job record. A job younger than the leader's own key was never in an earlier leader's hands (S5). */
+  /** Revision of the job record. If it is higher than the leader key's, no earlier leader started its tasks (S5). */
   readonly revision: number;
-  /** Tasks that are finished: stored as ranges, or reported as done by a worker. Never shrinks (S7). */
+  /** Finished tasks: stored as such, or reported as done by a worker. Never shrinks (S7). */
   readonly done: RangeSet;
-  /** Those of them that are stored: only they may be forgotten by workers. */
+  /** The finished tasks that are stored. Workers may forget only these. */
   readonly stored: RangeSet;
-  /** Tasks to be started: not done, and without an attempt. Changed only by the `cluster-*` modules. */
+  /** Tasks to be started: not done, and without an attempt that may run. Changed only by the `cluster-*` modules. */
   readonly pending: RangeSet;
-  /** Every attempt of the job, by task number. */
+  /** All attempts of the job, by task number. */
   readonly attempts: Map<number, TaskAttempt[]>;
-  /** Machines on which its tasks failed, and when last. */
+  /** Machines on which its tasks failed, and when each last did so. */
   readonly failedOn: Map<string, Instant>;
-  /** Machines that turned its tasks down for lack of capacity, and when last. */
+  /** Machines that refused its tasks for lack of capacity, and when each last did so. */
   readonly refusedOn: Map<string, Instant>;
-  /** Nothing of it is started before this; null: at once. */
+  /** No task is started before this instant; null: there is no delay. */
   retryAt: Instant | null;
-  /** How often it was tried again after it had failed on several machines, and failed once more. */
+  /** How many retry delays it has had since it was first suspected to be faulty itself. */
   retryDelayCount: number;
-  /** A commit was decided on and has not failed. */
+  /** Whether a commit was decided on and has not failed. */
   committing: boolean;
-  /** Tasks that run or save right now. */
+  /** Number of attempts that are running or saving. */
   runningTasks: number;
-  /** The highest rank of the job itself and of the unfinished jobs that need it. */
+  /** The highest rank among the job and the unfinished jobs that depend on it. */
   rank: number;
-  /** When it has to be done: for its own deadline, or for the jobs that need it. */
+  /** When it has to be done, for its own deadline or for those of jobs that depend on it; null: no deadline. */
   deadlineAt: Instant | null;
 }
 
-/** A machine: what it is, what its worker last reported, and what is decided about it. */
+/** A machine: its properties, its worker's latest report, and the decisions about it. */
 export interface Machine {
   readonly id: string;
   type: string;
@@ -90,105 +97,106 @@
   gpus: number;
   memoryGb: number;
   cacheGb: number;
-  /** Epoch and number of the worker's latest heartbeat; 0: none yet. */
+  /** Epoch and sequence number of the worker's latest heartbeat; 0: none received yet. */
   workerEpoch: number;
   sequence: number;
-  /** The highest token that its worker was seen to know. */
+  /** The highest fencing token that its worker has reported. */
   fencingToken: number;
-  /** How often its own token was raised within this term, to settle unanswered starts (S2). */
+  /** How often the machine's own token was raised within this term, to invalidate earlier commands (S2). */
   fencingTokenStep: number;
-  /** The member that last passed on a heartbeat. */
+  /** The member that relayed its latest heartbeat. */
   relayedBy: string | null;
-  /** When the cloud takes it back; null: no notice was given. */
+  /** When the cloud reclaims it; null: no notice was given. */
   reclaimAt: Instant | null;
-  /** Stored in the state service: only then may something be started on it (S5). */
+  /** Whether its record is stored in the state service. Tasks may be started only on recorded machines (S5). */
   readonly recorded: boolean;
-  /** A write of its record was decided on and has not failed. */
+  /** Whether a write of its record was decided on and is in progress. */
   recording: boolean;
-  /** Reported under this term's token, or known to have no attempts: `attempts` is complete (S2). */
+  /** Whether `attempts` is complete: its worker reported under this term's token, or nothing can run on it (S2). */
   readonly confirmed: boolean;
-  /** When a newer message of its worker came last; null: none since this leader began. */
+  /** When a newer heartbeat of its worker last arrived; null: none since this leader began. */
   readonly lastHeartbeatAt: Instant | null;
-  /** When a member last answered a heartbeat, which alone renews the worker's lease; null: not since this leader began. */
+  /** When a member last answered a heartbeat, which renews the worker's lease; null: not since this leader began. */
   leaseRenewedAt: Instant | null;
-  /** When this leader first knew of it. */
+  /** When it was created, as far as this leader knows. */
   createdAt: Instant;
-  /** The cloud lists it as failed. */
+  /** Whether the cloud lists it as failed. */
   failed: boolean;
   /** When its release was last requested; null: not requested. */
   releaseRequestedAt: Instant | null;
-  /** Since when it has had no attempts. */
+  /** Since when it has had no attempts; null: it has some, or it hasn't sent a heartbeat yet. */
   idleSince: Instant | null;
-  /** Tasks that failed here since one last completed, by job. */
+  /** Tasks that failed here since one last completed here, by job. */
   readonly failuresByJob: Map<string, number>;
-  /** Since when it gets no new work because of failures or slowness; null: it does. */
+  /** Since when it gets no new work because of failures or slowness; null: it isn't cordoned. */
   cordonedAt: Instant | null;
-  /** Cordoned for its speed, not for failures: tasks that complete on it are no reason to use it again. */
+  /** Whether it is cordoned for slowness. Unlike after failures, a completed task then doesn't uncordon it. */
   cordonedAsSlow: boolean;
-  /** Its replicas are being moved to other machines, so that it can be returned. */
+  /** Whether its replicas are being moved to other machines, so that it can be returned to the cloud. */
   draining: boolean;
-  /** A batch of commands is unanswered: nothing more is sent until it is answered. */
+  /** Whether a batch of commands is in flight. Nothing more is sent until its outcome is known. */
   commandsInFlight: boolean;
-  /** When it was last sent a batch without commands, whose answer is a heartbeat. */
+  /** When it was last probed: sent a batch without commands, which the worker answers with a heartbeat. */
   probedAt: Instant | null;
-  /** Consecutive command batches without an answer. Heartbeats that arrive by themselves don't reset it. */
+  /** Consecutive command batches without an answer. Heartbeats that the worker sends on its own don't reset it. */
   unansweredBatches: number;
-  /** Since when command batches have gone unanswered; null: the last one was answered. */
+  /** Since when command batches have been unanswered; null: the last one was answered. */
   unreachableSince: Instant | null;
-  /** Capacity in use by its attempts. */
+  /** Capacity in use by its attempts whose size is known. */
   readonly used: { cpus: number; gpus: number; memoryGb: number };
+  /** Attempts that are, or may be, on it, by `attemptKey`. */
   readonly attempts: Map<string, TaskAttempt>;
   /** How many tasks of each class are, or may be, on it. */
   readonly attemptsByClass: Map<string, number>;
-  /** Images in its cache and their sizes, the least recently used first. */
+  /** Images presumed to be in its cache and their sizes in GB, the least recently used first. */
   readonly images: Map<string, number>;
 }
 
-/** The leader's whole state, with indices so that a step looks only at what changed or what waits. */
+/** The leader's whole model of the cluster, with indices so that a step visits only what changed or waits. */
 export interface Cluster {
   readonly jobs: Map<string, Job>;
   readonly machines: Map<string, Machine>;
   /** Capacity in use by each team's attempts (S6). */
   readonly usageByTeam: Map<string, Usage>;
-  /** Jobs with tasks to be started. */
+  /** Jobs with pending tasks. */
   readonly pendingJobs: Set<Job>;
-  /** Jobs that are finished and have no commit yet. */
+  /** Jobs whose tasks are all finished, and for which no commit was decided on yet. */
   readonly awaitingCommit: Set<Job>;
-  /** Machines with free memory, by their free processors. */
+  /** Machines with free memory, by free processors. */
   readonly capacityIndex: CapacityIndex<Machine>;
-  /** Machines that the reconciler has to look at: tasks to stop or to forget, notices, drains. */
+  /** Machines that the reconciler has to visit: for tasks to stop or forget, reclaim notices, or draining. */
   readonly reconcileQueue: Set<Machine>;
-  /** Recorded machines that may run tasks this leader doesn't know of (S5). */
+  /** Recorded machines that may run tasks unknown to this leader (S5). */
   readonly unconfirmed: Set<Machine>;
-  /** Machines that sent a heartbeat and have no record yet. */
+  /** Machines that sent a heartbeat but have no record yet. */
   readonly unrecorded: Set<Machine>;
-  /** Machines that sent this leader a heartbeat, the longest silent first. */
+  /** Machines from which this leader received a heartbeat, the longest silent first. */
   readonly byLastHeartbeat: Set<Machine>;
-  /** Machines whose last command batch went unanswered. */
+  /** Machines whose last command batch was not answered. */
   readonly unreachable: Set<Machine>;
-  /** Machines whose raised token has to be seen before their shard is handed over. */
+  /** Machines that have to report their raised token before their shard is handed over. */
   readonly awaitingFence: Set<Machine>;
-  /** Attempts whose start got no answer (S4). */
+  /** Attempts whose start command got no answer (S4). */
   readonly unacknowledgedStarts: Set<TaskAttempt>;
-  /** Attempts whose job record is not known, by job. */
+  /** Attempts whose job record is unknown, by job. */
   readonly orphanedAttempts: Map<string, Set<TaskAttempt>>;
-  /** How many such attempts each machine has; their size is not known (S6). */
+  /** How many orphaned attempts, whose size is unknown, each machine has (S6). */
   readonly orphanedAttemptCounts: Map<Machine, number>;
-  /** How many tasks of each class are, or may be, on machines. */
+  /** How many tasks of each class are, or may be, on any machine. */
   readonly attemptsByClass: Map<string, number>;
-  /** The same by the tasks' own rank. Inherited ranks are never lower: where this counts nothing low, nothing is. */
+  /** The same by the rank of the jobs' own priority; the rank that a job inherits is never lower than that. */
   readonly attemptsByRank: number[];
-  /** The latest starts, oldest first: what was started last costs the least to stop. */
+  /** The latest starts, oldest first. Preemption prefers recently started tasks, which lose the least work. */
   readonly recentStarts: TaskAttempt[];
-  /** Grows whenever a waiting task might fit where it didn't before. */
+  /** Incremented whenever a waiting task might fit where it didn't before. */
   capacityVersion: number;
-  /** Grows whenever jobs come or go. */
+  /** Incremented whenever a job is added or removed. */
   jobSetVersion: number;
-  /** Called when a job's finished or running tasks change. */
+  /** Called when a job's finished or running tasks have changed. */
   onProgress: (job: Job) => void;
 }
 
-/** A cluster without jobs and machines. */
+/** An empty cluster. */
 export const newCluster = (): Cluster => ({
   jobs: new Map(),
   machines: new Map(),
@@ -213,7 +221,7 @@
   onProgress: () => undefined,
 });
 
-/** A machine of which only the record is known. Its size follows from its type (`SchedulerContext.applyType`). */
+/** A machine of which only the record is known. `SchedulerContext.applyType` sets its size. */
 export const newMachine = (id: string, record: MachineRecord, now: Instant): Machine => ({
   id,
   type: record.type,
@@ -253,7 +261,7 @@
   images: new Map(),
 });
 
-/** A job of which every task is still to be started. */
+/** A job whose tasks are all pending. */
 export const newJob = (spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant): Job => ({
   spec,
   acceptedAt,
@@ -277,12 +285,12 @@
 export const attemptKey = (job: string, index: number, attempt: number): string =>
   `${job}/${index}#${attempt}`;
 
-/** Whether one message of a worker is `other` or newer. */
+/** Whether heartbeat `one` is the same as `other`, or newer. */
 export const isSameOrNewer = (one: HeartbeatId, other: HeartbeatId): boolean =>
   one.workerEpoch > other.workerEpoch ||
   (one.workerEpoch === other.workerEpoch && one.sequence >= other.sequence);
 
-/** Whether an attempt uses capacity of its machine, and of its team's limit (S6). */
+/** Whether an attempt counts against the capacity of its machine and the limit of its team (S6). */
 export const occupiesCapacity = (attempt: TaskAttempt): boolean =>
   attempt.state !== "exited" || attempt.unacknowledgedToken !== null;
 
@@ -290,6 +298,6 @@
 export const isActive = (attempt: TaskAttempt): boolean =>
   attempt.state === "running" || attempt.state === "saving";
 
-/** How important a task's job is; the task's own priority where the job is no longer known. */
+/** The rank of an attempt's job; the rank of its own priority if the job is no longer known. */
 export const rankOf = (cluster: Cluster, attempt: TaskAttempt & { readonly spec: JobSpec }): number =>
   cluster.jobs.get(attempt.job)?.rank ?? RANK[attempt.spec.priority];
--- a/src/core/cluster/cluster.ts
+++ b/src/core/cluster/cluster.ts
@@ -1,7 +1,7 @@
 /**
- * The leader's state and the functions that change it: the one place that the rest of the core imports them from. Its
- * indices are changed by these functions alone, so that a decision looks only at what changed or what waits; the tests
- * check each index against a full count.
+ * The leader's model of the cluster and the functions that change it; other modules import them from here. Only these
+ * functions change the indices, which let a decision visit only what changed or waits. The tests check each index
+ * against a full recount.
  */
 export { addAttempt, updateAttempt, removeAttempt } from "./cluster-attempts.js";
 export { machineOf, scheduleReconciliation } from "./cluster-indices.js";
--- a/src/core/commands/command-sender.ts
+++ b/src/core/commands/command-sender.ts
@@ -1,6 +1,7 @@
 /**
- * Sends what a step decided to the workers, one batch a machine at a time, and takes in what became of it. Whether a
- * start may still be executed is settled here (S2, S4); machines that are silent or unconfirmed are asked for a heartbeat.
+ * Decides which command batches are sent to workers, with at most one batch in flight per machine, and applies their
+ * outcomes. This includes working out whether an unanswered start may still be executed (S2, S4). Machines that are
+ * silent or unconfirmed are probed: sent a batch without commands, which the worker answers with a heartbeat.
  */
 import * as Duration from "effect/Duration";
 import {
@@ -19,42 +20,41 @@
 import { termNumberOf, fencingTokenOf } from "../leases/term.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** How long after a question without an answer the next one is put. */
+/** How long after a probe the machine is probed again. */
 const PROBE_INTERVAL = Duration.seconds(1);
-/** Behind a network partition there may be hundreds that can't answer: after a few questions each is asked less often. */
+/** The interval for silent machines after several unanswered batches: a partition may cut off hundreds of machines. */
 const SLOW_PROBE_INTERVAL = Duration.seconds(4);
 const UNANSWERED_BATCHES_BEFORE_SLOW_PROBING = 4;
-/** Questions put in one step: after a failover all machines are asked, a few at a time, or a share of all. */
+/** A step probes at most this many machines, or this share if that is more: after a failover all need probing. */
 const MIN_PROBE_LIMIT = 12;
 const PROBE_LIMIT_SHARE = 0.01;
-/** How long nothing is decided for a machine whose commands could not be sent. */
+/** How long no commands are decided for a machine after a node was barred from sending to it. */
 const BLOCK_DURATION = Duration.millis(500);
-/** Batches that are made up again without having been sent were sent under no token. */
+/** In place of the token of a batch that never left the scheduler. */
 const NO_TOKEN = 0;
 
-/** What became of a batch, and the heartbeat that the worker answered with. */
+/** The outcome of a batch, and the heartbeat with which the worker answered it. */
 export interface CommandBatchResult {
   readonly commands: readonly Command[];
-  /** The token under which it was sent; 0: it wasn't. */
+  /** The token under which it was sent; 0: it wasn't sent. */
   readonly fencingToken: number;
   readonly outcome: CommandOutcome;
   readonly answeredBy: HeartbeatId;
 }
 
-/** The route to the workers. Owns which machines are blocked because a batch could not be sent. */
+/** Sends command batches and probes. Owns the list of machines that are blocked because a batch could not be sent. */
 export class CommandSender {
-  /** Machines whose commands could not be sent, and until when nothing is decided for them. */
+  /** Machines whose commands could not be sent, and until when no commands are decided for them. */
   private readonly blockedUntil = new Map<Machine, Instant>();
-  /** How long after its last message a machine is asked for a heartbeat. */
+  /** A machine is probed if its latest heartbeat is at least this old. */
   private readonly probeAfter: Duration.Duration;
 
-  /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {
     const interval = Duration.times(context.options.timings.heartbeatInterval, 1.25);
     this.probeAfter = Duration.sum(interval, Duration.millis(500));
   }
 
-  /** Machines whose commands could not be sent for a while may be given some again. */
+  /** Lifts the blocks that have expired, so that commands may be decided for these machines again. */
   unblock(now: Instant): void {
     const { cluster } = this.context;
     for (const [machine, until] of this.blockedUntil) {
@@ -67,7 +67,10 @@
     }
   }
 
-  /** A higher token settles whether an unanswered start was executed: a late one is refused from then on (S2). */
+  /**
+   * Raises the tokens of machines with unanswered starts. Once a worker has reported the higher token it refuses a
+   * delayed start, so that its heartbeats show for certain whether the attempt exists (S2).
+   */
   settleUnacknowledgedStarts(): void {
     const { cluster, term } = this.context;
     for (const attempt of cluster.unacknowledgedStarts) {
@@ -80,7 +83,7 @@
     }
   }
 
-  /** Sends this step's commands, then questions to machines that should have been heard. */
+  /** Sends this step's commands, then probes machines that should have sent a heartbeat. */
   send(now: Instant, pendingCommands: PendingCommands, decisions: Decision[]): void {
     for (const id of pendingCommands.commands.keys()) {
       const machine = this.context.cluster.machines.get(id);
@@ -88,13 +91,13 @@
       if (machine === undefined || commands === null) continue;
       const isFree = !machine.commandsInFlight && !this.context.isPaused(machine);
       const sent = isFree && this.sendBatch(machine, commands, decisions);
-      // one batch at a time: what can't be sent now is decided on again
+      // commands that can't be sent now are withdrawn, and decided on again in a later step
       if (!sent) this.applyResult(id, barredResult(commands), now);
     }
     this.sendProbes(now, decisions);
   }
 
-  /** Whether the machine has an address to send to. */
+  /** Sends a batch, or a probe if it is empty. Returns false if the machine's address is unknown. */
   private sendBatch(machine: Machine, commands: Command[], decisions: Decision[]): boolean {
     if (machine.addr === null) return false;
     machine.commandsInFlight = true;
@@ -102,7 +105,7 @@
       kind: "commands",
       machine: machine.id,
       zone: machine.zone,
-      // what got no answer by one route is sent by the other
+      // after an odd number of unanswered batches the alternate route is used
       via: machine.unansweredBatches % 2 === 1 ? this.alternateRoute(machine) : this.primaryRoute(machine),
       addr: machine.addr,
       workerEpoch: Math.max(1, machine.workerEpoch),
@@ -112,14 +115,14 @@
     return true;
   }
 
-  /** The member that passes on its heartbeats; right after its shard was handed over, the new owner. */
+  /** The member that relays the machine's heartbeats or, right after its shard was handed over, the new owner. */
   private primaryRoute(machine: Machine): string | null {
     return this.context.options.ownership?.routeOverride(machine.id, machine.zone) ?? machine.relayedBy;
   }
 
   /**
-   * Beside the member that passes on a machine's heartbeats, this node itself; and where that is the same, another member:
-   * a leader that lost only its connections to workers would otherwise take them for dead.
+   * This node itself (null) if another member relays the machine's heartbeats, or else another member, preferably in
+   * the machine's zone: a leader that lost only its own connections to workers must not take them for dead.
    */
   private alternateRoute(machine: Machine): string | null {
     const { leader, members } = this.context.term;
@@ -138,8 +141,8 @@
   }
 
   /**
-   * Up to `probeLimit` machines to be asked now. Where more are wanted, those asked longest ago come first: with hundreds behind
-   * a partition the first ones, asked again and again, would keep the others from being asked at all.
+   * Up to `limit` machines to be probed now. If there are more, those probed longest ago come first: with hundreds of
+   * machines behind a partition, probing the first ones again and again would keep others from being probed at all.
    */
   private machinesToProbe(now: Instant, limit: number): Machine[] {
     const candidates = [...new Set(this.probeCandidates(now))].filter((machine) =>
@@ -150,11 +153,11 @@
     return candidates.sort((one, other) => lastProbedAt(one) - lastProbedAt(other)).slice(0, limit);
   }
 
-  /** Machines whose heartbeat is wanted; some come up more than once. */
+  /** Machines whose heartbeat is needed; some occur more than once. */
   private *probeCandidates(now: Instant): Iterable<Machine> {
     const { cluster } = this.context;
     for (const attempt of cluster.unacknowledgedStarts) yield machineOf(cluster, attempt);
-    // an earlier leader may have started something on these
+    // an earlier leader may have started tasks on these
     for (const machine of cluster.unconfirmed) yield machine;
     for (const machine of cluster.byLastHeartbeat) {
       if (!this.isSilent(machine, now)) break;
@@ -177,13 +180,13 @@
     return machine.probedAt === null || hasElapsed(now, machine.probedAt, interval);
   }
 
-  /** What became of a batch; also of one that was not sent. */
+  /** Applies the outcome of a batch, also of one that was not sent. */
   applyResult(id: string, result: CommandBatchResult, now: Instant): void {
     const { cluster } = this.context;
     const machine = cluster.machines.get(id);
     if (machine === undefined) return;
     const { outcome, fencingToken } = result;
-    // a node whose queue is full, or that may not send now, won't send a moment later
+    // a node that may not send now, or whose queue is full, won't be able to send a moment later
     if (outcome === "barred" && fencingToken !== NO_TOKEN)
       this.blockedUntil.set(machine, plus(now, BLOCK_DURATION));
     else if (termNumberOf(fencingToken) === this.context.term.number) machine.commandsInFlight = false;
@@ -200,25 +203,25 @@
     }
   }
 
-  /** A start that no heartbeat has shown yet: whether it may still be executed (S4). */
+  /** Applies the outcome of a start that no heartbeat has shown yet: it may or may not still be executed (S4). */
   private applyStartResult(
     machine: Machine,
     attempt: TaskAttempt,
     { outcome, fencingToken, answeredBy }: CommandBatchResult,
   ): void {
     const { cluster } = this.context;
-    // A heartbeat under a higher token came before this and didn't show the task: a late start is refused from then on. No
-    // later heartbeat would settle it, since workers report changes alone.
+    // An earlier heartbeat under a higher token didn't show the attempt, so a delayed start is refused. This has to
+    // be settled now: a later heartbeat may never arrive here, since members relay only those that show a change.
     const isLateStartRefused = machine.fencingToken > fencingToken;
     if (outcome === "unknown" && !isLateStartRefused)
       updateAttempt(cluster, attempt, { unacknowledgedToken: fencingToken });
-    // heartbeats come by several routes: the one that shows the task may arrive after this answer
+    // heartbeats arrive by several routes: the one that shows the attempt may arrive after this answer
     else if (outcome === "done" && !isSameOrNewer(machine, answeredBy)) attempt.acknowledgedBy = answeredBy;
     else removeAttempt(cluster, attempt);
   }
 }
 
-/** The outcome of commands that stayed here. */
+/** The result of commands that never left the scheduler. */
 const barredResult = (commands: readonly Command[]): CommandBatchResult => ({
   commands,
   fencingToken: NO_TOKEN,
--- a/src/core/heartbeats/attempt-results.ts
+++ b/src/core/heartbeats/attempt-results.ts
@@ -1,19 +1,20 @@
-/** What the reported states of attempts say about their machine and their job: cached images, failures, retries. */
+/** Draws conclusions from reported attempts about machines and jobs: cached images, failures, retries. */
 import * as Duration from "effect/Duration";
 import type { Cluster, TaskAttempt, Job, Machine } from "../cluster/cluster.js";
 import type { JobSpec } from "../records.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** A job that failed on so many machines, and completed nowhere, is probably at fault itself. */
+/** A job that failed on this many machines without completing a task anywhere is probably faulty itself. */
 const MIN_FAILED_MACHINES = 3;
-/** A machine with so many failures, of jobs that aren't suspect, is cordoned. */
+/** A machine with this many failures, of jobs that aren't suspected to be faulty, is cordoned. */
 const MIN_MACHINE_FAILURES = 2;
-/** The pause between tries of such a job: it doubles up to the longest. */
+/** Delays before retries of a job suspected to be faulty: doubled each time, from the first to the maximum. */
 const FIRST_RETRY_DELAY = Duration.seconds(8);
 const MAX_RETRY_DELAY = Duration.seconds(60);
+/** How long a job waits before it is retried after a worker reported one of its tasks as `unknown`. */
 const UNKNOWN_RETRY_DELAY = Duration.seconds(2);
 
-/** Tasks of a job that fails wherever it runs end at once: one that runs for longer shows that its job can run. */
+/** Tasks of a faulty job fail at once: one that has run for this long shows that the job works. */
 const PROVEN_RUN_TIME = Duration.seconds(10);
 
 const isUnproven = (attempt: TaskAttempt, now: Instant): boolean =>
@@ -21,7 +22,7 @@
   attempt.state === "fetching" ||
   !hasElapsed(now, attempt.stateSince, PROVEN_RUN_TIME);
 
-/** Whether some task of the job runs, and has run for a while. */
+/** Whether some task of the job has been running long enough to show that the job works. */
 const isProven = (job: Job, now: Instant): boolean => {
   if (job.runningTasks === 0) return false;
   for (const attempts of job.attempts.values())
@@ -30,24 +31,24 @@
 };
 
 /**
- * Whether a job failed on several machines, completed nowhere and runs nowhere: the fault is probably its own. It is
- * tried one task at a time, after growing pauses, and keeps no capacity from others.
+ * Whether a job has failed on several machines, completed no task and has none that has run for a while, so that the
+ * fault is probably its own. It is retried one task at a time, with growing delays, and reserves no capacity.
  */
 export const isSuspectedFaulty = (job: Job, now: Instant): boolean =>
   job.failedOn.size >= MIN_FAILED_MACHINES && job.done.size === 0 && !isProven(job, now);
 
-/** How many of a job's tasks are worth starting now, whatever capacity and limits allow. */
+/** How many of a job's tasks may be started now, regardless of capacity and limits. */
 export const startableTaskCount = (job: Job, now: Instant): number => {
   if (!isSuspectedFaulty(job, now)) return job.pending.size;
   const isBeingTried = [...job.attempts.values()].flat().some((attempt) => attempt.state !== "exited");
   return isBeingTried ? 0 : Math.min(job.pending.size, 1);
 };
 
-/** Whether a job waits for capacity: one that pauses between its tries, or is tried right now, does not. */
+/** Whether a job waits for capacity, rather than for its next retry or for the outcome of the current one. */
 export const isWaitingForCapacity = (job: Job, now: Instant): boolean =>
   (job.retryAt === null || now >= job.retryAt) && startableTaskCount(job, now) > 0;
 
-/** A task of this job ran here, so its image is in the machine's cache; the least recently used ones are evicted. */
+/** Records that a task's image is in the machine's cache, whose least recently used images are evicted. */
 export const recordCachedImage = (machine: Machine, spec: JobSpec | null): void => {
   if (spec === null) return;
   machine.images.delete(spec.image);
@@ -61,7 +62,7 @@
   }
 };
 
-/** Learns from an attempt that was just reported as running or as exited. */
+/** Records the consequences of an attempt that was just reported as running or exited. */
 export const recordAttemptResult = (
   cluster: Cluster,
   machine: Machine,
@@ -94,13 +95,13 @@
   machine.failuresByJob.set(id, (machine.failuresByJob.get(id) ?? 0) + 1);
   if (isSuspectedFaulty(job, now)) {
     delayNextRetry(job, now);
-    // the machines it failed on are used again
+    // the failures were the job's fault, so the machines that it failed on are used again
     uncordonMachines(cluster, job, now);
   }
   if (machine.cordonedAt === null && isFaulty(cluster, machine, now)) machine.cordonedAt = now;
 };
 
-/** Tasks that fail during a pause were started before it: they are part of the same try. */
+/** Tasks that fail during the delay were started before it, so they count towards the same retry. */
 const delayNextRetry = (job: Job, now: Instant): void => {
   if (job.retryAt !== null && now < job.retryAt) return;
   const delay = Duration.times(FIRST_RETRY_DELAY, 2 ** Math.min(job.retryDelayCount, 10));
@@ -116,7 +117,7 @@
   }
 };
 
-/** Several failures that aren't the fault of a job that fails wherever it runs. */
+/** Whether a machine has had several failures, not counting jobs that are suspected to be faulty themselves. */
 const isFaulty = (cluster: Cluster, machine: Machine, now: Instant): boolean => {
   let failures = 0;
   for (const [id, count] of machine.failuresByJob) {
--- a/src/core/heartbeats/heartbeat-handler.ts
+++ b/src/core/heartbeats/heartbeat-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Takes in workers' heartbeats: one that is newer than the last tells everything that is on the machine (S2), so it adds,
- * changes and removes the machine's attempts (S4).
+ * Applies workers' heartbeats to the cluster. A heartbeat lists everything that is on its machine (S2), so one that
+ * is newer than the last adds, changes and removes attempts accordingly (S4).
  */
 import * as Duration from "effect/Duration";
 import { recordCachedImage, recordAttemptResult } from "./attempt-results.js";
@@ -23,28 +23,27 @@
 import { termNumberOf } from "../leases/term.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** Heartbeats that come later than so many intervals after the last one say nothing about when tasks began and ended. */
+/** A heartbeat this many intervals after the previous one doesn't show when tasks began and ended. */
 const MAX_TIMELY_INTERVALS = 1.5;
 
-/** A heartbeat that is being taken in. */
+/** A heartbeat that is being applied. */
 interface ReceivedHeartbeat {
   readonly machine: Machine;
   readonly heartbeat: Heartbeat;
-  /** Whether it tells when tasks began and ended. */
+  /** Whether it shows when tasks began and ended. */
   readonly isTimely: boolean;
   readonly now: Instant;
 }
 
-/** Applies each newer heartbeat to the cluster; older ones and late copies change nothing. */
+/** Applies each newer heartbeat to the cluster; older ones and delayed duplicates change nothing. */
 export class HeartbeatHandler {
-  /** `machineIntake` takes in unknown machines; `slowMachineDetector` hears of the tasks that finish. */
   constructor(
     private readonly context: SchedulerContext,
     private readonly machineIntake: MachineIntake,
     private readonly slowMachineDetector: SlowMachineDetector,
   ) {}
 
-  /** `heardAt`: when a member took the heartbeat; `relayedBy`: which one. */
+  /** `relayedBy`: the member that received the heartbeat from the worker; `heardAt`: when it did so. */
   apply(heartbeat: Heartbeat, relayedBy: string, now: Instant, heardAt: Instant): void {
     const isCurrent = termNumberOf(heartbeat.fencingToken) >= this.context.term.number;
     const machine = this.findOrAddMachine(heartbeat, isCurrent, now);
@@ -68,7 +67,10 @@
     if (isCurrent && !machine.confirmed) this.confirm(machine);
   }
 
-  /** A late copy may speak of a machine long gone: an unknown one is believed once it knows the present token (S5). */
+  /**
+   * An unknown machine is added only if its worker has the current term's token: a delayed duplicate may be from a
+   * machine that no longer exists (S5).
+   */
   private findOrAddMachine(heartbeat: Heartbeat, isCurrent: boolean, now: Instant): Machine | null {
     const known = this.context.cluster.machines.get(heartbeat.machine);
     if (known !== undefined) return known;
@@ -77,7 +79,7 @@
     return this.machineIntake.addDiscovered(heartbeat.machine, { type, zone, spot, addr }, now);
   }
 
-  /** After a gap (an outage, a take-over) it isn't known when its tasks began and ended. */
+  /** After a gap (an outage or a failover) it isn't known when the machine's tasks began and ended. */
   private isTimely(machine: Machine, heardAt: Instant): boolean {
     const { heartbeatInterval } = this.context.options.timings;
     return (
@@ -115,7 +117,7 @@
     else this.updateReportedAttempt(received, task, attempt);
   }
 
-  /** An attempt that this leader didn't start, or that it removed. */
+  /** Adds an attempt that this leader didn't start, or that it has removed. */
   private addReportedAttempt({ machine, now }: ReceivedHeartbeat, task: TaskStatus): void {
     const { cluster } = this.context;
     const job = cluster.jobs.get(task.job);
@@ -137,7 +139,7 @@
     if (task.state === "running") recordCachedImage(machine, job?.spec ?? null);
   }
 
-  /** What the heartbeat says of an attempt that is known: its state, and whether its start is settled (S2). */
+  /** Updates a known attempt: its state, and whether its unanswered start is settled (S2). */
   private updateReportedAttempt(received: ReceivedHeartbeat, task: TaskStatus, attempt: TaskAttempt): void {
     const { machine, heartbeat, isTimely, now } = received;
     const { cluster } = this.context;
@@ -165,7 +167,7 @@
     if (state === "running" || hasExited) recordAttemptResult(cluster, machine, attempt, now);
   }
 
-  /** Attempts that the heartbeat doesn't show are gone, unless their start may still be executed (S4). */
+  /** Removes attempts that the heartbeat doesn't list, unless their start may still be executed (S4). */
   private removeMissingAttempts(
     machine: Machine,
     reportedKeys: ReadonlySet<string>,
@@ -178,7 +180,7 @@
     }
   }
 
-  /** A heartbeat under this term's token: the machine's attempts are complete from now on (S2). */
+  /** A heartbeat under this term's token has arrived: from now on, the machine's known attempts are complete (S2). */
   private confirm(machine: Machine): void {
     const { cluster } = this.context;
     setMachine(cluster, machine, { confirmed: true });
@@ -190,8 +192,9 @@
 }
 
 /**
- * Whether a start that the heartbeat doesn't show may still be executed (S4): it is being sent, or it got no answer and the
- * worker has not seen a higher token. In a new epoch late commands are refused, whatever they are.
+ * Whether the start of an attempt that the heartbeat doesn't list may still be executed (S4): it is being sent, or it
+ * got no answer and the worker hasn't seen a higher token. Callers check for a new epoch, in which all delayed
+ * commands are refused.
  */
 const mayStillStart = (attempt: TaskAttempt, heartbeat: Heartbeat): boolean => {
   if (attempt.unacknowledgedToken !== null) return !(heartbeat.fencingToken > attempt.unacknowledgedToken);
--- a/src/core/heartbeats/slow-machine-detector.ts
+++ b/src/core/heartbeats/slow-machine-detector.ts
@@ -1,6 +1,6 @@
 /**
- * Machines that take much longer than others for tasks of the same job: they get no new work and are returned once
- * empty, and what is overdue there starts anew elsewhere, once.
+ * Detects machines that take much longer than others for tasks of the same job. They are cordoned, and returned to
+ * the cloud once empty; a task that is overdue there is restarted elsewhere, at most once.
  */
 import * as Duration from "effect/Duration";
 import { type TaskAttempt, type Job, type Machine, machineOf } from "../cluster/cluster.js";
@@ -8,38 +8,40 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed } from "../time.js";
 
-/** Tasks of one job differ by half, machines by a tenth; early finishers are the short ones. */
+/**
+ * A task is overdue after this multiple of the job's mean run time. Run times differ by half between tasks of a job
+ * and by a tenth between machines, and the mean is too low at first, since short tasks finish first.
+ */
 const SLOW_FACTOR = 2.2;
-/** The mean run time of a job says something only after so many of its tasks have finished. */
+/** The mean run time of a job is meaningful only after this many of its tasks have finished. */
 const MIN_FINISHED_TASKS = 3;
 const CHECK_INTERVAL = Duration.seconds(2);
-/** With more cordoned machines than this share, or than two, the measure must be wrong. */
+/** At most this share of machines, or two, are cordoned: if more seem slow, the measurement must be wrong. */
 const MAX_CORDONED_SHARE = 0.25;
 const MIN_CORDON_LIMIT = 2;
 
-/** How long the finished tasks of a job ran, taken together. */
+/** The number of finished tasks of a job and their total run time. */
 interface RunTimeTotals {
   tasks: number;
   milliseconds: number;
 }
 
-/** Owns the run times of finished array tasks, and cordons the machines that take much longer than the mean. */
+/** Keeps the run times of finished array tasks, and cordons machines that take much longer than the mean. */
 export class SlowMachineDetector {
   private readonly runTimesByJob = new Map<string, RunTimeTotals>();
-  /** Tasks that were already started anew, by job. */
+  /** Tasks that were already restarted, by job. */
   private readonly restartedByJob = new Map<string, Set<number>>();
   private lastCheckedAt: Instant | null = null;
 
-  /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {}
 
-  /** The job is over: nothing of it is compared any more. */
+  /** Discards the run times of a job that has ended. */
   forgetJob(id: string): void {
     this.runTimesByJob.delete(id);
     this.restartedByJob.delete(id);
   }
 
-  /** A running task was seen to be done. */
+  /** A task that was known to be running has completed. */
   taskCompleted(machine: Machine, attempt: TaskAttempt, now: Instant): void {
     if (attempt.spec?.kind !== "array" || attempt.runningSince === null) return;
     const milliseconds = now - attempt.runningSince;
@@ -53,7 +55,7 @@
     }
   }
 
-  /** Now and then: cordons machines on which a task is overdue, and stops it so that it starts anew elsewhere. */
+  /** Cordons machines on which a task is overdue, and stops the task so that it is restarted elsewhere. */
   step(now: Instant, pendingCommands: PendingCommands): void {
     if (this.lastCheckedAt !== null && !hasElapsed(now, this.lastCheckedAt, CHECK_INTERVAL)) return;
     this.lastCheckedAt = now;
@@ -69,7 +71,7 @@
     if (attempt.state !== "running" || attempt.stopping || attempt.runningSince === null) return;
     if (!this.isOverdue(job, now - attempt.runningSince)) return;
     const machine = machineOf(this.context.cluster, attempt);
-    // a silent machine is another matter; so is a task that was slow before
+    // a silent machine is handled elsewhere; a task that was overdue on another machine too is itself slow
     if (machine.commandsInFlight || this.isSilent(machine, now)) return;
     if (this.tryCordon(machine, now) && this.markRestarted(job.spec.id, attempt.index))
       pendingCommands.stop(attempt);
@@ -85,7 +87,7 @@
     return milliseconds > (runTimes.milliseconds / runTimes.tasks) * SLOW_FACTOR;
   }
 
-  /** Gives the machine no new work; false where too many are cordoned already. */
+  /** Cordons the machine; false: too many are cordoned already. */
   private tryCordon(machine: Machine, now: Instant): boolean {
     if (machine.cordonedAsSlow) return true;
     const { cluster } = this.context;
@@ -98,7 +100,7 @@
     return true;
   }
 
-  /** Whether the task hasn't been started anew before; from now on it has. */
+  /** Marks the task as restarted; false: it already was. */
   private markRestarted(id: string, index: number): boolean {
     const restarted = this.restartedByJob.get(id) ?? new Set<number>();
     if (restarted.has(index)) return false;
@@ -107,6 +109,6 @@
   }
 }
 
-/** Whether enough tasks have finished, also next to those that still run: the first ones to finish are the short ones. */
+/** Whether enough tasks have finished, also compared with those still running: short tasks finish first. */
 const isConclusive = (runTimes: RunTimeTotals, job: Job): boolean =>
   runTimes.tasks >= Math.max(MIN_FINISHED_TASKS, job.runningTasks);
--- a/src/core/leases/lease-expiry.ts
+++ b/src/core/leases/lease-expiry.ts
@@ -1,52 +1,52 @@
 /**
- * Proof by time that a lease has ended: without a heartbeat and without a release, a machine's old epoch is over once
- * nobody can have answered its worker for a whole lease (S3 in docs/design.md).
+ * Proves from elapsed time that a worker's lease has expired: even without a heartbeat or a release, a machine's tasks
+ * have ended once no member can have answered its worker for a whole lease (S3 in docs/design.md).
  */
 import * as Duration from "effect/Duration";
 import { type Machine, occupiesCapacity, removeAttempt, setMachine } from "../cluster/cluster.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed, plus, withClockDrift } from "../time.js";
 
-/** What the proof allows for beyond the lease and the drift of clocks. */
+/** Safety margin beyond the lease and clock drift. */
 const EXPIRY_MARGIN = Duration.seconds(1);
 
-/** That a member answered a worker's heartbeat, which renews the worker's lease, and when at the latest. */
+/** The renewal of a worker's lease by a member's answer to its heartbeat, which was sent no later than `at`. */
 export interface LeaseRenewal {
   readonly machine: string;
   readonly at: Instant;
 }
 
-/** A member's evidence for the expiry of leases: which workers it answered since its last message (S3). */
+/** A member's report of the leases that it renewed since its last report: evidence for the expiry of others (S3). */
 export interface LeaseRenewalReport {
   readonly member: string;
-  /** Which process of that member speaks: another one knows nothing of what this one answered. */
+  /** Identifies the member's process: another process doesn't know which workers this one answered. */
   readonly incarnation: number;
-  /** The term under which it spoke; evidence of another term is not taken. */
+  /** The term under which it reports; reports of other terms are ignored. */
   readonly termNumber: number;
-  /** It has told every answer up to this instant of the leader's clock; null: it can't tell yet. */
+  /** It has reported every renewal up to this instant of the leader's clock; null: it can't tell yet. */
   readonly completeUpTo: Instant | null;
   readonly renewals: readonly LeaseRenewal[];
 }
 
-/** All that one process of a member has told of the leases that it renewed. */
+/** All that one process of a member has reported about the leases that it renewed. */
 interface MemberEvidence {
   readonly incarnation: number;
   completeUpTo: Instant | null;
   lastUpdateAt: Instant | null;
-  /** When it last answered each worker. */
+  /** When it last renewed each machine's lease. */
   readonly lastRenewalByMachine: Map<string, Instant>;
 }
 
-/** Collects the members' evidence, and removes the attempts of machines whose leases have certainly ended. */
+/** Collects the members' reports, and removes the attempts of machines whose leases have certainly expired. */
 export class LeaseExpiry {
   private evidenceByMember = new Map<string, MemberEvidence>();
 
-  /** Begins with the context's present term. */
+  /** Starts with the context's current term. */
   constructor(private readonly context: SchedulerContext) {
     this.beginTerm();
   }
 
-  /** A process that stays a member keeps its evidence: it told this same leader all that it answered. */
+  /** Starts a new term of the same leader. The evidence of processes that remain members stays valid. */
   beginTerm(): void {
     const previous = this.evidenceByMember;
     this.evidenceByMember = new Map(
@@ -58,7 +58,7 @@
     );
   }
 
-  /** Takes in a member's evidence, unless it is of another term or of another process than the term names. */
+  /** Adds a member's report, unless it is from another term or from a process that the term doesn't name. */
   addReport(report: LeaseRenewalReport, now: Instant): void {
     const { member, incarnation, termNumber, completeUpTo, renewals } = report;
     const evidence = this.evidenceByMember.get(member);
@@ -73,23 +73,23 @@
     }
   }
 
-  /** When a member's updates came last, directly or through the state service; null: not in this term. */
+  /** When a member's last report arrived, directly or through the state service; null: none yet. */
   lastUpdateAt(member: string): Instant | null {
     return this.evidenceByMember.get(member)?.lastUpdateAt ?? null;
   }
 
-  /** The machine is gone: what is known of its lease is no longer needed. */
+  /** Discards the evidence about a machine that no longer exists. */
   forgetMachine(machine: string): void {
     for (const evidence of this.evidenceByMember.values()) evidence.lastRenewalByMachine.delete(machine);
   }
 
-  /** Removes the attempts of machines whose silence proves that their leases have ended. */
+  /** Removes the attempts of silent machines whose leases have provably expired. */
   step(now: Instant): void {
     for (const machine of this.silentMachines(now))
       if (mayRunTasks(machine) && this.hasExpired(machine)) this.expire(machine);
   }
 
-  /** Unconfirmed machines that sent no heartbeat, and those that sent none for a whole lease. */
+  /** Unconfirmed machines that sent no heartbeat yet, and machines that sent none for a whole lease. */
   private silentMachines(now: Instant): Set<Machine> {
     const { cluster, options } = this.context;
     const silent = new Set<Machine>();
@@ -104,7 +104,7 @@
     return silent;
   }
 
-  /** Whether every member has proved that the worker's lease ended: none answered it for a lease, drift and a margin. */
+  /** Whether every member has reported that it didn't renew the machine's lease for a lease plus drift and margin. */
   private hasExpired(machine: Machine): boolean {
     const { timings } = this.context.options;
     const lastRenewedAt = this.latestRenewalOf(machine);
@@ -114,7 +114,7 @@
     return true;
   }
 
-  /** The last moment at which anybody can have answered its worker, also under an earlier term. */
+  /** The latest time at which any member can have renewed the machine's lease, also under an earlier term. */
   private latestRenewalOf(machine: Machine): Instant {
     let latest = plus(this.context.termBegan, this.context.options.timings.fencingWindow);
     for (const { lastRenewalByMachine } of this.evidenceByMember.values()) {
@@ -139,6 +139,6 @@
   lastRenewalByMachine: new Map(),
 });
 
-/** Whether something may still run on the machine. */
+/** Whether tasks may still run on the machine. */
 const mayRunTasks = (machine: Machine): boolean =>
   !machine.confirmed || [...machine.attempts.values()].some(occupiesCapacity);
--- a/src/core/scheduler/decisions.ts
+++ b/src/core/scheduler/decisions.ts
@@ -1,11 +1,14 @@
-/** What the leader's core decides, and what it is told of the outcome. */
+/** The scheduler's decisions, and the possible outcomes of the commands among them. */
 import type { ScaleOutRequest } from "../autoscaling/offers.js";
 import type { ScaleInReason } from "../autoscaling/scale-in-reason.js";
 import type { MachineRecord, Command } from "../records.js";
 
-/** Something to be done outside the core. The caller carries each out, or tells the core that it failed. */
+/** An action for the caller to carry out; the caller reports its outcome to the scheduler. */
 export type Decision =
-  /** Send these commands to a machine's worker, by `via`; an empty list asks for a heartbeat alone. */
+  /**
+   * Send commands to a machine's worker, through the member `via` (null: from this node). An empty list is a probe:
+   * the worker answers it with a heartbeat.
+   */
   | {
       kind: "commands";
       machine: string;
@@ -16,19 +19,24 @@
       fencingToken: number;
       commands: Command[];
     }
-  /** Create the commit record of a job of which all tasks are finished (S7). */
+  /** Create the commit record of a job whose tasks are all finished (S7). */
   | { kind: "commit"; job: string; tasks: number }
-  /** Store a machine's record, before anything is started on it (S5). */
+  /** Store a machine's record before the first task is started on it (S5). */
   | { kind: "record"; machine: string; record: MachineRecord }
-  /** Rent machines (S10). */
+  /** Rent machines from the cloud (S10). */
   | { kind: "rent"; rent: ScaleOutRequest }
   /** Return machines to the cloud (S3). */
   | { kind: "release"; machines: string[]; reason: ScaleInReason }
-  /** A line for the log. */
+  /** Write an informational log message. */
   | { kind: "note"; text: string };
 
 /**
- * done: executed. rejected: the worker refused. unsent: the worker can't be reached. unknown: it may be executed yet.
- * barred: the node asked may not send (its term or its window); that says nothing about the worker.
+ * The outcome of a batch of commands.
+ * - `done`: the worker executed it.
+ * - `rejected`: the worker refused it.
+ * - `unsent`: the worker could not be reached, so it received nothing.
+ * - `unknown`: no answer arrived; the worker may have executed it, or may still do so.
+ * - `barred`: it was not sent, because the sending node may not act under this term now, has a full queue, or was
+ *   never given the batch. This says nothing about the worker.
  */
 export type CommandOutcome = "done" | "rejected" | "unsent" | "unknown" | "barred";
--- a/src/core/scheduler/reconciler.ts
+++ b/src/core/scheduler/reconciler.ts
@@ -1,4 +1,7 @@
-/** Reconciliation: stops what must not run, forgets what is over, moves replicas off machines that go. */
+/**
+ * Reconciliation: stops attempts that must not run, has workers forget exited ones, and moves tasks off machines that
+ * are draining or being reclaimed by the cloud.
+ */
 import * as Duration from "effect/Duration";
 import { type Job, type TaskAttempt, type Machine, machineOf, occupiesCapacity } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
@@ -7,12 +10,12 @@
 import type { JobSpec } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
 
-/** An exited task uses no capacity: forgetting it waits this long for other commands to the same machine. */
+/** How long a `forget` command waits to share a batch with others; an exited task uses no capacity meanwhile. */
 const FORGET_BATCHING_DELAY = Duration.seconds(2);
-/** A stop whose effect no heartbeat has shown for so long is sent again. */
+/** A stop is sent again if no heartbeat has shown its effect for this long. */
 const STOP_RETRY_DELAY = Duration.seconds(3);
 
-/** A replica that has run long enough for its start to count, and that nobody is stopping. */
+/** Whether an attempt is a service replica that isn't being stopped and has run long enough to count as started. */
 export const isMovableReplica = (attempt: TaskAttempt, now: Instant): boolean =>
   attempt.spec?.kind === "service" &&
   attempt.state === "running" &&
@@ -20,12 +23,11 @@
   attempt.unacknowledgedToken === null &&
   hasElapsed(now, attempt.stateSince, Duration.seconds(35));
 
-/** Compares what is on machines with what should be, and decides on the commands that bring them together. */
+/** Compares the attempts on each machine with the desired state, and issues commands to remove the difference. */
 export class Reconciler {
-  /** `context`: what the parts of the core share. */
   constructor(private readonly context: SchedulerContext) {}
 
-  /** Looks at the machines about which something changed; keeps those in the queue where something is under way. */
+  /** Reconciles the queued machines. A machine stays in the queue while there may be more to do on it. */
   step(now: Instant, pendingCommands: PendingCommands): void {
     const { reconcileQueue } = this.context.cluster;
     for (const machine of [...reconcileQueue]) {
@@ -36,17 +38,17 @@
     }
   }
 
-  /** Whatever ends one of the states that this excludes puts the machine back into the queue. */
+  /** A machine that can't receive commands leaves the queue, and is queued again as soon as it can. */
   private canReceiveCommands(machine: Machine): boolean {
     const isBusy = machine.commandsInFlight || this.context.isPaused(machine);
     return !isBusy && machine.confirmed && machine.addr !== null;
   }
 
-  /** Whether there is more to do here later. */
+  /** Issues commands for one machine. Returns whether it has to be checked again in the next step. */
   private reconcile(machine: Machine, now: Instant, pendingCommands: PendingCommands): boolean {
     let needsRecheck = machine.draining || machine.reclaimAt !== null;
     if (machine.reclaimAt !== null) this.evacuate(machine, machine.reclaimAt, now, pendingCommands);
-    // replicas leave a draining machine one at a time
+    // replicas are moved off a draining machine one at a time
     let isMoveInProgress =
       machine.draining && [...machine.attempts.values()].some((attempt) => attempt.stopping);
     for (const attempt of machine.attempts.values()) {
@@ -68,14 +70,14 @@
     return needsRecheck;
   }
 
-  /** Whether an attempt must not go on: its job is over, its task is finished, or an earlier attempt of it exists. */
+  /** Whether an attempt must be stopped: its job has ended, its task is finished, or an earlier attempt exists. */
   private mustStop(attempt: TaskAttempt, job: Job | undefined): boolean {
     return job === undefined || job.done.has(attempt.index) || this.hasEarlierAttempt(attempt, job);
   }
 
   /**
-   * Whether an earlier attempt of the same task is on another machine, as that machine itself has confirmed in this term:
-   * a late copy of an old heartbeat must not get the real task stopped.
+   * Whether an earlier attempt of the same task is on a machine that was confirmed in this term. Without
+   * confirmation, a delayed copy of an old heartbeat could get the live attempt stopped.
    */
   private hasEarlierAttempt(attempt: TaskAttempt, job: Job): boolean {
     const attempts = job.attempts.get(attempt.index);
@@ -89,7 +91,10 @@
     );
   }
 
-  /** A machine that the cloud takes back at `reclaimAt`: what can save does so, replicas move if they fit elsewhere. */
+  /**
+   * Moves tasks off a machine that the cloud takes back at `reclaimAt`: stops those with time to write a checkpoint,
+   * and service replicas for which another machine has capacity.
+   */
   private evacuate(
     machine: Machine,
     reclaimAt: Instant,
@@ -122,16 +127,19 @@
   }
 }
 
-/** A finish is forgotten only once it is stored (S7), and nothing is while its start may yet be executed again (S4). */
+/**
+ * Whether a worker may forget an exited attempt. A finished one must be stored first (S7), and none may be forgotten
+ * while an unacknowledged start could still be executed (S4).
+ */
 const mayBeForgotten = (attempt: TaskAttempt, job: Job | undefined): boolean =>
   attempt.unacknowledgedToken === null &&
   (job === undefined || attempt.exitReason !== "done" || attempt.stored);
 
-/** Whether a task keeps checkpoints, and has the time to write one. */
+/** Whether a task writes checkpoints, and has enough time left to write one. */
 const canSaveWithin = (spec: JobSpec, availableMs: number): boolean =>
   Duration.toMillis(spec.checkpointInterval) > 0 && availableMs >= Duration.toMillis(spec.saveDuration);
 
-/** Takes a gang down with time to save, all tasks at once; returns how many are still there. */
+/** Stops all tasks of a gang, with time to save. Returns how many attempts still occupy capacity. */
 export const stopGang = (attempts: readonly TaskAttempt[], pendingCommands: PendingCommands): number => {
   const remaining = attempts.filter(occupiesCapacity);
   for (const attempt of remaining)
--- a/src/core/scheduler/scheduler-context.ts
+++ b/src/core/scheduler/scheduler-context.ts
@@ -1,4 +1,4 @@
-/** What every part of the leader's core shares: the cluster, the term, the machine types and the options. */
+/** State shared by all parts of the scheduler: the cluster, the term, the machine types and the options. */
 import * as Duration from "effect/Duration";
 import { type Cluster, type Machine, newCluster, setMachine } from "../cluster/cluster.js";
 import type { FleetOptions } from "../autoscaling/autoscaler.js";
@@ -9,48 +9,49 @@
 import { type Instant, hasElapsed } from "../time.js";
 import { ZoneMembership } from "../leases/zone-membership.js";
 
-/** After this long a worker gives a heartbeat up. */
+/** How long a worker waits for the answer to a heartbeat before it tries another controller. */
 const HEARTBEAT_TIMEOUT = Duration.seconds(4);
-/** What a worker needs beyond that to reach another controller: a second's pause, and an allowance for delays. */
+/** Time a worker needs beyond that to reach another controller: its pause of one second, and some delay. */
 const RECONNECT_MARGIN = Duration.seconds(3);
 
-/** What follows from the settings, and stays as it is while a leader leads. */
+/** Scheduler options derived from the settings; constant while a leader leads. */
 export interface SchedulerOptions {
   readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
-  /** How soon users expect tasks of a class to start, from the platform's objectives. */
+  /** How soon tasks of each class are expected to start, from the platform's objectives. */
   readonly startLatencyObjectives: ReadonlyMap<string, Duration.Duration>;
-  /** Explicit ownership of machines, where it is used. */
+  /** Explicit ownership of machines by shard; absent: rendezvous hashing assigns them. */
   readonly ownership?: MachineOwnership;
 }
 
-/** What explicit ownership of machines says to the core. */
+/** Explicit ownership of machines, as far as the scheduler needs to know about it. */
 export interface MachineOwnership {
-  /** No commands may be sent to the machine: its shard is being handed over. */
+  /** Whether commands to the machine are paused because its shard is being handed over. */
   isPaused(machine: string, zone: string): boolean;
-  /** The member that commands go by, where that isn't the one which passes on the machine's heartbeats; null: it is. */
+  /** The member through which to send the machine's commands; null: the one that relays its heartbeats. */
   routeOverride(machine: string, zone: string): string | null;
 }
 
-/** Shared by the parts of one `Scheduler`, which alone replaces the term. */
+/** Shared by the parts of one `Scheduler`; only the scheduler itself replaces the term. */
 export class SchedulerContext {
   /** Jobs, machines and attempts. */
   readonly cluster: Cluster = newCluster();
   /** The machine types that the platform offers. */
   machineTypes: readonly MachineType[] = [];
+  /** The same by name. */
   machineTypeByName = new Map<string, MachineType>();
-  /** How long after its last message a machine may be given work. */
+  /** A machine is given work only if its latest heartbeat is younger than this. */
   readonly heartbeatMaxAge: Duration.Duration;
-  /** How long a worker takes to be heard through another controller: its next heartbeat, its timeout, another attempt. */
+  /** How long a worker may take to reach another controller: its next heartbeat, that one's timeout, and a retry. */
   readonly reconnectTime: Duration.Duration;
 
-  /** Begins with a leader's first term, which began at `termBegan`. */
+  /** Created with a leader's first term, which began at `termBegan`. */
   constructor(
     readonly options: SchedulerOptions,
     public term: TermRecord,
     public termBegan: Instant,
-    /** Jobs not older than this revision were never in an older leader's hands. */
+    /** The revision of the leader's key: earlier leaders never started tasks of jobs with a higher one (S5). */
     readonly leaderRevision: number,
     readonly zones = new ZoneMembership(),
   ) {
@@ -64,14 +65,14 @@
     );
   }
 
-  /** Takes over the platform's machine types, also for the machines that are known. */
+  /** Replaces the machine types and updates the sizes of all known machines. */
   setMachineTypes(types: readonly MachineType[]): void {
     this.machineTypes = types;
     this.machineTypeByName = new Map(types.map((type) => [type.name, type]));
     for (const machine of this.cluster.machines.values()) this.applyType(machine);
   }
 
-  /** Gives a machine the size of its type. */
+  /** Sets a machine's size from its type. */
   applyType(machine: Machine): void {
     const type = this.machineTypeByName.get(machine.type);
     if (type === undefined) return;
@@ -79,24 +80,24 @@
     setMachine(this.cluster, machine, { cpus, gpus, memoryGb, cacheGb });
   }
 
-  /** Whether a machine may be given work, as far as its own state says. */
+  /** Whether a machine is healthy enough to be given new work; batches in flight and free capacity aside. */
   readonly isSchedulable = (machine: Machine, now: Instant): boolean =>
     isUsable(machine, now, this.heartbeatMaxAge) && !this.isLeaseRenewalOverdue(machine, now);
 
-  /** Whether tasks may be started on it now: no batch is unanswered, and nothing of unknown size is on it (S6). */
+  /** Whether tasks may be started on a machine now: no batch is in flight and no task of unknown size on it (S6). */
   canStartTasks(machine: Machine, now: Instant): boolean {
     const isFree = !machine.commandsInFlight && !this.isPaused(machine);
     return this.isSchedulable(machine, now) && isFree && !this.cluster.orphanedAttemptCounts.has(machine);
   }
 
-  /** Whether the machine's shard is being handed over: it gets no commands, but may be asked for heartbeats. */
+  /** Whether the machine's shard is being handed over: it is sent no commands, but may still be probed. */
   isPaused(machine: Machine): boolean {
     return this.options.ownership?.isPaused(machine.id, machine.zone) ?? false;
   }
 
   /**
-   * Whether a machine is silent only because the members changed a moment ago: its worker has yet to find another
-   * controller. Its capacity is about to be there again, so no other machine is rented in its place.
+   * Whether a machine is probably silent only because the membership just changed and its worker hasn't yet reached
+   * another controller. Its capacity is expected back, so no replacement is rented.
    */
   isReconnecting(machine: Machine, now: Instant): boolean {
     if (hasElapsed(now, this.termBegan, this.reconnectTime)) return false;
@@ -111,13 +112,16 @@
     return !hasElapsed(now, machine.lastHeartbeatAt, Duration.sum(this.heartbeatMaxAge, this.reconnectTime));
   }
 
-  /** It answers direct questions, but its heartbeats reach nobody: its lease runs out, with all that is on it. */
+  /**
+   * Whether no member has answered the machine's heartbeats for too long, although it may answer commands. Its lease
+   * then expires, which ends its tasks.
+   */
   isLeaseRenewalOverdue(machine: Machine, now: Instant): boolean {
     const maxRenewalAge = Duration.sum(this.heartbeatMaxAge, this.options.timings.heartbeatInterval);
     return machine.leaseRenewedAt !== null && hasElapsed(now, machine.leaseRenewedAt, maxRenewalAge);
   }
 
-  /** What a team's attempts use; not to be changed. */
+  /** Capacity in use by a team's attempts. Callers must not modify it. */
   usageOf(team: string): Usage {
     return this.cluster.usageByTeam.get(team) ?? { cpus: 0, gpus: 0 };
   }
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -1,8 +1,8 @@
 /**
- * The leader's core: events in, decisions out. It reads no clock, draws no random number and touches no socket.
- * Safety rests on one invariant: a task is started only while it has no attempt, and an attempt is removed only once it is
- * certain that it neither runs nor can still start (S4 in docs/design.md). The class only brings the parts of
- * the core together; each has a module of its own, and all share the `SchedulerContext`.
+ * The leader's scheduler: takes in events and returns decisions. It is deterministic: it reads no clock, draws no
+ * random numbers and does no I/O. Safety rests on one invariant: a task is started only while it has no attempt, and
+ * an attempt is removed only once it is certain that it neither runs nor can still start (S4 in docs/design.md). The
+ * class only connects its parts; each has a module of its own, and all share the `SchedulerContext`.
  */
 import { type Cluster, recordHeartbeat, type Machine } from "../cluster/cluster.js";
 import { type CommandBatchResult, CommandSender } from "../commands/command-sender.js";
@@ -31,11 +31,11 @@
 
 export type { Decision, CommandOutcome } from "./decisions.js";
 
-/** One leader's core, from its first term on. A new leader makes a new one and reads everything anew (S5). */
+/** One leader's scheduler, from its first term on. Each new leader creates one and loads all stored state (S5). */
 export class Scheduler {
-  /** Scale-out requests without an outcome, and what the autoscaler remembers. */
+  /** Decides on scaling out; holds outstanding scale-out requests, job arrivals and refused offers. */
   readonly autoscaler: Autoscaler;
-  /** The handoff of machines to another controller. */
+  /** Checks and prepares machines for being handed over to another controller. */
   readonly shardDrain: ShardDrain;
   private readonly context: SchedulerContext;
   private readonly jobIntake: JobIntake;
@@ -48,10 +48,10 @@
   private readonly slowMachineDetector: SlowMachineDetector;
   private readonly reconciler: Reconciler;
   private readonly autoscalerDecisions: AutoscalerDecisions;
-  /** Whether the cloud's list was read: before that, machines rented by an earlier leader are not known. */
+  /** Whether the cloud's list was read: until then, machines rented by an earlier leader may be unknown. */
   private hasCloudInventory = false;
 
-  /** `leaderRevision`: the revision of the leader's key, which tells older jobs from younger ones (S5). */
+  /** `leaderRevision`: the revision of the leader's key; jobs with a higher one are younger than this leader (S5). */
   constructor(
     options: SchedulerOptions,
     term: TermRecord,
@@ -80,22 +80,22 @@
     return this.context.cluster;
   }
 
-  /** The present term. */
+  /** The current term. */
   get term(): TermRecord {
     return this.context.term;
   }
 
-  /** Whether the leader has to begin a new term: this one has hardly any attempt numbers left (S4). */
+  /** Whether the leader has to begin a new term because this one is running out of attempt numbers (S4). */
   get needsNewTerm(): boolean {
     return this.placer.needsNewTerm;
   }
 
-  /** Jobs known to wait for others. */
+  /** Jobs that wait for the jobs they depend on. */
   get blockedJobs(): ReadonlySet<string> {
     return this.jobIntake.blockedJobs;
   }
 
-  /** The same leader goes on under a higher token: what it knows stays true. */
+  /** The same leader begins a new term, with a higher fencing token. Its knowledge of the cluster stays valid. */
   renewTerm(term: TermRecord, now: Instant): void {
     this.context.term = term;
     this.context.termBegan = now;
@@ -114,56 +114,56 @@
     this.context.setMachineTypes(types);
   }
 
-  /** A released job. Its deadline and its age count from `acceptedAt` and `releasedAt`, under whatever leader. */
+  /** A job was released. Under any leader its deadline counts from `acceptedAt` and its age from `releasedAt`. */
   jobReleased(spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant = acceptedAt): void {
     const job = this.jobIntake.addReleased(spec, revision, acceptedAt, releasedAt);
     if (job !== null) this.autoscaler.recordArrival(job);
   }
 
-  /** A job that waits for others (S12): it counts only for the jobs that it needs. */
+  /** A job waits for others (S12). It isn't started, but those jobs inherit its rank and deadline. */
   jobBlocked(spec: JobSpec, acceptedAt: Instant): void {
     this.jobIntake.addBlocked(spec, acceptedAt);
   }
 
-  /** It waits no longer: cancelled, or released (whether this or `jobReleased` comes first doesn't matter). */
+  /** A job no longer waits: it was cancelled or released. This and `jobReleased` may come in either order. */
   jobUnblocked(id: string): void {
     this.jobIntake.removeBlocked(id);
   }
 
-  /** The job record is gone: there is a commit, done or cancelled, and nothing of it may start again (S9). */
+  /** A job ended: its record was replaced by a commit, and none of its tasks may start again (S9). */
   jobEnded(id: string): void {
     this.jobIntake.removeEnded(id);
     this.placer.forgetJob(id);
     this.slowMachineDetector.forgetJob(id);
   }
 
-  /** Finishes that are in the state service (S7). */
+  /** Finished tasks were stored in the state service (S7). */
   finishesStored(id: string, ranges: readonly Range[]): void {
     this.jobIntake.markRangesStored(id, ranges);
   }
 
-  /** A commit that was decided on could not be made. */
+  /** A commit record that was decided on could not be created. */
   commitFailed(id: string): void {
     this.jobIntake.commitFailed(id);
   }
 
-  /** A machine record read from the state service, or one just written (S5). */
+  /** A machine record was read from the state service, or has just been written (S5). */
   machineRecorded(id: string, record: MachineRecord, now: Instant): Machine | null {
     return this.machineIntake.addRecorded(id, record, now);
   }
 
-  /** The write of a machine's record failed. */
+  /** Writing a machine's record failed. */
   machineRecordFailed(id: string): void {
     this.machineIntake.recordFailed(id);
   }
 
-  /** The cloud's list of machines. */
+  /** The cloud listed its machines. */
   machinesListed(rows: readonly ListedMachine[], now: Instant): void {
     this.hasCloudInventory = true;
     this.machineIntake.mergeList(rows, now);
   }
 
-  /** The cloud's answer to a release; `removeReleased`: it was carried out (S3). */
+  /** The cloud answered a release request; `wasReleased`: it carried the request out (S3). */
   releaseAnswered(ids: readonly string[], wasReleased: boolean, now: Instant): void {
     for (const id of ids) {
       if (!wasReleased) this.machineIntake.releaseFailed(id, now);
@@ -171,19 +171,19 @@
     }
   }
 
-  /** A worker's heartbeat, passed on by the member `relayedBy`, which took it at `heardAt`. */
+  /** A worker's heartbeat arrived, relayed by the member `relayedBy`, which received it at `heardAt`. */
   heartbeatReceived(heartbeat: Heartbeat, relayedBy: string, now: Instant, heardAt: Instant = now): void {
     this.heartbeatHandler.apply(heartbeat, relayedBy, now, heardAt);
   }
 
-  /** A member heard a newer message of a worker at `heardAt`, with nothing new in it. */
+  /** A member received a newer heartbeat at `heardAt`. One that shows no change is reported only in this way. */
   contactReported(id: string, heardAt: Instant): void {
     const machine = this.cluster.machines.get(id);
-    // only of a machine that has shown itself by a heartbeat
+    // counts only for a machine whose first heartbeat this leader has received
     if (machine !== undefined && machine.workerEpoch > 0) recordHeartbeat(this.cluster, machine, heardAt);
   }
 
-  /** A member's evidence for the expiry of leases: which workers it answered (S3). */
+  /** A member reported which workers' leases it renewed; this is evidence for the expiry of other leases (S3). */
   leaseRenewalsReported(report: LeaseRenewalReport, now: Instant): void {
     this.leaseExpiry.addReport(report, now);
     for (const { machine: id, at } of report.renewals) {
@@ -193,7 +193,7 @@
     }
   }
 
-  /** What became of commands that were sent under this token, and which heartbeat they were answered with (S4). */
+  /** Commands sent under `fencingToken` have an outcome; `answeredBy`: the heartbeat that answered them (S4). */
   commandsAnswered(
     machine: string,
     commands: readonly Command[],
@@ -205,7 +205,7 @@
     this.commandSender.applyResult(machine, { commands, fencingToken, outcome, answeredBy }, now);
   }
 
-  /** Decides on everything but scaling. Its work is in proportion to what changed and what waits. */
+  /** Makes all decisions except scaling. The cost is proportional to what changed and what waits. */
   step(now: Instant): Decision[] {
     const decisions: Decision[] = [];
     const pendingCommands = new PendingCommands();
@@ -223,7 +223,7 @@
     return decisions;
   }
 
-  /** Every job of which all tasks are finished gets its commit. */
+  /** Every job whose tasks are all finished gets its commit. */
   private decideCommits(decisions: Decision[]): void {
     for (const job of this.cluster.awaitingCommit) {
       job.committing = true;
@@ -232,7 +232,7 @@
     this.cluster.awaitingCommit.clear();
   }
 
-  /** A machine is recorded before the first start on it (S5). */
+  /** Machines are recorded before the first task is started on them (S5). */
   private decideRecords(decisions: Decision[]): void {
     for (const machine of this.cluster.unrecorded) {
       if (machine.recording || machine.releaseRequestedAt !== null) continue;
@@ -242,19 +242,19 @@
     }
   }
 
-  /** One line of figures for operators. */
+  /** Figures for the operators' log, by name. */
   summary(now: Instant): Record<string, number> {
     return summaryOf(this.context, now);
   }
 
-  /** Decides on scaling out and in. Called about once a second, and only while the cloud can be asked. */
+  /** Decides on scaling in and out. Called about once a second, and only while the cloud can be reached. */
   stepAutoscaler(now: Instant): Decision[] {
     const releases = this.autoscalerDecisions.release(now);
     if (!this.hasCloudInventory) return releases;
     return [...releases, ...this.autoscalerDecisions.scaleOut(now)];
   }
 
-  /** The certain outcome of a recorded rental (S10). */
+  /** The outcome of a recorded scale-out request has become certain (S10). */
   rentalAnswered(name: string, record: RentalRecord, machines: readonly string[], now: Instant): void {
     this.autoscaler.outstandingRequests.delete(name);
     const { type, zone, spot, count } = record;
--- a/src/core/scheduler/summary.ts
+++ b/src/core/scheduler/summary.ts
@@ -1,9 +1,9 @@
-/** Figures for the operators' log: what there is, what is in use, what waits. */
+/** Figures for the operators' log: machines, capacity in use, and waiting work. */
 import type { Cluster, Machine } from "../cluster/cluster.js";
 import type { SchedulerContext } from "./scheduler-context.js";
 import type { Instant } from "../time.js";
 
-/** Processors of a machine's tasks by what they do; tasks of unknown size are left out. */
+/** Processors used by a machine's starting tasks and by its running replicas, without tasks of unknown size. */
 const cpusByState = (machine: Machine): { starting: number; replicas: number } => {
   let starting = 0;
   let replicas = 0;
@@ -28,7 +28,7 @@
     spot: 0,
     cpus: 0,
     used: 0,
-    // processors of starts that wait for their image, and of replicas; then what is paid for and takes no work
+    // processors: of starting tasks, of replicas, of booting machines, and of machines that can't take new work
     fetching: 0,
     replicas: 0,
     bootingCpus: 0,
@@ -55,7 +55,7 @@
   return figures;
 };
 
-/** The figures of one line, by name. Looks at all machines, so it is not for every step. */
+/** The figures by name. Iterates over all machines, so it is too costly to call in every step. */
 export const summaryOf = (context: SchedulerContext, now: Instant): Record<string, number> => {
   const { cluster } = context;
   const { ready, booting, spot, ...cpus } = machineFigures(context, now);
