--- a/src/core/cluster/cluster-indices.ts
+++ b/src/core/cluster/cluster-indices.ts
@@ -17,7 +17,7 @@
   throw new AttemptWithoutMachine({
     job: attempt.job,
     machine: attempt.machine,
-    message: `an attempt of ${attempt.job} on an unknown machine: ${attempt.machine}`,
+    message: `attempt of job ${attempt.job} refers to unknown machine ${attempt.machine}`,
   });
 };
 
