--- a/src/core/autoscaling/arrival-forecast.ts
+++ b/src/core/autoscaling/arrival-forecast.ts
@@ -42,7 +42,7 @@
     const share = Duration.toMillis(this.warmFor) / Duration.toMillis(ARRIVAL_WINDOW);
     return [...byClass.values()]
       .map(({ spec, tasks }) => ({ spec, tasks: Math.ceil(tasks * share) }))
-      .filter((row) => row.tasks > 0);
+      .filter((demand) => demand.tasks > 0);
   }
 
   /** Processors that the expected work needs. */
--- a/src/core/autoscaling/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -30,9 +30,9 @@
 
   /** Releases of machines that are faulty, silent, emptied or idle (S3); and which machines are to be emptied. */
   release(now: Instant): Decision[] {
-    const { cluster, machineTypeByName: typeByName } = this.context;
+    const { cluster, machineTypeByName } = this.context;
     const plan = this.scaleIn.step(now);
-    const surplus = this.autoscaler.surplusMachines(cluster, typeByName, now, (machine) =>
+    const surplus = this.autoscaler.surplusMachines(cluster, machineTypeByName, now, (machine) =>
       this.context.isSchedulable(machine, now),
     );
     if (surplus.length > 0)
@@ -60,17 +60,17 @@
 
   /** Requests for what neither free nor booting machines will hold (S10). */
   scaleOut(now: Instant): Decision[] {
-    const { cluster, machineTypes: types } = this.context;
+    const { cluster, machineTypes } = this.context;
     const isUsable = (machine: Machine): boolean =>
       this.context.isSchedulable(machine, now) || this.context.isReconnecting(machine, now);
-    const requests = this.autoscaler.scaleOut(cluster, this.waitingTasks(now), types, now, isUsable);
+    const requests = this.autoscaler.scaleOut(cluster, this.waitingTasks(now), machineTypes, now, isUsable);
     return requests.map((rent) => ({ kind: "rent", rent }));
   }
 
   /** Waiting jobs, with as many tasks as their team's limit allows. */
   private waitingTasks(now: Instant): WaitingTasks[] {
     const waiting: WaitingTasks[] = [];
-    for (const job of this.queue.sorted(now)) {
+    for (const job of this.queue.sortedJobs(now)) {
       const team = this.context.options.teams.get(job.spec.team);
       if (team === undefined) continue;
       const withinLimit = tasksWithinLimit(team, this.context.usageOf(job.spec.team), job.spec);
--- a/src/core/autoscaling/graceful-eviction.ts
+++ b/src/core/autoscaling/graceful-eviction.ts
@@ -19,9 +19,9 @@
 const EVICTIONS_PER_STEP = 4;
 const EVICTIONS_PER_STEP_SHARE = 0.0025;
 /** Processors kept free beyond what is expected, as a share of those in use. */
-const SPARE_SHARE = 0.1;
+const SPARE_CPUS_SHARE = 0.1;
 /** A machine is underused if at most this share of its processors is in use. */
-const UNDERUSED_SHARE = 0.5;
+const MAX_UNDERUSED_CPUS_SHARE = 0.5;
 
 interface EvictionTarget {
   readonly machine: Machine;
@@ -63,8 +63,8 @@
       freeCpus += machine.cpus - machine.used.cpus;
       usedCpus += machine.used.cpus;
     }
-    const targets = this.targets(ready);
-    const cpusToKeep = expectedCpus + usedCpus * SPARE_SHARE;
+    const targets = this.evictionTargets(ready);
+    const cpusToKeep = expectedCpus + usedCpus * SPARE_CPUS_SHARE;
     const maxMoving = Math.max(1, cluster.machines.size * MAX_MOVING_SHARE);
     let moving = movingNow;
     let evictionsLeft = Math.max(EVICTIONS_PER_STEP, cluster.machines.size * EVICTIONS_PER_STEP_SHARE);
@@ -87,7 +87,10 @@
   /** Underused machines, the one first whose unused processors cost the most. */
   private mostExpensiveUnderused(ready: readonly Machine[]): Machine[] {
     return ready
-      .filter((machine) => machine.attempts.size > 0 && machine.used.cpus <= machine.cpus * UNDERUSED_SHARE)
+      .filter(
+        (machine) =>
+          machine.attempts.size > 0 && machine.used.cpus <= machine.cpus * MAX_UNDERUSED_CPUS_SHARE,
+      )
       .map((machine) => ({
         machine,
         unusedCost: this.price(machine) * (1 - machine.used.cpus / machine.cpus),
@@ -103,7 +106,7 @@
   }
 
   /** Machines with free capacity beside other running work. */
-  private targets(ready: readonly Machine[]): EvictionTarget[] {
+  private evictionTargets(ready: readonly Machine[]): EvictionTarget[] {
     return ready
       .filter((machine) => this.context.cluster.capacityIndex.has(machine) && machine.attempts.size > 0)
       .map((machine) => ({ machine, free: freeCapacity(machine) }));
--- a/src/core/autoscaling/machine-intake.ts
+++ b/src/core/autoscaling/machine-intake.ts
@@ -37,7 +37,7 @@
   }
 
   /** The write of a machine's record failed: it is decided on again. */
-  recordFailed(id: string): void {
+  recordWriteFailed(id: string): void {
     const machine = this.context.cluster.machines.get(id);
     if (machine !== undefined) machine.recording = false;
   }
--- a/src/core/autoscaling/scale-out-plan.ts
+++ b/src/core/autoscaling/scale-out-plan.ts
@@ -15,7 +15,7 @@
 /** The cloud rents no more in one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
 /** Requests in one round. */
-const MAX_REQUESTS = 3;
+const MAX_REQUESTS_PER_ROUND = 3;
 /** A machine that hasn't come up after so many boot times is counted on no longer. */
 const MAX_BOOT_TIMES = 2;
 /** Costs per task closer than this count as equal: the earlier offer stays. */
@@ -142,7 +142,7 @@
   private requestableMachines(key: string): number {
     const count = this.requests.get(key)?.count;
     if (count !== undefined) return MAX_MACHINES_PER_REQUEST - count;
-    return this.requests.size < MAX_REQUESTS ? MAX_MACHINES_PER_REQUEST : 0;
+    return this.requests.size < MAX_REQUESTS_PER_ROUND ? MAX_MACHINES_PER_REQUEST : 0;
   }
 
   /** Requests for what neither free nor booting machines will hold. */
--- a/src/core/autoscaling/silence-counts.ts
+++ b/src/core/autoscaling/silence-counts.ts
@@ -7,9 +7,9 @@
 import { hasElapsed } from "../time.js";
 
 /** Above this share of all machines, silence looks like a trouble of the controllers. */
-const WIDESPREAD_SHARE = 0.25;
+const WIDESPREAD_MACHINES_SHARE = 0.25;
 /** Above this share, right after members changed, it looks like workers that have yet to find another controller. */
-const NOTICEABLE_SHARE = 0.05;
+const NOTICEABLE_MACHINES_SHARE = 0.05;
 /** So few machines are never many, however small the cluster. */
 const NEGLIGIBLE_MACHINES = 2;
 
@@ -29,11 +29,11 @@
 
 /** Whether so many machines of a whole are too many to be at fault themselves. */
 export const isWidespread = (count: number, total: number): boolean =>
-  count > Math.max(NEGLIGIBLE_MACHINES, total * WIDESPREAD_SHARE);
+  count > Math.max(NEGLIGIBLE_MACHINES, total * WIDESPREAD_MACHINES_SHARE);
 
 /** Whether so many machines of a whole may be explained by a change of members a moment ago. */
 export const isNoticeable = (count: number, total: number): boolean =>
-  count > Math.max(NEGLIGIBLE_MACHINES, total * NOTICEABLE_SHARE);
+  count > Math.max(NEGLIGIBLE_MACHINES, total * NOTICEABLE_MACHINES_SHARE);
 
 /** Counts the machines that are out of touch. */
 export const countSilence = (context: SchedulerContext, now: Instant): SilenceCounts => {
--- a/src/core/autoscaling/silence-rules.ts
+++ b/src/core/autoscaling/silence-rules.ts
@@ -14,7 +14,7 @@
 /** Direct questions without an answer after which a machine is taken for hanging, or for deaf while it sends heartbeats. */
 const UNRESPONSIVE_AFTER_BATCHES = 3;
 /** Direct questions without an answer after which only silence of many machines leaves a doubt. */
-const CONCLUSIVE_BATCHES = 2;
+const CONCLUSIVE_UNANSWERED_BATCHES = 2;
 /** A member without an update for so long may be cut off together with its part of the machines. */
 const MEMBER_CUT_OFF_AFTER = Duration.seconds(4);
 /** Beyond the age at which a heartbeat is too old, before a machine is given up. */
@@ -25,9 +25,9 @@
 /** The least that machines behind a cut get beyond others. */
 const CUT_OFF_MARGIN = Duration.seconds(3);
 /** Heartbeat intervals after the term began: until a machine can be deaf, or lost with its zone's members. */
-const SETTLING_INTERVALS = 2;
+const SETTLING_HEARTBEAT_INTERVALS = 2;
 /** Heartbeat intervals for which machines are waited for when many were not heard from in this term. */
-const WIDESPREAD_SILENCE_INTERVALS = 5;
+const WIDESPREAD_SILENCE_HEARTBEAT_INTERVALS = 5;
 
 const laterOf = (one: Instant, other: Instant): Instant => (one >= other ? one : other);
 
@@ -81,12 +81,12 @@
         ? plus(
             termBegan,
             Duration.min(
-              Duration.times(heartbeatInterval, WIDESPREAD_SILENCE_INTERVALS),
+              Duration.times(heartbeatInterval, WIDESPREAD_SILENCE_HEARTBEAT_INTERVALS),
               this.leaseLessRelease,
             ),
           )
         : minus(plus(zoneLostSince, this.leaseLessRelease), Duration.sum(memberLease, heartbeatInterval));
-    const settling = Duration.times(heartbeatInterval, SETTLING_INTERVALS);
+    const settling = Duration.times(heartbeatInterval, SETTLING_HEARTBEAT_INTERVALS);
     return now >= lostAt && hasElapsed(now, termBegan, settling);
   }
 
@@ -120,7 +120,7 @@
 
   /** How much longer than usual a silent machine gets: with one way asked, or none yet, the fault may be on our side. */
   private extraSilence(machine: Machine, manyAreSilent: boolean): Duration.Duration {
-    if (machine.unansweredBatches >= CONCLUSIVE_BATCHES)
+    if (machine.unansweredBatches >= CONCLUSIVE_UNANSWERED_BATCHES)
       return manyAreSilent ? EXTRA_SILENCE_AFTER_SOME_BATCHES : Duration.zero;
     return machine.unansweredBatches === 1
       ? EXTRA_SILENCE_AFTER_SOME_BATCHES
@@ -146,7 +146,7 @@
       return false;
     if (isWidespread(counts.unreachable, counts.heard)) return false;
     const { termBegan, options } = this.context;
-    const wait = Duration.times(options.timings.heartbeatInterval, SETTLING_INTERVALS);
+    const wait = Duration.times(options.timings.heartbeatInterval, SETTLING_HEARTBEAT_INTERVALS);
     return hasElapsed(now, laterOf(machine.unreachableSince, termBegan), wait);
   }
 }
--- a/src/core/jobs/fanin.ts
+++ b/src/core/jobs/fanin.ts
@@ -2,17 +2,17 @@
  * The paper's fan-in, for blocked jobs, which depend on others: each parent's commit joins the blocked job's set, and the add that
  * fills it releases the job. Pure: who is open or over comes in, what is to be written comes out.
  */
-import type { Outcome } from "../records.js";
+import type { JobOutcome } from "../records.js";
 
 /** What is known of a parent. `unknown`: it isn't among the unfinished jobs, and its commit wasn't read yet. */
-export type ParentState = "open" | Outcome | "unknown";
+export type ParentState = "open" | JobOutcome | "unknown";
 
 /** What is to be written for a blocked job (S12, S13). */
 export type FaninStep =
   /** A parent was cancelled: its outcome passes on. */
   | { readonly kind: "cancel" }
-  /** Parents are done that the set doesn't contain yet; `fills`: this add releases the job. */
-  | { readonly kind: "join"; readonly joined: readonly string[]; readonly fills: boolean }
+  /** Parents are done that the set doesn't contain yet; `completesSet`: this add releases the job. */
+  | { readonly kind: "join"; readonly joined: readonly string[]; readonly completesSet: boolean }
   /** Nothing to do until one more parent is over. */
   | { readonly kind: "wait" };
 
@@ -32,10 +32,14 @@
     newJoined.add(parent);
     hasNewlyDone = true;
   }
-  const fills = dependsOn.every((parent) => newJoined.has(parent));
+  const completesSet = dependsOn.every((parent) => newJoined.has(parent));
   // a set that is full and has released nothing can't be, but a job must not wait for ever for want of one more add
-  return hasNewlyDone || fills
-    ? { kind: "join", joined: dependsOn.filter((parent) => newJoined.has(parent)), fills }
+  return hasNewlyDone || completesSet
+    ? {
+        kind: "join",
+        joined: dependsOn.filter((parent) => newJoined.has(parent)),
+        completesSet,
+      }
     : { kind: "wait" };
 };
 
--- a/src/core/members/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -120,7 +120,7 @@
     writer: string,
     maxPuts: number,
     now: Instant,
-    isOpen: (job: string) => boolean,
+    isUnfinished: (job: string) => boolean,
   ): FinishWrite[] {
     const writes: FinishWrite[] = [];
     let putsLeft = maxPuts;
@@ -130,7 +130,7 @@
       if (finishes.isWriting || waitingSince === null || !hasElapsed(now, waitingSince, this.batchingDelay))
         continue;
       if (finishes.isRefused) putsLeft = 1;
-      if (!isOpen(job)) {
+      if (!isUnfinished(job)) {
         if (hasElapsed(now, waitingSince, DROP_UNKNOWN_AFTER)) this.forgetJob(job);
         continue;
       }
@@ -162,7 +162,7 @@
     for (const [window, ranges] of splitIntoWindows(finishes.known.ranges(), this.maxValueBytes)) {
       const text = JSON.stringify(ranges);
       if (finishes.written.get(window) !== text && puts.length < maxPuts)
-        puts.push({ key: keys.rangesOf(job, keyWriter, window), window: window, text, ranges });
+        puts.push({ key: keys.rangesOf(job, keyWriter, window), window, text, ranges });
     }
     return puts;
   }
--- a/src/core/members/worker-partition.ts
+++ b/src/core/members/worker-partition.ts
@@ -32,9 +32,9 @@
 /** Tasks in the heartbeats of one message: a new leader is told everything, which doesn't fit into one (4 MiB). */
 const MAX_TASKS_IN_UPDATE = 8000;
 /** What a heartbeat without tasks takes, counted in tasks. */
-const HEARTBEAT_WEIGHT = 4;
+const HEARTBEAT_WEIGHT_TASKS = 4;
 /** Machines that were redirected to another member: several times as many as there may be. */
-const MAX_REDIRECTED = 20_000;
+const MAX_REMEMBERED_REDIRECTIONS = 20_000;
 
 const isSameStatus = (status: TaskStatus, other: TaskStatus | undefined): boolean =>
   status.state === other?.state &&
@@ -104,7 +104,7 @@
     this.finishes.reportAllAgain();
   }
 
-  private worker(machine: string): Worker {
+  private workerOf(machine: string): Worker {
     let worker = this.workers.get(machine);
     if (worker === undefined) {
       worker = { heartbeat: null, lastHeartbeatAt: null, lastAnswerAt: null };
@@ -126,7 +126,7 @@
       return null;
     }
     this.redirections.set(machine, { to: owner, at: now });
-    if (this.redirections.size > MAX_REDIRECTED) {
+    if (this.redirections.size > MAX_REMEMBERED_REDIRECTIONS) {
       const [oldest] = this.redirections.keys();
       if (oldest !== undefined) this.redirections.delete(oldest);
     }
@@ -142,7 +142,7 @@
     mayAnswer: boolean,
     incarnation: number,
     now: Instant,
-    isOver: (job: string) => boolean = () => false,
+    isEnded: (job: string) => boolean = () => false,
   ): HeartbeatAnswer {
     const { term } = this;
     if (!mayAnswer || term === null) return { kind: "unsure" };
@@ -152,11 +152,11 @@
     if (target !== null) return { kind: "elsewhere", member: target };
     this.recordHeartbeat(heartbeat, now);
     // a late copy is answered as well, and the proof by time must reckon with that; it is no sign of life
-    this.worker(heartbeat.machine).lastAnswerAt = now;
+    this.workerOf(heartbeat.machine).lastAnswerAt = now;
     this.unreportedContacts.add(heartbeat.machine);
     // an outage may keep the leader's stop from a machine that is still answered: whoever answers it knows as well
     const stopCommands = heartbeat.tasks
-      .filter((task) => task.state !== "exited" && isOver(task.job))
+      .filter((task) => task.state !== "exited" && isEnded(task.job))
       .map(({ job, index, attempt }): Command => ({
         op: "stop",
         job,
@@ -173,7 +173,7 @@
 
   /** A heartbeat, be it a worker's own or the answer to commands. One that isn't newer than the last changes nothing. */
   recordHeartbeat(heartbeat: Heartbeat, now: Instant): void {
-    const worker = this.worker(heartbeat.machine);
+    const worker = this.workerOf(heartbeat.machine);
     const last = worker.heartbeat;
     if (
       last !== null &&
@@ -224,10 +224,10 @@
     for (const machine of this.unreportedHeartbeats) {
       if (heartbeats.length >= maxHeartbeats || tasksLeft <= 0) break;
       this.unreportedHeartbeats.delete(machine);
-      const { heartbeat, lastHeartbeatAt } = this.worker(machine);
+      const { heartbeat, lastHeartbeatAt } = this.workerOf(machine);
       if (heartbeat === null) continue;
       heartbeats.push({ heartbeat, ageMs: Math.max(0, now - (lastHeartbeatAt ?? now)) });
-      tasksLeft -= HEARTBEAT_WEIGHT + heartbeat.tasks.length;
+      tasksLeft -= HEARTBEAT_WEIGHT_TASKS + heartbeat.tasks.length;
     }
     return heartbeats;
   }
--- a/src/core/placement/eligibility.ts
+++ b/src/core/placement/eligibility.ts
@@ -30,14 +30,14 @@
   failed.types === null &&
   failed.zone === null;
 
-/** Whether the machine's last heartbeat is younger than `maxHeartbeatAge` and it may be given new work (S3, S5). */
-export const isUsable = (machine: Machine, now: Instant, maxHeartbeatAge: Duration.Duration): boolean =>
+/** Whether the machine's last heartbeat is younger than `heartbeatMaxAge` and it may be given new work (S3, S5). */
+export const isUsable = (machine: Machine, now: Instant, heartbeatMaxAge: Duration.Duration): boolean =>
   isInService(machine) &&
   machine.cpus > 0 &&
   machine.addr !== null &&
   machine.unansweredBatches < UNREACHABLE_AFTER_BATCHES &&
   machine.lastHeartbeatAt !== null &&
-  !hasElapsed(now, machine.lastHeartbeatAt, maxHeartbeatAge);
+  !hasElapsed(now, machine.lastHeartbeatAt, heartbeatMaxAge);
 
 /** Whether the machine is known for certain, works, and isn't about to go. */
 const isInService = (machine: Machine): boolean =>
--- a/src/core/placement/gang-placer.ts
+++ b/src/core/placement/gang-placer.ts
@@ -56,7 +56,7 @@
   /** Tries to place a whole gang on the given machines; leaves nothing behind if it doesn't fit. */
   private placeOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { spec } = job;
-    const { now, partitionFreeCpus: partitionFreeCpus } = round;
+    const { now, partitionFreeCpus } = round;
     let fitting = 0;
     for (const machine of candidates)
       if (allowsMachine(spec, machine)) fitting += tasksThatFit(spec, freeCapacity(machine));
@@ -68,7 +68,7 @@
       const machine = chooseMachine(this.context.cluster, job, {
         candidates,
         now,
-        partitionFreeCpus: partitionFreeCpus,
+        partitionFreeCpus,
       });
       if (machine === null) break;
       started.push(this.starter.start({ job, index, attempt, machine }, now, trialCommands));
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -53,7 +53,7 @@
   constructor(private readonly context: SchedulerContext) {}
 
   /** Waiting jobs that may be started now, the first to be served first. */
-  sorted(now: Instant): Job[] {
+  sortedJobs(now: Instant): Job[] {
     const { cluster } = this.context;
     this.updateGuaranteed();
     const waiting = [...cluster.pendingJobs];
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -50,7 +50,7 @@
   /** Starts what fits, and preempts other tasks for what doesn't. */
   step(now: Instant, pendingCommands: PendingCommands, notes: string[]): void {
     if (!this.isWorthTrying(now)) return;
-    const queue = this.queue.sorted(now);
+    const queue = this.queue.sortedJobs(now);
     const round = this.newRound(queue, now, pendingCommands, notes);
     for (const job of queue) {
       if (round.startsLeft <= 0) break;
--- a/src/core/placement/preemption-candidates.ts
+++ b/src/core/placement/preemption-candidates.ts
@@ -63,9 +63,7 @@
     reserve(attempt.spec, capacity, -1);
     costCpuSeconds += (attempt.spec.cpus * Math.max(1, now - attempt.stateSince)) / MS_PER_SECOND;
   }
-  return attempts.length > 0 && fits(job.spec, capacity)
-    ? { machine, attempts, costCpuSeconds: costCpuSeconds }
-    : null;
+  return attempts.length > 0 && fits(job.spec, capacity) ? { machine, attempts, costCpuSeconds } : null;
 };
 
 /** The cheapest set of tasks on one machine whose end lets one task of `job` start there. */
--- a/src/core/rates/backoff.ts
+++ b/src/core/rates/backoff.ts
@@ -11,7 +11,7 @@
   private refusals = 0;
 
   /** It was refused: how long to wait before the next attempt. */
-  refused(): Duration.Duration {
+  pauseAfterRefusal(): Duration.Duration {
     return Duration.min(
       LONGEST_PAUSE,
       Duration.times(FIRST_PAUSE, 2 ** Math.min(this.refusals++, MAX_DOUBLINGS)),
@@ -19,7 +19,7 @@
   }
 
   /** It was accepted: the next refusal counts as the first. */
-  accepted(): void {
+  reset(): void {
     this.refusals = 0;
   }
 }
--- a/src/core/rates/rate-limit-selector.ts
+++ b/src/core/rates/rate-limit-selector.ts
@@ -43,7 +43,7 @@
   }
 
   /** The service said 429; whether to requests or to changes isn't known, so both go down. */
-  refused(now: Instant): void {
+  recordRefusal(now: Instant): void {
     if (this.lowerRates === this.currentRates || this.ratesAt(now) === this.lowerRates) return;
     const isSoon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, REPEATED_REFUSAL_WITHIN);
     this.loweredSpan = isSoon
--- a/src/core/rates/rate-limiter.ts
+++ b/src/core/rates/rate-limiter.ts
@@ -5,7 +5,7 @@
 /** For how long after a refusal urgent requests keep to the rate as well. */
 const PACING_AFTER_REFUSAL = Duration.seconds(2);
 /** They keep a little below the rate, or what others write in between would have them refused again. */
-const PACED_SHARE = 0.9;
+const PACED_RATE_SHARE = 0.9;
 /** How long each may wait for its turn. */
 const MAX_URGENT_DELAY = Duration.seconds(1);
 
@@ -63,7 +63,10 @@
     }
     const sendAt = this.nextUrgentAt === null || this.nextUrgentAt < now ? now : this.nextUrgentAt;
     if (hasElapsed(sendAt, now, maxWait)) return null;
-    this.nextUrgentAt = plus(sendAt, Duration.millis((count / this.tokensPerSecond / PACED_SHARE) * 1000));
+    this.nextUrgentAt = plus(
+      sendAt,
+      Duration.millis((count / this.tokensPerSecond / PACED_RATE_SHARE) * 1000),
+    );
     return Duration.millis(sendAt - now);
   }
 
@@ -80,7 +83,7 @@
   }
 
   /** The other side said 429: nothing more for a while. */
-  refused(now: Instant, span: Duration.Duration): void {
+  recordRefusal(now: Instant, span: Duration.Duration): void {
     this.refusedAt = now;
     this.tokens = Math.min(this.tokens, 0);
     this.closedUntil = plus(now, span);
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -6,8 +6,8 @@
   CommitRecord,
   FaninRecord,
   JobSpec,
-  Kind,
-  Outcome,
+  JobKind,
+  JobOutcome,
   Priority,
   RangesRecord,
 } from "./records/jobs.js";
--- a/src/core/records/jobs.ts
+++ b/src/core/records/jobs.ts
@@ -3,7 +3,7 @@
 import type { Range } from "../ranges.js";
 
 /** How a job's tasks belong together: independent ones, all at once or none, or replicas that run until cancelled. */
-export type Kind = "array" | "gang" | "service";
+export type JobKind = "array" | "gang" | "service";
 
 /** How important users say that a job is. */
 export type Priority = "production" | "high" | "normal" | "low";
@@ -17,7 +17,7 @@
   /** The class of its tasks, for which users expect a start latency; attempts are counted by it. */
   readonly className: string;
   readonly team: string;
-  readonly kind: Kind;
+  readonly kind: JobKind;
   readonly priority: Priority;
   /** How many tasks it has; they are numbered from 0. */
   readonly tasks: number;
@@ -50,11 +50,11 @@
 }
 
 /** How a job ended. */
-export type Outcome = "done" | "cancelled";
+export type JobOutcome = "done" | "cancelled";
 
 /** The end of a job: created only if absent, and never changed (S7). */
 export interface CommitRecord {
-  readonly outcome: Outcome;
+  readonly outcome: JobOutcome;
   readonly tasks: number;
 }
 
--- a/src/core/scheduler/scheduler.ts
+++ b/src/core/scheduler/scheduler.ts
@@ -154,7 +154,7 @@
 
   /** The write of a machine's record failed. */
   machineRecordFailed(id: string): void {
-    this.machineIntake.recordFailed(id);
+    this.machineIntake.recordWriteFailed(id);
   }
 
   /** The cloud's list of machines. */
--- a/src/core/time.ts
+++ b/src/core/time.ts
@@ -19,7 +19,7 @@
   now - earlier >= Duration.toMillis(span);
 
 /** The steady clocks of two machines drift apart by as much as 0.05%; we allow four times that. */
-export const CLOCK_DRIFT_ALLOWANCE = 0.002;
+export const MAX_CLOCK_DRIFT_RATIO = 0.002;
 /** What a span on one machine's clock may be at most on another's. */
 export const withClockDrift = (span: Duration.Duration): Duration.Duration =>
-  Duration.millis(Duration.toMillis(span) * (1 + CLOCK_DRIFT_ALLOWANCE));
+  Duration.millis(Duration.toMillis(span) * (1 + MAX_CLOCK_DRIFT_RATIO));
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -57,7 +57,7 @@
       Effect.mapError((failed) => new CloudFailed({ sent: failed.sent, why: failed.why })),
       Effect.tap((reply) =>
         Effect.sync(() => {
-          if (reply.status === 429) this.rateLimiter.refused(now(), Duration.seconds(1));
+          if (reply.status === 429) this.rateLimiter.recordRefusal(now(), Duration.seconds(1));
         }),
       ),
     );
--- a/src/io/codec/user-api.ts
+++ b/src/io/codec/user-api.ts
@@ -1,7 +1,7 @@
 /** The users' API and the job records, which are submissions as they were accepted. */
 import { Ajv } from "ajv";
 import * as Duration from "effect/Duration";
-import type { FaninRecord, JobSpec, Kind, Priority } from "../../core/records.js";
+import type { FaninRecord, JobSpec, JobKind, Priority } from "../../core/records.js";
 import { jobRecordSchema, submissionSchema } from "../schemas.js";
 
 /** A submission as it is on the wire, without the fields that this service doesn't know. */
@@ -29,7 +29,7 @@
   awaits?: string[] | null;
 }
 
-const KINDS: Record<WireJob["shape"], Kind> = { array: "array", ensemble: "gang", daemon: "service" };
+const KINDS: Record<WireJob["shape"], JobKind> = { array: "array", ensemble: "gang", daemon: "service" };
 const PRIORITIES: Record<WireJob["urgency"], Priority> = {
   critical: "production",
   urgent: "high",
--- a/src/io/state-pacer.ts
+++ b/src/io/state-pacer.ts
@@ -71,10 +71,10 @@
 
   /** The service refused a request for its rate: other rates may be in force, and what waits goes on waiting. */
   onRateLimited(): void {
-    this.limitSelector.refused(now());
+    this.limitSelector.recordRefusal(now());
     this.setRates();
-    this.requestLimiter.refused(now(), PAUSE_AFTER_REFUSAL);
-    this.changeLimiter.refused(now(), PAUSE_AFTER_REFUSAL);
+    this.requestLimiter.recordRefusal(now(), PAUSE_AFTER_REFUSAL);
+    this.changeLimiter.recordRefusal(now(), PAUSE_AFTER_REFUSAL);
   }
 
   /** Succeeds once the request may be sent; fails when that takes too long, and then it must not be sent. */
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -4,7 +4,13 @@
  * by whoever looks after blocked jobs, as after any join that was lost.
  */
 import * as Effect from "effect/Effect";
-import { type CommitRecord, type FaninRecord, type JobSpec, keys, type Outcome } from "../../core/records.js";
+import {
+  type CommitRecord,
+  type FaninRecord,
+  type JobSpec,
+  keys,
+  type JobOutcome,
+} from "../../core/records.js";
 import {
   type Change,
   type Condition,
@@ -39,7 +45,7 @@
  * itself, that holds no longer than none of its ancestors has one of the commits `ancestorCommitKeys`.
  */
 type Parent =
-  | { readonly id: string; readonly state: Outcome }
+  | { readonly id: string; readonly state: JobOutcome }
   | {
       readonly id: string;
       readonly state: "open";
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -1,7 +1,7 @@
 /** Reads one job's status, record by record. */
 import type * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
-import { type CommitRecord, keys, type Outcome } from "../../core/records.js";
+import { type CommitRecord, keys, type JobOutcome } from "../../core/records.js";
 import type { Row } from "../../io/codec.js";
 import { type StateClient, type StateError, Unavailable, type Urgency } from "../../io/state-client.js";
 import type { JobCache } from "../job-cache.js";
@@ -92,7 +92,7 @@
    * The outcome of a job before a blocked one, if it has one. One that wasn't heard of here yet is read, so that what it
    * depends on itself is known afterwards.
    */
-  private ancestorOutcome(id: string, pacing: RequestPacing): Effect.Effect<Outcome | null, StateError> {
+  private ancestorOutcome(id: string, pacing: RequestPacing): Effect.Effect<JobOutcome | null, StateError> {
     return Effect.gen(this, function* () {
       const outcome = yield* this.readOutcome(id, pacing);
       if (outcome !== null || this.jobCache.isUnfinished(id)) return outcome;
@@ -109,7 +109,7 @@
     });
   }
 
-  private readOutcome(id: string, pacing: RequestPacing): Effect.Effect<Outcome | null, StateError> {
+  private readOutcome(id: string, pacing: RequestPacing): Effect.Effect<JobOutcome | null, StateError> {
     return Effect.map(this.get(keys.commit(id), pacing), (row) => {
       if (row === null) return null;
       const commit = row.value as CommitRecord;
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -136,7 +136,7 @@
         case "join":
           // adds to full or missing sets release nothing
           if (fanin !== null && !fanin.released)
-            yield* this.join(id, job, fanin, { joined: step.joined, released: step.fills });
+            yield* this.join(id, job, fanin, { joined: step.joined, released: step.completesSet });
           return;
         default:
           return step satisfies never;
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -33,7 +33,7 @@
     const key = `${kind} ${id}`;
     let backoff = this.backoffs.get(key);
     if (backoff === undefined) this.backoffs.set(key, (backoff = new Backoff()));
-    return backoff.refused();
+    return backoff.pauseAfterRefusal();
   }
 
   /** A record was accepted: its next rejection counts as the first. */
--- a/test/core-state.test.ts
+++ b/test/core-state.test.ts
@@ -19,7 +19,7 @@
   assert.ok(taken >= 100 && taken <= 111, `${taken}`);
   budget.takeUrgent(instant(now), 10);
   assert.ok(Duration.toMillis(budget.take(instant(now))) > 900);
-  budget.refused(instant(now), Duration.seconds(5));
+  budget.recordRefusal(instant(now), Duration.seconds(5));
   assert.ok(Duration.toMillis(budget.take(instant(now))) >= 5000);
 });
 
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -278,11 +278,11 @@
 
 test("pauses after refusals grow up to half a minute, and are short again after a success", () => {
   const backoff = new Backoff();
-  const pauses = Array.from({ length: 12 }, () => Duration.toMillis(backoff.refused()));
+  const pauses = Array.from({ length: 12 }, () => Duration.toMillis(backoff.pauseAfterRefusal()));
   assert.deepEqual(pauses.slice(0, 4), [250, 500, 1000, 2000]);
   assert.equal(pauses.at(-1), 30_000);
-  backoff.accepted();
-  assert.equal(Duration.toMillis(backoff.refused()), 250);
+  backoff.reset();
+  assert.equal(Duration.toMillis(backoff.pauseAfterRefusal()), 250);
 });
 
 interface Txn {
--- a/test/model/job-releases.ts
+++ b/test/model/job-releases.ts
@@ -73,7 +73,7 @@
       if (next.kind === "wait") return end();
       if (next.kind === "cancel") return cancelWaitingJob(pipelines, node, id, end);
       if (set === null || set.released) return end();
-      joinFanin(pipelines, node, job, set, { joined: next.joined, released: next.fills }, all, end);
+      joinFanin(pipelines, node, job, set, { joined: next.joined, released: next.completesSet }, all, end);
     };
     const set = view.fanins.get(id);
     if (set !== undefined) step(set);
--- a/test/model/job-views.ts
+++ b/test/model/job-views.ts
@@ -2,7 +2,7 @@
  * The records of jobs that wait for others, and what each process knows of them, a moment behind the state service.
  */
 import { BlockedJobs } from "../../src/core/jobs/fanin.js";
-import { type JobSpec, type Outcome } from "../../src/core/records.js";
+import { type JobSpec, type JobOutcome } from "../../src/core/records.js";
 import { type Version } from "./versions.js";
 
 export interface Row {
@@ -30,7 +30,7 @@
   readonly fanins = new Map<string, Fanin>();
   readonly waiters = new BlockedJobs();
   /** Outcomes that were read: they never change. */
-  readonly finals = new Map<string, Outcome>();
+  readonly finals = new Map<string, JobOutcome>();
   private readonly over = new Set<string>();
   /** Waiting jobs to look at while it leads, whose leadership that is, and how many are looked at now. */
   readonly changed = new Set<string>();
@@ -92,7 +92,7 @@
 export interface Host<N extends Process> {
   readonly nodes: readonly N[];
   readonly jobs: Map<string, Row>;
-  readonly commits: ReadonlyMap<string, { readonly outcome: Outcome }>;
+  readonly commits: ReadonlyMap<string, { readonly outcome: JobOutcome }>;
   readonly cancelMs: number;
   now(): number;
   draw(): number;
@@ -104,7 +104,7 @@
   reaches(node: N): boolean;
   transact(node: N, attempts: (late: boolean) => boolean, apply: () => void): boolean | null;
   nextRevision(): number;
-  commit(id: string, outcome: Outcome): void;
+  commit(id: string, outcome: JobOutcome): void;
   count(what: string): void;
   broke(rule: string, text: string): void;
   /** Since when there are no more troubles. */
@@ -125,7 +125,7 @@
   ): boolean;
 }
 export type JobStatus =
-  | { readonly kind: "final"; readonly outcome: Outcome }
+  | { readonly kind: "final"; readonly outcome: JobOutcome }
   | { readonly kind: "open"; readonly stamp: number; readonly waiting: boolean }
   | { readonly kind: "absent" };
 /** How many records one transaction compares: wide fans have more parents. */
--- a/test/model/waiting-jobs.ts
+++ b/test/model/waiting-jobs.ts
@@ -16,7 +16,7 @@
 } from "./job-views.js";
 import { readStatus } from "./job-status.js";
 import { acceptSubmission, cancelAtNode } from "./submissions.js";
-import { type JobSpec, type Outcome } from "../../src/core/records.js";
+import { type JobSpec, type JobOutcome } from "../../src/core/records.js";
 import { CloseLooks, UnansweredQuestions } from "./users-questions.js";
 import { MixedVersions, type Version } from "./versions.js";
 
@@ -32,7 +32,7 @@
   readonly accepted = new Map<string, number>();
   readonly cancelRequested = new Set<string>();
   /** The final answers, and when the first of them came. */
-  readonly answers = new Map<string, { outcome: Outcome; at: number }>();
+  readonly answers = new Map<string, { outcome: JobOutcome; at: number }>();
   nextAsk = 0;
   readonly closeLooks: CloseLooks<N>;
   readonly versions = new MixedVersions();
@@ -152,7 +152,7 @@
   }
 
   /** A user was told that his job is over. */
-  receiveOutcome(id: string, outcome: Outcome, byUser = false): void {
+  receiveOutcome(id: string, outcome: JobOutcome, byUser = false): void {
     const { host } = this;
     if (byUser) this.cancelRequested.add(id);
     const before = this.answers.get(id);
--- a/test/rates.test.ts
+++ b/test/rates.test.ts
@@ -31,8 +31,8 @@
         served++;
       } else {
         refusals.push(at);
-        n.rates.refused(instant(at));
-        n.budget.refused(instant(at), Duration.millis(300));
+        n.rates.recordRefusal(instant(at));
+        n.budget.recordRefusal(instant(at), Duration.millis(300));
       }
     }
   }
@@ -82,8 +82,8 @@
       } else {
         refused++;
         one.at = at + 250;
-        rates.refused(instant(at));
-        budget.refused(instant(at), Duration.millis(300));
+        rates.recordRefusal(instant(at));
+        budget.recordRefusal(instant(at), Duration.millis(300));
       }
     }
     due = due.filter((one) => one.at !== Infinity);
@@ -104,7 +104,7 @@
   const low = { rps: 80, writeRps: 18 };
   const rates = new RateLimitSelector({ rps: 100, writeRps: 25 }, low);
   const lowAt = (s: number): boolean => rates.ratesAt(instant(s * 1000)).writeRps === 18;
-  const refused = (s: number): void => rates.refused(instant(s * 1000));
+  const refused = (s: number): void => rates.recordRefusal(instant(s * 1000));
   assert.equal(lowAt(0), false);
   refused(0);
   refused(30);
@@ -128,7 +128,7 @@
     new RateLimitSelector(today),
     new RateLimitSelector(today, { rps: 200, writeRps: 25 }),
   ]) {
-    rates.refused(instant(0));
+    rates.recordRefusal(instant(0));
     assert.deepEqual(rates.ratesAt(instant(1)), today);
   }
 });
