--- a/src/core/autoscaling/arrival-forecast.ts
+++ b/src/core/autoscaling/arrival-forecast.ts
@@ -1,35 +1,35 @@
-/** Which work is likely to arrive soon, judged by what arrived lately: machines are kept, or rented, for it. */
+/** Forecasts the work that will arrive soon from recent arrivals; machines are kept, or rented, for it. */
 import * as Duration from "effect/Duration";
 import type { Job } from "../cluster/cluster.js";
 import { type JobSpec, RANK } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
 
-/** Arrivals of so long ago say what is to come. */
+/** The forecast is based on the arrivals within this time. */
 const ARRIVAL_WINDOW = Duration.seconds(45);
-/** Remembered arrivals; beyond that the oldest are dropped, so many at a time. */
+/** Number of arrivals that are remembered, and how many of the oldest are dropped at once when there are more. */
 const MAX_ARRIVALS = 2000;
 const ARRIVALS_DROPPED_AT_ONCE = 1000;
 
-/** So many tasks of a job. */
+/** A number of tasks with the same spec. */
 export interface TaskDemand {
   readonly spec: JobSpec;
   readonly tasks: number;
 }
 
-/** Remembers released jobs for a while. */
+/** Remembers recently released jobs. */
 export class ArrivalForecast {
   private arrivals: Job[] = [];
 
-  /** `warmFor`: how far the forecast reaches. */
+  /** `warmFor`: how far ahead the forecast reaches. */
   constructor(private readonly warmFor: Duration.Duration) {}
 
-  /** A job was released. */
+  /** Records that a job was released. */
   recordArrival(job: Job): void {
     this.arrivals.push(job);
     if (this.arrivals.length > MAX_ARRIVALS) this.arrivals.splice(0, ARRIVALS_DROPPED_AT_ONCE);
   }
 
-  /** Work expected soon, a row for each class of jobs; none for the lowest rank, which can wait. */
+  /** The tasks expected, by class of jobs; those of the lowest rank can wait and aren't counted. */
   expectedTasks(now: Instant): TaskDemand[] {
     this.arrivals = this.arrivals.filter((job) => !hasElapsed(now, job.releasedAt, ARRIVAL_WINDOW));
     const byClass = new Map<string, { spec: JobSpec; tasks: number }>();
@@ -45,7 +45,7 @@
       .filter((demand) => demand.tasks > 0);
   }
 
-  /** Processors that the expected work needs. */
+  /** Number of processors that the expected tasks need. */
   expectedCpus(now: Instant): number {
     return this.expectedTasks(now).reduce((sum, { spec, tasks }) => sum + spec.cpus * tasks, 0);
   }
--- a/src/core/autoscaling/autoscaler-decisions.ts
+++ b/src/core/autoscaling/autoscaler-decisions.ts
@@ -1,4 +1,4 @@
-/** Which machines to rent and to return, given what waits and what is idle. Called about once a second. */
+/** Decides which machines to rent and to release. Called about once a second. */
 import type { Machine } from "../cluster/cluster.js";
 import { startableTaskCount } from "../heartbeats/attempt-results.js";
 import type { JobQueue } from "../placement/job-queue.js";
@@ -11,14 +11,14 @@
 import type { ScaleIn } from "./scale-in.js";
 import type { ScaleInReason } from "./scale-in-reason.js";
 
-/** Machines returned in one request. */
+/** Most machines released in one request. */
 const MAX_MACHINES_PER_RELEASE = 100;
 
-/** Brings together what is returned for cause (`ScaleIn`), what is idle, and what is to be rented (`Autoscaler`). */
+/** Combines releases for cause (`ScaleIn`), releases of idle machines and rentals (`Autoscaler`), and evictions. */
 export class AutoscalerDecisions {
   private readonly eviction: GracefulEviction;
 
-  /** `queue`: says which jobs wait, and in which order they are served. */
+  /** `queue`: the waiting jobs in the order in which they are served. */
   constructor(
     private readonly context: SchedulerContext,
     private readonly autoscaler: Autoscaler,
@@ -28,7 +28,7 @@
     this.eviction = new GracefulEviction(context);
   }
 
-  /** Releases of machines that are faulty, silent, emptied or idle (S3); and which machines are to be emptied. */
+  /** Releases machines that are faulty, silent, emptied or idle (S3), and starts draining underused ones. */
   release(now: Instant): Decision[] {
     const { cluster, machineTypeByName } = this.context;
     const plan = this.scaleIn.step(now);
@@ -58,7 +58,7 @@
     return { kind: "release", machines, reason };
   }
 
-  /** Requests for what neither free nor booting machines will hold (S10). */
+  /** Rents machines for the tasks that fit neither free nor booting ones (S10). */
   scaleOut(now: Instant): Decision[] {
     const { cluster, machineTypes } = this.context;
     const isUsable = (machine: Machine): boolean =>
@@ -67,7 +67,7 @@
     return requests.map((rent) => ({ kind: "rent", rent }));
   }
 
-  /** Waiting jobs, with as many tasks as their team's limit allows. */
+  /** Waiting jobs with the number of tasks that could start now and that their team's limits allow. */
   private waitingTasks(now: Instant): WaitingTasks[] {
     const waiting: WaitingTasks[] = [];
     for (const job of this.queue.sortedJobs(now)) {
--- a/src/core/autoscaling/autoscaler.ts
+++ b/src/core/autoscaling/autoscaler.ts
@@ -1,4 +1,4 @@
-/** How many machines, of which type, where, and of which kind: what to rent for waiting work, and what to return. */
+/** Sizes the fleet: which machines to rent for waiting and expected work, and which idle machines to release. */
 import * as Duration from "effect/Duration";
 import type { Cluster, Job, Machine } from "../cluster/cluster.js";
 import { freeCapacity, reserve, tasksThatFit } from "../placement/capacity.js";
@@ -9,17 +9,17 @@
 import { type Offer, OfferCatalog, type ScaleOutRequest } from "./offers.js";
 import { ScaleOutPlan } from "./scale-out-plan.js";
 
-/** The operator's settings of the fleet's size. */
+/** The operators' settings for the size of the fleet. */
 export interface FleetOptions {
-  /** Share of the capacity now taken by short tasks that queued tasks of each kind may wait for. */
+  /** Share of the capacity occupied by short tasks for whose end arrays wait instead of renting machines. */
   readonly reuse: number;
-  /** How long a machine stands idle before it is returned, in boot times of its type. */
+  /** How long a machine is idle before it is released, as a multiple of its type's boot time. */
   readonly idleBoots: number;
-  /** How long arriving work is for which capacity is kept free. */
+  /** How far ahead capacity is kept for expected arrivals. */
   readonly warmFor: Duration.Duration;
 }
 
-/** Waiting work: so many tasks of a job. */
+/** A number of waiting tasks of a job. */
 export interface WaitingTasks {
   readonly job: Job;
   readonly tasks: number;
@@ -32,34 +32,34 @@
   readonly requestedAt: Instant;
 }
 
-/** Remembers refusals, arrivals and requests under way. Pure: time comes in as an argument. */
+/** Keeps track of refused offers, arrivals and outstanding requests. Does no I/O and reads no clock. */
 export class Autoscaler {
-  /** Requests without an answer, by the name under which each is stored (S10). */
+  /** Unanswered requests, by the name of their rental record (S10). */
   readonly outstandingRequests = new Map<string, OutstandingRequest>();
   private readonly catalog = new OfferCatalog();
   private readonly forecast: ArrivalForecast;
 
-  /** `options`: the operator's settings, fixed while the process runs. */
+  /** `options`: fixed while the process runs. */
   constructor(private readonly options: FleetOptions) {
     this.forecast = new ArrivalForecast(options.warmFor);
   }
 
-  /** The cloud has no more machines of an offer for the moment; `key`: see `offerKey`. */
+  /** Records that the cloud has no more machines of an offer at present; `key`: see `offerKey`. */
   markRefused(key: string, now: Instant): void {
     this.catalog.markRefused(key, now);
   }
 
-  /** A job was released. */
+  /** Records that a job was released. */
   recordArrival(job: Job): void {
     this.forecast.recordArrival(job);
   }
 
-  /** Processors that work likely to arrive soon needs. */
+  /** Number of processors needed by work that is expected soon. */
   expectedCpus(now: Instant): number {
     return this.forecast.expectedCpus(now);
   }
 
-  /** Requests for what neither free nor booting machines will hold; waiting work comes before expected work. */
+  /** Requests for the tasks that fit neither free nor booting machines; waiting tasks come before expected ones. */
   scaleOut(
     cluster: Cluster,
     waiting: readonly WaitingTasks[],
@@ -76,7 +76,7 @@
     return plan.scaleOutRequests;
   }
 
-  /** Idle machines to return: never more than leaves capacity for the expected arrivals. */
+  /** Idle machines to release, without those that are needed for expected arrivals. */
   surplusMachines(
     cluster: Cluster,
     types: ReadonlyMap<string, MachineType>,
@@ -90,7 +90,7 @@
     return idle.filter((machine) => !needed.has(machine.id));
   }
 
-  /** Machines that have been idle for long enough to be returned. */
+  /** Machines that have been idle for long enough to be released. */
   private idleMachines(cluster: Cluster, types: ReadonlyMap<string, MachineType>, now: Instant): Machine[] {
     const idle: Machine[] = [];
     for (const machine of cluster.machines.values()) {
@@ -103,11 +103,11 @@
   }
 }
 
-/** Identifiers of the machines on which expected work will find capacity, if it comes. */
+/** Ids of the machines onto which the expected tasks are packed. */
 const machinesNeededFor = (demands: readonly TaskDemand[], machines: readonly Machine[]): Set<string> => {
   const needed = new Set<string>();
   const pools = machines.map((machine) => ({ machine, free: freeCapacity(machine) }));
-  // fullest first: what fits beside running work needs no idle machine
+  // fullest first: tasks that fit beside running work need no idle machine
   pools.sort((one, other) => one.free.cpus / one.machine.cpus - other.free.cpus / other.machine.cpus);
   for (const { spec, tasks } of demands) {
     let left = tasks;
--- a/src/core/autoscaling/graceful-eviction.ts
+++ b/src/core/autoscaling/graceful-eviction.ts
@@ -1,8 +1,9 @@
 /**
- * Empties underused machines without ending work early, so that they can be returned. While nothing waits and there is
- * more capacity than is likely to be needed soon, the machines that cost the most for the least get no new work: short
- * tasks run out there, and replicas move if they all fit beside other running work where their image is cached already
- * (the gap is then a stop and a start). When work waits, they are used again.
+ * Drains underused machines without ending work early, so that they can be released. While nothing waits and more
+ * capacity is free than will probably be needed soon, the machines with the most expensive unused capacity get no new
+ * work. Short tasks run to their end there. Replicas are moved if all of them fit beside other running work on
+ * machines that have their image in the cache, so that the interruption is just a stop and a start. When work waits,
+ * the machines are used again.
  */
 import { isWaitingForCapacity } from "../heartbeats/attempt-results.js";
 import { type TaskAttempt, type Machine, occupiesCapacity } from "../cluster/cluster.js";
@@ -13,19 +14,19 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import type { Instant } from "../time.js";
 
-/** Share of all machines from which replicas may be moving at once. */
+/** Share of all machines from which replicas may be moving at the same time. */
 const MAX_MOVING_SHARE = 0.02;
-/** Machines that begin to be emptied in one step: the larger of a number and a share of all machines. */
+/** Most machines whose draining begins in one step: the larger of a number and a share of all machines. */
 const EVICTIONS_PER_STEP = 4;
 const EVICTIONS_PER_STEP_SHARE = 0.0025;
-/** Processors kept free beyond what is expected, as a share of those in use. */
+/** Processors to keep free in addition to those for expected work, as a share of the processors in use. */
 const SPARE_CPUS_SHARE = 0.1;
 /** A machine is underused if at most this share of its processors is in use. */
 const MAX_UNDERUSED_CPUS_SHARE = 0.5;
 
 interface EvictionTarget {
   readonly machine: Machine;
-  /** Free capacity that no replica was promised yet. */
+  /** Free capacity that is not yet reserved for a replica. */
   readonly free: Capacity;
 }
 
@@ -34,11 +35,11 @@
 
 const replicasOn = (machine: Machine): TaskAttempt[] => [...machine.attempts.values()].filter(isReplica);
 
-/** Decides which machines are being emptied; what is on them is moved by the reconciler. */
+/** Decides which machines are drained; the reconciler moves the replicas on them. */
 export class GracefulEviction {
   constructor(private readonly context: SchedulerContext) {}
 
-  /** `expectedCpus`: processors that work likely to arrive soon will need. */
+  /** Starts and cancels drains. `expectedCpus`: processors needed by work that is expected soon. */
   step(now: Instant, expectedCpus: number): void {
     const { cluster } = this.context;
     const draining = [...cluster.machines.values()].filter((machine) => machine.draining);
@@ -54,7 +55,7 @@
     this.evict(ready, moving, expectedCpus, now);
   }
 
-  /** `movingNow`: machines from which replicas are moving already. */
+  /** `movingNow`: number of machines from which replicas are already moving. */
   private evict(ready: readonly Machine[], movingNow: number, expectedCpus: number, now: Instant): void {
     const { cluster } = this.context;
     let freeCpus = 0;
@@ -70,7 +71,7 @@
     let evictionsLeft = Math.max(EVICTIONS_PER_STEP, cluster.machines.size * EVICTIONS_PER_STEP_SHARE);
     for (const machine of this.mostExpensiveUnderused(ready)) {
       if (evictionsLeft <= 0) return;
-      // what runs on it goes elsewhere, or comes back elsewhere
+      // both its free and its used processors have to be available elsewhere
       if (freeCpus - machine.cpus < cpusToKeep) continue;
       const replicas = replicasOn(machine);
       if (replicas.length > 0) {
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Underused machines, the one first whose unused processors cost the most. */
+  /** Underused machines, ordered by the cost of their unused processors, the highest first. */
   private mostExpensiveUnderused(ready: readonly Machine[]): Machine[] {
     return ready
       .filter(
@@ -112,7 +113,7 @@
       .map((machine) => ({ machine, free: freeCapacity(machine) }));
   }
 
-  /** Whether all replicas fit elsewhere. What was found is reserved, also if one of them fits nowhere. */
+  /** Whether all replicas fit elsewhere. Capacity found for them stays reserved even if one of them fits nowhere. */
   private canMove(
     machine: Machine,
     replicas: readonly TaskAttempt[],
--- a/src/core/autoscaling/machine-intake.ts
+++ b/src/core/autoscaling/machine-intake.ts
@@ -1,11 +1,11 @@
-/** Takes in what the state service and the cloud say of machines. */
+/** Adds and updates machines from the records in the state service and from the cloud's answers. */
 import * as Duration from "effect/Duration";
 import { addMachine, removeMachine, type Machine, newMachine, setMachine } from "../cluster/cluster.js";
 import type { MachineRecord } from "../records.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, plus } from "../time.js";
 
-/** A machine as the cloud lists it. */
+/** A machine in the cloud's list. */
 export interface ListedMachine {
   readonly id: string;
   readonly record: MachineRecord;
@@ -13,16 +13,19 @@
   readonly ageMs: number;
 }
 
-/** Released machines that are remembered. Late lists and heartbeats may name machines that are gone; of the oldest nothing comes any more. */
+/**
+ * Number of released machines that are remembered, since delayed lists and heartbeats may still name them. Nothing
+ * arrives about the oldest ones any more.
+ */
 const MAX_REMEMBERED_RELEASES = 20_000;
 
-/** The machines: none is taken in again after its release was answered (S3). */
+/** Maintains the machines of the cluster; none is added again after its release was answered (S3). */
 export class MachineIntake {
   private readonly releasedMachines = new Set<string>();
 
   constructor(private readonly context: SchedulerContext) {}
 
-  /** A machine record read from the state service, or one just written; null if the machine is gone. */
+  /** Adds or updates a machine whose record was read from, or written to, the state service; null: it was released. */
   addRecorded(id: string, record: MachineRecord, now: Instant): Machine | null {
     if (this.releasedMachines.has(id)) return null;
     const { cluster } = this.context;
@@ -36,15 +39,15 @@
     return machine;
   }
 
-  /** The write of a machine's record failed: it is decided on again. */
+  /** The write of the machine's record failed, and may be tried again. */
   recordWriteFailed(id: string): void {
     const machine = this.context.cluster.machines.get(id);
     if (machine !== undefined) machine.recording = false;
   }
 
   /**
-   * A machine that was rented, or found in a heartbeat or a list. Without a record no leader ever started anything on it
-   * (S5), so it is confirmed; null if it is gone.
+   * Adds a machine that was rented, or named by a heartbeat or the cloud's list; null: it was released. Without a
+   * record no leader ever started anything on it (S5), so a new machine is confirmed.
    */
   addDiscovered(id: string, record: MachineRecord, now: Instant): Machine | null {
     if (this.releasedMachines.has(id)) return null;
@@ -58,7 +61,7 @@
     return machine;
   }
 
-  /** The cloud's list of machines. */
+  /** Adds and updates machines from the cloud's list. */
   mergeList(rows: readonly ListedMachine[], now: Instant): void {
     for (const row of rows) {
       const created = plus(now, Duration.millis(-row.ageMs));
@@ -70,7 +73,7 @@
     }
   }
 
-  /** Whether the machine was still known; it is gone from now on. */
+  /** The machine's release was carried out; returns whether the machine was still known. */
   removeReleased(id: string): boolean {
     const { cluster } = this.context;
     const machine = cluster.machines.get(id);
@@ -81,7 +84,7 @@
     return true;
   }
 
-  /** The release was not carried out: it is requested again a while from now. */
+  /** The machine's release failed; it is requested again later. */
   releaseFailed(id: string, now: Instant): void {
     const machine = this.context.cluster.machines.get(id);
     if (machine !== undefined) machine.releaseRequestedAt = now;
--- a/src/core/autoscaling/offers.ts
+++ b/src/core/autoscaling/offers.ts
@@ -1,38 +1,38 @@
-/** What the cloud can be asked for, and what it refused a moment ago. */
+/** The kinds of machines that can be requested from the cloud, without those that it refused recently. */
 import * as Duration from "effect/Duration";
 import { fitsMachineType, allowsZone } from "../placement/admission.js";
 import type { JobSpec, MachineType } from "../records.js";
 import { type Instant, plus } from "../time.js";
 
-/** Machines of one type, zone and kind that the cloud may have. */
+/** A kind of machine that the cloud may have available: type, zone, and spot or not. */
 export interface Offer {
   readonly type: MachineType;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** A request for machines (S10). */
+/** A request to rent machines of one offer (S10). */
 export interface ScaleOutRequest extends Offer {
   readonly count: number;
 }
 
-/** Names an offer, for example in a map. */
+/** Identifies an offer, for use as a map key. */
 export const offerKey = (type: string, zone: string, spot: boolean): string =>
   `${type} ${zone} ${spot ? "spot" : "ordinary"}`;
 
-/** After a refusal an offer isn't asked for again for so long. */
+/** How long an offer is not requested again after the cloud refused it. */
 const AVOID_AFTER_REFUSAL = Duration.seconds(15);
 
-/** The offers that are worth asking for. */
+/** Lists offers, leaving out recently refused ones. */
 export class OfferCatalog {
   private readonly refusedUntil = new Map<string, Instant>();
 
-  /** The cloud has no more machines of the offer for the moment. */
+  /** Records that the cloud has no more machines of the offer at present. */
   markRefused(key: string, now: Instant): void {
     this.refusedUntil.set(key, plus(now, AVOID_AFTER_REFUSAL));
   }
 
-  /** Offers on which a task can run, spot machines before ordinary ones. */
+  /** Offers on which a task of the job can run, spot before on-demand ones. */
   offersFor(types: readonly MachineType[], spec: JobSpec, now: Instant): Offer[] {
     const offers: Offer[] = [];
     for (const type of types) {
--- a/src/core/autoscaling/scale-in-reason.ts
+++ b/src/core/autoscaling/scale-in-reason.ts
@@ -1,29 +1,29 @@
-/** Why a machine is given back to the cloud. */
+/** Why a machine is released to the cloud. */
 
-/** A reason to release a machine; each stands in the log line of the release, so the texts stay as they are. */
+/** Reason to release a machine. The text is part of the log line of the release, so it must not change. */
 export type ScaleInReason =
-  /** An earlier request was not answered in time. */
+  /** An earlier request to release it was not answered in time. */
   | "repeat"
-  /** The cloud says that the machine failed. */
+  /** The cloud lists it as failed. */
   | "failed"
   /** It was rented, and its worker never sent a heartbeat. */
   | "never came up"
-  /** An earlier leader used it, and this leader never heard from it. */
+  /** It was recorded by an earlier leader, and this leader has never heard from it. */
   | "silent since take-over"
   /** Its heartbeats stopped. */
   | "silent"
-  /** It answers the leader, but its heartbeats reach no controller, so that its lease ends. */
+  /** It answers the leader's commands, but its heartbeats reach no controller, so its lease ends. */
   | "reaches no controller"
-  /** Its heartbeats arrive, but no command reaches it. */
+  /** Its heartbeats arrive, but it doesn't answer commands. */
   | "doesn't hear"
-  /** All work was gracefully evicted. */
+  /** It was underused, and all work on it has been evicted gracefully. */
   | "drained"
   /** It was cordoned because its tasks took too long. */
   | "slow"
   /** It was cordoned because tasks of several jobs failed on it. */
   | "fails tasks"
-  /** It had no work for a while, and none is expected for it. */
+  /** It has had no work for a while, and none is expected for it. */
   | "idle";
 
-/** Identifiers of the machines to be released, by reason; reasons in the order in which they first came up. */
+/** Ids of the machines to release, by reason, in the order in which the reasons first occurred. */
 export type ScaleInPlan = Map<ScaleInReason, string[]>;
--- a/src/core/autoscaling/scale-in.ts
+++ b/src/core/autoscaling/scale-in.ts
@@ -1,4 +1,4 @@
-/** Which machines go back to the cloud for a fault, for silence, or because they were emptied; idle ones: `autoscaler.ts`. */
+/** Decides which machines are released as faulty, silent or emptied; `autoscaler.ts` decides on idle ones. */
 import * as Duration from "effect/Duration";
 import { type Machine, occupiesCapacity } from "../cluster/cluster.js";
 import type { LeaseExpiry } from "../leases/lease-expiry.js";
@@ -8,20 +8,20 @@
 import { countSilence, type SilenceCounts } from "./silence-counts.js";
 import { SilenceRules } from "./silence-rules.js";
 
-/** How long the cloud may take to answer a release before it is requested again, with no other releases waiting. */
+/** How long the cloud may take to answer a release before it is requested again, if no other releases wait. */
 const REPEAT_RELEASE_AFTER = Duration.seconds(5);
-/** Machines that the cloud releases in a second at the least, one request of a hundred. */
+/** Rate at which the cloud releases machines, at the least: one request for a hundred machines a second. */
 const MIN_RELEASES_PER_SECOND = 100;
-/** How many boot times a machine has to come up. */
+/** A machine has this many boot times of its type to send its first heartbeat. */
 const BOOT_TIMES_ALLOWED = 2.5;
-/** The boot time of a machine whose type isn't known. */
+/** Boot time assumed for a machine whose type isn't known. */
 const UNKNOWN_BOOT_TIME = Duration.seconds(60);
 
-/** Decides on releases, one look at each machine in a step. */
+/** Decides on releases; a step examines each machine once. */
 export class ScaleIn {
   private readonly silenceRules: SilenceRules;
 
-  /** `leaseExpiry`: says when a member's last update arrived. */
+  /** `leaseExpiry`: knows when each member's last update arrived. */
   constructor(
     private readonly context: SchedulerContext,
     leaseExpiry: LeaseExpiry,
@@ -29,7 +29,7 @@
     this.silenceRules = new SilenceRules(context, leaseExpiry);
   }
 
-  /** Machines to be released now, by reason. */
+  /** Machines to release now, by reason. */
   step(now: Instant): ScaleInPlan {
     const plan: ScaleInPlan = new Map();
     const counts = countSilence(this.context, now);
@@ -46,7 +46,7 @@
     return plan;
   }
 
-  /** While many are released, requests wait for their turn: repeated sooner, they would only make the queue longer. */
+  /** Grows with the number of releases under way, which the cloud handles in turn: repeats would lengthen its queue. */
   private repeatAfter(): Duration.Duration {
     let releasing = 0;
     for (const machine of this.context.cluster.machines.values())
@@ -54,7 +54,7 @@
     return Duration.sum(REPEAT_RELEASE_AFTER, Duration.seconds(releasing / MIN_RELEASES_PER_SECOND));
   }
 
-  /** Faults come before silence, and silence before what may wait; the first reason that holds is the one logged. */
+  /** The first reason that applies, which is the one logged: faults, then silence, then emptied machines. */
   private reasonFor(machine: Machine, now: Instant, counts: SilenceCounts): ScaleInReason | null {
     if (machine.releaseRequestedAt !== null) return "repeat";
     if (machine.failed) return "failed";
@@ -74,7 +74,7 @@
     return hasElapsed(now, machine.createdAt, Duration.times(boot, BOOT_TIMES_ALLOWED));
   }
 
-  /** Evicted or cordoned machines go once nothing runs on them any more. */
+  /** Draining and cordoned machines are released once nothing runs on them any more. */
   private emptiedReason(machine: Machine): ScaleInReason | null {
     if (machine.draining && machine.attempts.size === 0 && !machine.commandsInFlight) return "drained";
     if (machine.cordonedAt === null || [...machine.attempts.values()].some(occupiesCapacity)) return null;
--- a/src/core/autoscaling/scale-out-plan.ts
+++ b/src/core/autoscaling/scale-out-plan.ts
@@ -1,6 +1,6 @@
 /**
- * One round of renting: work is packed onto capacity that is free, booting or asked for, and machines are requested for
- * the rest, each time at the lowest price per task.
+ * Plans one round of scale-out: packs work onto capacity that is free, booting or already requested, and requests
+ * machines for the rest at the lowest price per task.
  */
 import * as Duration from "effect/Duration";
 import { type Machine, occupiesCapacity } from "../cluster/cluster.js";
@@ -12,22 +12,22 @@
 import type { TaskDemand } from "./arrival-forecast.js";
 import { type Offer, offerKey, type ScaleOutRequest } from "./offers.js";
 
-/** The cloud rents no more in one request. */
+/** The cloud's limit on one request. */
 const MAX_MACHINES_PER_REQUEST = 50;
-/** Requests in one round. */
+/** Most requests in one round. */
 const MAX_REQUESTS_PER_ROUND = 3;
-/** A machine that hasn't come up after so many boot times is counted on no longer. */
+/** A machine that has sent no heartbeat after this many boot times no longer counts as booting. */
 const MAX_BOOT_TIMES = 2;
-/** Costs per task closer than this count as equal: the earlier offer stays. */
+/** Costs per task that differ by less count as equal; the earlier offer is taken. */
 const COST_EPSILON = 1e-9;
 
-/** Capacity of one machine, present or to come. */
+/** Capacity of one machine that exists, boots or was requested. */
 interface CapacityPool {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
   readonly free: Capacity;
-  /** What short tasks occupy now and arrays may wait for. */
+  /** Capacity that is occupied by short tasks, and for whose end arrays may wait. */
   readonly reusable: Capacity;
 }
 
@@ -35,7 +35,7 @@
 
 const capacityOf = ({ cpus, gpus, memoryGb }: MachineType): Capacity => ({ cpus, gpus, memoryGb });
 
-/** Whether a machine was rented lately and has yet to send its first heartbeat. */
+/** Whether a machine was rented recently and has not yet sent its first heartbeat. */
 const isBooting = (machine: Machine, type: MachineType, now: Instant): boolean =>
   machine.lastHeartbeatAt === null &&
   machine.confirmed &&
@@ -43,7 +43,7 @@
   !machine.failed &&
   !hasElapsed(now, machine.createdAt, Duration.times(type.bootTime, MAX_BOOT_TIMES));
 
-/** `reuse`: share of what short tasks occupy that counts as capacity to come. */
+/** `reuse`: share of the capacity occupied by short tasks that counts as soon available. */
 const reusableCapacity = (machine: Machine, reuse: number): Capacity => {
   const reusable = noCapacity();
   for (const attempt of machine.attempts.values())
@@ -52,15 +52,15 @@
   return reusable;
 };
 
-/** What one round of renting has counted and asked for so far. */
+/** Available capacity and requested machines of one round. */
 export class ScaleOutPlan {
   private readonly pools: CapacityPool[] = [];
   private readonly requests = new Map<string, ScaleOutRequest>();
 
-  /** `offersFor`: offers on which a job's tasks can run and which weren't refused a moment ago. */
+  /** `offersFor`: the offers on which a job's tasks can run, without recently refused ones. */
   constructor(private readonly offersFor: (spec: JobSpec) => readonly Offer[]) {}
 
-  /** Counts the capacity of machines that are usable or booting; `reuse`: see `FleetOptions`. */
+  /** Adds the capacity of machines that are usable or booting; `reuse`: see `FleetOptions`. */
   addMachines(
     machines: Iterable<Machine>,
     types: readonly MachineType[],
@@ -81,15 +81,15 @@
     }
   }
 
-  /** Counts machines that were asked for and aren't there yet. */
+  /** Adds the capacity of machines that were requested and don't exist yet. */
   addRequested({ type, zone, spot }: Offer, count: number): void {
     for (let machine = 0; machine < count; machine++)
       this.pools.push({ type: type.name, zone, spot, free: capacityOf(type), reusable: noCapacity() });
   }
 
   /**
-   * Finds capacity for tasks, and requests machines for those that are left over. What several jobs need of the same
-   * kind is requested together: requests are few, machines many. `mayReuse`: the tasks may wait until short ones end.
+   * Reserves capacity for tasks, and requests machines for those that don't fit. Several jobs' needs of the same offer
+   * go into one request, since the number of requests is limited. `mayReuse`: the tasks may wait for short ones to end.
    */
   provideFor({ spec, tasks }: TaskDemand, mayReuse: boolean): void {
     let left = this.packOntoPools(spec, tasks, mayReuse);
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Reserves capacity for as many tasks as fit; says how many are left over. */
+  /** Reserves capacity for as many tasks as fit; returns how many don't. */
   private packOntoPools(spec: JobSpec, tasks: number, mayReuse: boolean): number {
     let left = tasks;
     for (const pool of this.pools) {
@@ -118,7 +118,7 @@
     return left;
   }
 
-  /** The request for some of the tasks that costs the least per task; null: nothing more can be asked for. */
+  /** The request, for some of the tasks, with the lowest cost per task; null: no more machines can be requested. */
   private cheapestRequest(spec: JobSpec, tasks: number): ScaleOutRequest | null {
     let best: ScaleOutRequest | null = null;
     let bestCost = Infinity;
@@ -138,14 +138,14 @@
     return best;
   }
 
-  /** How many machines of an offer may still be asked for in this round. */
+  /** How many more machines of an offer may be requested in this round. */
   private requestableMachines(key: string): number {
     const count = this.requests.get(key)?.count;
     if (count !== undefined) return MAX_MACHINES_PER_REQUEST - count;
     return this.requests.size < MAX_REQUESTS_PER_ROUND ? MAX_MACHINES_PER_REQUEST : 0;
   }
 
-  /** Requests for what neither free nor booting machines will hold. */
+  /** Requests for the tasks that fit neither free nor booting machines. */
   get scaleOutRequests(): ScaleOutRequest[] {
     return [...this.requests.values()];
   }
--- a/src/core/autoscaling/silence-counts.ts
+++ b/src/core/autoscaling/silence-counts.ts
@@ -1,45 +1,45 @@
 /**
- * How many machines are out of touch in each way. One silent machine is probably dead; many at once point to a trouble
- * of the controllers or of the network, and releasing them all would end work that runs well.
+ * Counts the machines that are out of contact, by kind of failure. A single silent machine is probably dead. Many at
+ * once suggest a fault of the controllers or of the network, and releasing them all would end work that runs well.
  */
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import type { Instant } from "../time.js";
 import { hasElapsed } from "../time.js";
 
-/** Above this share of all machines, silence looks like a trouble of the controllers. */
+/** Above this share of the machines, loss of contact suggests a fault of the controllers or of the network. */
 const WIDESPREAD_MACHINES_SHARE = 0.25;
-/** Above this share, right after members changed, it looks like workers that have yet to find another controller. */
+/** Above this share, just after a change of members, it suggests workers that have yet to find another controller. */
 const NOTICEABLE_MACHINES_SHARE = 0.05;
-/** So few machines are never many, however small the cluster. */
+/** Up to this many machines never count as widespread or noticeable, however small the cluster. */
 const NEGLIGIBLE_MACHINES = 2;
 
-/** Numbers of machines, counted once in a step of the scale-in. */
+/** Numbers of machines, counted once in each step of `ScaleIn`. */
 export interface SilenceCounts {
-  /** Machines heard from in this term. */
+  /** Machines that sent this leader a heartbeat. */
   readonly heard: number;
-  /** Of these, machines whose last heartbeat is too old. */
+  /** Those of them whose last heartbeat is too old. */
   readonly silent: number;
-  /** Machines of earlier terms that were not heard from in this one. */
+  /** Machines of earlier terms that have not sent this leader a heartbeat. */
   readonly neverHeard: number;
-  /** Machines that answer the leader while their heartbeats reach no controller. */
+  /** Machines that answer the leader's commands while their heartbeats reach no controller. */
   readonly renewalOverdue: number;
-  /** Machines whose heartbeats arrive while commands don't reach them. */
+  /** Machines whose last command batch went unanswered. */
   readonly unreachable: number;
 }
 
-/** Whether so many machines of a whole are too many to be at fault themselves. */
+/** Whether so many machines are affected that the fault is probably not their own. */
 export const isWidespread = (count: number, total: number): boolean =>
   count > Math.max(NEGLIGIBLE_MACHINES, total * WIDESPREAD_MACHINES_SHARE);
 
-/** Whether so many machines of a whole may be explained by a change of members a moment ago. */
+/** Whether so many machines are affected that a recent change of members may be the cause. */
 export const isNoticeable = (count: number, total: number): boolean =>
   count > Math.max(NEGLIGIBLE_MACHINES, total * NOTICEABLE_MACHINES_SHARE);
 
-/** Counts the machines that are out of touch. */
+/** Counts the machines that are out of contact. */
 export const countSilence = (context: SchedulerContext, now: Instant): SilenceCounts => {
   const { byLastHeartbeat, unconfirmed, unreachable } = context.cluster;
   let silent = 0;
-  // the longest silent come first
+  // in order of their last heartbeats, the oldest first
   for (const machine of byLastHeartbeat) {
     if (
       machine.lastHeartbeatAt === null ||
--- a/src/core/autoscaling/silence-rules.ts
+++ b/src/core/autoscaling/silence-rules.ts
@@ -1,6 +1,7 @@
 /**
- * When a machine that is out of touch is given up. Releasing it proves that its tasks are over (S3), so that they can
- * start elsewhere; released too soon, it loses work that runs well. All waits are steady-clock durations.
+ * Decides when a machine that is out of contact is given up and released. The release proves that its tasks have ended
+ * (S3), so that they can start elsewhere; a release too early ends work that runs well. All times are on the monotonic
+ * clock.
  */
 import * as Duration from "effect/Duration";
 import type { Machine } from "../cluster/cluster.js";
@@ -9,40 +10,40 @@
 import { type Instant, hasElapsed, minus, plus } from "../time.js";
 import { isNoticeable, isWidespread, type SilenceCounts } from "./silence-counts.js";
 
-/** The cloud's answer to a release, and the start elsewhere. */
+/** Time for the cloud to answer a release and for the tasks to start elsewhere. */
 const RELEASE_DURATION = Duration.seconds(3);
-/** Direct questions without an answer after which a machine is taken for hanging, or for deaf while it sends heartbeats. */
+/** Consecutive unanswered command batches after which a machine counts as unresponsive, even if it sends heartbeats. */
 const UNRESPONSIVE_AFTER_BATCHES = 3;
-/** Direct questions without an answer after which only silence of many machines leaves a doubt. */
+/** Consecutive unanswered command batches after which further silence is allowed only if many machines are silent. */
 const CONCLUSIVE_UNANSWERED_BATCHES = 2;
-/** A member without an update for so long may be cut off together with its part of the machines. */
+/** A member that has sent no update for this long may be cut off from the network together with its partition. */
 const MEMBER_CUT_OFF_AFTER = Duration.seconds(4);
-/** Beyond the age at which a heartbeat is too old, before a machine is given up. */
+/** How much longer than the greatest age of a fresh heartbeat a machine is silent before it is given up. */
 const SILENCE_MARGIN = Duration.seconds(1);
-/** How much longer a silent machine gets while the fault may be on the leader's side. */
+/** Further silence allowed while the fault may be the leader's: after some unanswered batches, and before any. */
 const EXTRA_SILENCE_AFTER_SOME_BATCHES = Duration.seconds(3);
 const EXTRA_SILENCE_BEFORE_ANY_BATCH = Duration.seconds(8);
-/** The least that machines behind a cut get beyond others. */
+/** Least further silence that is allowed to machines that may be cut off from the network. */
 const CUT_OFF_MARGIN = Duration.seconds(3);
-/** Heartbeat intervals after the term began: until a machine can be deaf, or lost with its zone's members. */
+/** Heartbeat intervals after the term began before a machine can be unresponsive, or lost with its zone's members. */
 const SETTLING_HEARTBEAT_INTERVALS = 2;
-/** Heartbeat intervals for which machines are waited for when many were not heard from in this term. */
+/** Heartbeat intervals after the term began before machines are lost if many have not sent a heartbeat. */
 const WIDESPREAD_SILENCE_HEARTBEAT_INTERVALS = 5;
 
 const laterOf = (one: Instant, other: Instant): Instant => (one >= other ? one : other);
 
-/** Judges machines that are out of touch. */
+/** Judges machines that are out of contact. */
 export class SilenceRules {
-  /** So long after its last answered heartbeat a machine's tasks go on for certain; a release takes a moment. */
+  /** The worker's lease less the time that a release takes: a release at this age costs little of the lease. */
   private readonly leaseLessRelease: Duration.Duration;
-  /** How long a worker takes to be heard elsewhere: its next heartbeat, no answer to it, and another controller. */
+  /** How long a worker takes to reach another controller: its next heartbeat, that one's time-out, another try. */
   private readonly reconnectDuration: Duration.Duration;
-  /** How long a machine is silent at the least before it is given up. */
+  /** Shortest silence after which a machine is given up. */
   private readonly minSilence: Duration.Duration;
-  /** How long a machine is silent before it is given up while it may be behind a cut. */
+  /** Silence after which a machine that may be cut off from the network is given up. */
   private readonly cutOffSilence: Duration.Duration;
 
-  /** `leaseExpiry`: says when a member's last update arrived. */
+  /** `leaseExpiry`: knows when each member's last update arrived. */
   constructor(
     private readonly context: SchedulerContext,
     private readonly leaseExpiry: LeaseExpiry,
@@ -53,7 +54,10 @@
     this.cutOffSilence = Duration.max(Duration.sum(this.minSilence, CUT_OFF_MARGIN), this.leaseLessRelease);
   }
 
-  /** Whether a machine of an earlier term is given up: until it is gone, nothing that it may run can start elsewhere. */
+  /**
+   * Whether a machine that has not sent this leader a heartbeat is given up. Until it is released, nothing that it may
+   * run can start elsewhere.
+   */
   isLostSinceFailover(machine: Machine, now: Instant, counts: SilenceCounts): boolean {
     const { cluster } = this.context;
     return isWidespread(counts.neverHeard, cluster.machines.size)
@@ -71,7 +75,7 @@
     return hasElapsed(now, termBegan, wait);
   }
 
-  /** A zone whose members went before this leader began: its machines' leases have run since then at the latest. */
+  /** If a zone lost its members before this leader began, its machines' leases began to run out then at the latest. */
   private isLostAmongMany(machine: Machine, now: Instant): boolean {
     const { termBegan, options, zones } = this.context;
     const { heartbeatInterval, memberLease } = options.timings;
@@ -90,11 +94,11 @@
     return now >= lostAt && hasElapsed(now, termBegan, settling);
   }
 
-  /** Whether a machine whose last heartbeat, at `lastHeartbeatAt`, is too old is given up. */
+  /** Whether a machine is given up whose last heartbeat, at `lastHeartbeatAt`, is too old. */
   isDead(machine: Machine, lastHeartbeatAt: Instant, now: Instant, counts: SilenceCounts): boolean {
     const wait = this.allowedSilence(machine, now, isWidespread(counts.silent, counts.heard));
-    // when members change, their workers have yet to find another one, and this node has its hands full: questions of
-    // its own that time out then say little
+    // after a change of members, workers have yet to find another one, and this node is busy: its own command batches
+    // may time out, which says little about the machine
     const settling = isNoticeable(counts.silent, counts.heard)
       ? this.reconnectDuration
       : Duration.min(this.minSilence, wait);
@@ -102,9 +106,9 @@
   }
 
   /**
-   * How long a machine may be silent. Behind a cut its tasks go on until its lease ends; nothing is won by ending them
-   * much sooner, but once the lease is over they are down until they start elsewhere. Where its member's updates go on
-   * and direct questions stay unanswered, machines hang, however many.
+   * How long a machine may be silent. If it is cut off from the network, its tasks run on until its lease ends: ending
+   * them much earlier gains nothing, but after the lease they are down until they start elsewhere. If its member's
+   * updates arrive while its command batches stay unanswered, it hangs, however many other machines do as well.
    */
   private allowedSilence(machine: Machine, now: Instant, manyAreSilent: boolean): Duration.Duration {
     const mayBeControllerFault = manyAreSilent && machine.unansweredBatches < UNRESPONSIVE_AFTER_BATCHES;
@@ -112,13 +116,13 @@
     return Duration.sum(this.minSilence, this.extraSilence(machine, manyAreSilent));
   }
 
-  /** A part whose member is silent too, or left, looks like a cut, not like a dead machine. */
+  /** If the machine's member is silent too, or gone, a network fault is more likely than a dead machine. */
   private mayBeCutOff(machine: Machine, now: Instant): boolean {
     const updatedAt = machine.relayedBy === null ? null : this.leaseExpiry.lastUpdateAt(machine.relayedBy);
     return updatedAt === null || hasElapsed(now, updatedAt, MEMBER_CUT_OFF_AFTER);
   }
 
-  /** How much longer than usual a silent machine gets: with one way asked, or none yet, the fault may be on our side. */
+  /** Further silence to allow: with one command batch unanswered, or none sent yet, the fault may be the leader's. */
   private extraSilence(machine: Machine, manyAreSilent: boolean): Duration.Duration {
     if (machine.unansweredBatches >= CONCLUSIVE_UNANSWERED_BATCHES)
       return manyAreSilent ? EXTRA_SILENCE_AFTER_SOME_BATCHES : Duration.zero;
@@ -128,8 +132,8 @@
   }
 
   /**
-   * Whether the lease of a machine that answers the leader is about to end, since its heartbeats reach no controller.
-   * Nothing is won by ending its tasks much sooner; a release lets them start elsewhere then.
+   * Whether the lease of a machine is about to end because its heartbeats reach no controller, although it answers the
+   * leader's commands. Ending its tasks much earlier gains nothing; its release then lets them start elsewhere.
    */
   isLeaseEnding(machine: Machine, now: Instant, counts: SilenceCounts): boolean {
     return (
@@ -140,7 +144,7 @@
     );
   }
 
-  /** Whether a machine's heartbeats arrive while no command reaches it: a release is the proof that it is over. */
+  /** Whether a machine sends heartbeats but answers no commands: only its release proves that its tasks have ended. */
   isUnresponsive(machine: Machine, now: Instant, counts: SilenceCounts): boolean {
     if (machine.unreachableSince === null || machine.unansweredBatches < UNRESPONSIVE_AFTER_BATCHES)
       return false;
--- a/src/core/jobs/dependency-graph.ts
+++ b/src/core/jobs/dependency-graph.ts
@@ -1,35 +1,35 @@
 /**
- * What flows backwards through pipelines: a user sets priority and deadline on the last job only, so each job is
- * treated as having the highest priority among the jobs that need it, and has to be done early enough for them.
- * Knows every unfinished job, released or waiting. An event looks only at jobs before the one that it is about, and
- * goes no further up than values change.
+ * Propagates rank and deadline from jobs to their dependencies. Users set both on the last job of a pipeline only, so
+ * each job inherits the highest rank among the jobs that need it, and has to be done early enough for them. Contains
+ * every unfinished job, released or blocked. An event visits only the dependencies of the job that it concerns, and
+ * only as far up as values change.
  */
 import * as Duration from "effect/Duration";
 import { type JobSpec, RANK } from "../records.js";
 import { type Instant, minus, plus } from "../time.js";
 
-/** A job's longest task may run for so many times its estimate. */
+/** The longest task of a job may run for this multiple of the user's estimate. */
 const LONGEST_TASK_FACTOR = 1.5;
-/** What a job's place in the queue and its image may take. */
+/** Allowance for waiting in the queue and for fetching the image. */
 const START_ALLOWANCE = Duration.seconds(15);
 
-/** How long a job with capacity for all its tasks takes until the last of them is done. */
+/** Estimated time from the release of a job to the end of its last task, if there is capacity for all of them. */
 export const estimatedJobDuration = (spec: JobSpec): Duration.Duration =>
   Duration.sum(Duration.times(spec.estimate, LONGEST_TASK_FACTOR), START_ALLOWANCE);
 
-/** An unfinished job. */
+/** An unfinished job in the graph. */
 interface JobNode {
   readonly id: string;
   readonly ownRank: number;
-  /** How long it takes from its start on. */
+  /** Estimated time from its release to the end of its last task. */
   readonly duration: Duration.Duration;
-  /** Its own deadline, from its submission on. */
+  /** Its own deadline, counted from its submission; null: none. */
   ownDeadline: Instant | null;
-  /** The jobs that it names, known or not; what would close a cycle is left out. */
+  /** Ids of its dependencies, in the graph or not, without those that would close a cycle. */
   readonly parents: Set<string>;
-  /** The highest rank of the job itself and of all that need it. */
+  /** The highest rank among the job itself and all jobs that need it. */
   rank: number;
-  /** When it has to be done for the sake of the jobs that need it. */
+  /** When it has to be done so that the jobs that need it can meet their deadlines; null: no such deadline. */
   inheritedDeadline: Instant | null;
 }
 
@@ -40,55 +40,55 @@
 
 const deadlineOf = (node: JobNode): Instant | null => earlierOf(node.ownDeadline, node.inheritedDeadline);
 
-/** When the jobs before this one have to be done. */
+/** When the dependencies of the job have to be done. */
 const latestStart = (node: JobNode): Instant | null => {
   const deadline = deadlineOf(node);
   return deadline === null ? null : minus(deadline, node.duration);
 };
 
-/** The unfinished jobs, by what they need; each has the rank and the deadline that those which need it ask of it. */
+/** The unfinished jobs with their dependencies, and the rank and deadline that each inherits. */
 export class DependencyGraph {
   private readonly nodes = new Map<string, JobNode>();
-  /** Known jobs by the jobs that they name, known or not: a child may be heard of before its parent. */
+  /** Children by the id of their parent, which may not be in the graph yet: a child may be added before its parent. */
   private readonly children = new Map<string, Set<JobNode>>();
   private readonly changed = new Set<string>();
-  /** How many jobs were looked at since the start, for tests of the work that an event takes. */
+  /** Number of jobs visited so far, for tests of the work that an event causes. */
   visits = 0;
 
-  /** How many unfinished jobs are known. */
+  /** Number of jobs in the graph. */
   get size(): number {
     return this.nodes.size;
   }
 
-  /** Whether the job is known and unfinished. */
+  /** Whether the job is in the graph, that is, known and unfinished. */
   has(id: string): boolean {
     return this.nodes.has(id);
   }
 
-  /** The highest rank of the job itself and of all that need it. */
+  /** The highest rank among the job itself and all jobs that need it; null: the job isn't in the graph. */
   rank(id: string): number | null {
     return this.nodes.get(id)?.rank ?? null;
   }
 
-  /** When it has to be done for the sake of the jobs that need it; null: no such deadline. */
+  /** When it has to be done so that the jobs that need it can meet their deadlines; null: no such deadline. */
   inheritedDeadline(id: string): Instant | null {
     return this.nodes.get(id)?.inheritedDeadline ?? null;
   }
 
-  /** Its own deadline or the inherited one, whichever is earlier; null: it has neither. */
+  /** The earlier of its own and its inherited deadline; null: it has neither. */
   effectiveDeadline(id: string): Instant | null {
     const node = this.nodes.get(id);
     return node === undefined ? null : deadlineOf(node);
   }
 
-  /** Jobs whose values changed since this was last asked. */
+  /** Jobs whose rank or deadline changed since the last call. */
   takeChanged(): string[] {
     const changed = [...this.changed];
     this.changed.clear();
     return changed;
   }
 
-  /** A job that isn't over. Known already: it was released, or the moment of its submission is known better. */
+  /** Adds an unfinished job. If it is in the graph already, only its own deadline is updated from `acceptedAt`. */
   add(spec: JobSpec, acceptedAt: Instant): void {
     const ownDeadline = spec.deadline === null ? null : plus(acceptedAt, spec.deadline);
     const known = this.nodes.get(spec.id);
@@ -129,7 +129,7 @@
   }
 
   private addParents(node: JobNode, dependsOn: readonly string[]): void {
-    // a job that nobody named before can't close a cycle, and that is what usually happens
+    // only a job that others already depend on can close a cycle, which is rare
     const isNamed = this.children.has(node.id);
     for (const parent of dependsOn) {
       if (parent === node.id || (isNamed && this.isDependentOn(parent, node.id))) continue;
@@ -140,7 +140,7 @@
     }
   }
 
-  /** The job is done or cancelled: nothing before it is needed for its sake any more. */
+  /** Removes a job that is done or cancelled; its dependencies no longer inherit from it. */
   remove(id: string): void {
     const node = this.nodes.get(id);
     if (node === undefined) return;
@@ -154,7 +154,7 @@
     this.propagateLooser(node.parents);
   }
 
-  /** Whether `id` needs `other`, directly or through others. */
+  /** Whether `id` depends on `other`, directly or transitively. */
   private isDependentOn(id: string, other: string): boolean {
     const seen = new Set([id]);
     for (const current of seen) {
@@ -165,10 +165,10 @@
     return false;
   }
 
-  /** More is asked of a job: what it needs inherits that, as far as it changes anything there. */
+  /** Propagates a higher rank or an earlier deadline to the dependencies, as far as it changes their values. */
   private propagateStricter(from: JobNode): void {
     const work = new Set([from]);
-    // a set goes on to what is added meanwhile; taken out first, a job may come up again
+    // iterating over a set includes what is added meanwhile; a job that was removed first can be added again
     for (const node of work) {
       work.delete(node);
       for (const id of node.parents) {
@@ -182,7 +182,7 @@
     }
   }
 
-  /** Perhaps less is asked of these jobs: they go by what is left of those that need them. */
+  /** Recomputes jobs that may have a lower rank or a later deadline now, and their dependencies where values change. */
   private propagateLooser(from: Iterable<string>): void {
     const work = new Set(from);
     for (const id of work) {
@@ -198,7 +198,7 @@
     let rank = node.ownRank;
     let deadline: Instant | null = null;
     for (const child of this.children.get(node.id) ?? []) {
-      // nothing is asked beyond what was: one of many children doesn't make us look at all
+      // the values can't get stricter here: once the old ones are reached, the other children needn't be visited
       if (rank === node.rank && deadline === node.inheritedDeadline) break;
       this.visits++;
       rank = Math.max(rank, child.rank);
@@ -207,7 +207,7 @@
     return this.inherit(node, rank, deadline);
   }
 
-  /** Whether the values changed. */
+  /** Sets the inherited values; returns whether they changed. */
   private inherit(node: JobNode, rank: number, deadline: Instant | null): boolean {
     if (rank === node.rank && deadline === node.inheritedDeadline) return false;
     node.rank = rank;
--- a/src/core/jobs/fanin.ts
+++ b/src/core/jobs/fanin.ts
@@ -1,22 +1,22 @@
 /**
- * The paper's fan-in, for blocked jobs, which depend on others: each parent's commit joins the blocked job's set, and the add that
- * fills it releases the job. Pure: who is open or over comes in, what is to be written comes out.
+ * Fan-in of dependencies. Each parent's commit is added to the fan-in set of the blocked job, and the write that
+ * completes the set releases the job. No I/O here: takes the parents' states, returns what has to be written.
  */
 import type { JobOutcome } from "../records.js";
 
-/** What is known of a parent. `unknown`: it isn't among the unfinished jobs, and its commit wasn't read yet. */
+/** State of a parent. `unknown`: it isn't among the unfinished jobs, and its commit has not been read yet. */
 export type ParentState = "open" | JobOutcome | "unknown";
 
-/** What is to be written for a blocked job (S12, S13). */
+/** What has to be written for a blocked job (S12, S13). */
 export type FaninStep =
-  /** A parent was cancelled: its outcome passes on. */
+  /** A parent was cancelled, so the job is cancelled as well. */
   | { readonly kind: "cancel" }
-  /** Parents are done that the set doesn't contain yet; `completesSet`: this add releases the job. */
+  /** The set with all parents that are done; `completesSet`: all are, so the write also releases the job. */
   | { readonly kind: "join"; readonly joined: readonly string[]; readonly completesSet: boolean }
-  /** Nothing to do until one more parent is over. */
+  /** Nothing, until another parent ends. */
   | { readonly kind: "wait" };
 
-/** What becomes of a blocked job, given its parents and those that its set contains. */
+/** The next step for a blocked job, given its parents' states and the parents already in its set. */
 export const faninStep = (
   dependsOn: readonly string[],
   joined: readonly string[],
@@ -33,7 +33,7 @@
     hasNewlyDone = true;
   }
   const completesSet = dependsOn.every((parent) => newJoined.has(parent));
-  // a set that is full and has released nothing can't be, but a job must not wait for ever for want of one more add
+  // a complete set whose job is still blocked shouldn't occur; it is written again, or the job would wait for ever
   return hasNewlyDone || completesSet
     ? {
         kind: "join",
@@ -43,12 +43,12 @@
     : { kind: "wait" };
 };
 
-/** The blocked jobs, by the jobs that they depend on. */
+/** The blocked jobs and their dependencies. */
 export class BlockedJobs {
   private readonly parents = new Map<string, readonly string[]>();
   private readonly children = new Map<string, Set<string>>();
 
-  /** A job that depends on others; known already: nothing changes. */
+  /** Adds a blocked job, unless it has been added before. */
   add(id: string, dependsOn: readonly string[]): void {
     if (this.parents.has(id)) return;
     this.parents.set(id, dependsOn);
@@ -59,7 +59,7 @@
     }
   }
 
-  /** The job is blocked no longer: it was released or cancelled. */
+  /** Removes a job that was released or cancelled. */
   remove(id: string): void {
     for (const parent of this.parents.get(id) ?? []) {
       const children = this.children.get(parent);
@@ -69,14 +69,14 @@
     this.parents.delete(id);
   }
 
-  /** The blocked jobs that name this one. */
+  /** The blocked jobs that depend directly on this one. */
   childrenOf(id: string): Iterable<string> {
     return this.children.get(id) ?? [];
   }
 
   /**
-   * All jobs that have to be done before a blocked one, directly or through others, as far as they may be unfinished:
-   * whatever isn't blocked itself is named, and not looked through, since a released job's own parents are done.
+   * All direct and transitive dependencies of a blocked job that may be unfinished. The dependencies of a job that
+   * isn't blocked are left out, since a released job's parents are done.
    */
   ancestorsOf(id: string, isDone: (parent: string) => boolean): string[] {
     const ancestors = new Set<string>();
--- a/src/core/jobs/job-intake.ts
+++ b/src/core/jobs/job-intake.ts
@@ -1,4 +1,4 @@
-/** Takes in what the state service says of jobs: submissions, releases, stored finishes and ends. */
+/** Applies what the state service says about jobs to the cluster: submissions, releases, stored finishes and ends. */
 import {
   addJob,
   type Cluster,
@@ -12,25 +12,28 @@
 import type { JobSpec } from "../records.js";
 import type { Instant } from "../time.js";
 
-/** Marks a task as finished. The tasks of a gang complete together: if one is done, so are all. */
+/** Marks a task as finished. The tasks of a gang complete together: if one is done, all are. */
 export const finishTask = (cluster: Cluster, job: Job, index: number): void => {
   if (job.spec.kind === "gang") markFinished(cluster, job, 0, job.spec.tasks);
   else markFinished(cluster, job, index, index + 1);
 };
 
-/** The unfinished jobs: released ones are in the cluster, blocked ones only count for the jobs that they need. */
+/**
+ * Maintains the unfinished jobs. Released ones are in the cluster; blocked ones only pass on rank and deadline to their
+ * dependencies.
+ */
 export class JobIntake {
   private readonly dependencies = new DependencyGraph();
   private readonly blocked = new Set<string>();
 
   constructor(private readonly cluster: Cluster) {}
 
-  /** Jobs known to depend on unfinished ones. */
+  /** Ids of the jobs that wait for their dependencies. */
   get blockedJobs(): ReadonlySet<string> {
     return this.blocked;
   }
 
-  /** A released job; null if it was known already. Its waiting record may be heard of before or after this (S12). */
+  /** Adds a released job; null: it was known already. Its record as a blocked job may be seen before or after (S12). */
   addReleased(spec: JobSpec, revision: number, acceptedAt: Instant, releasedAt: Instant): Job | null {
     if (this.cluster.jobs.has(spec.id)) return null;
     const job = addJob(this.cluster, spec, revision, acceptedAt, releasedAt);
@@ -44,7 +47,7 @@
     return job;
   }
 
-  /** A job that depends on others: it is not started, and counts only for the jobs that it needs. */
+  /** Adds a blocked job: it is not started, and only passes on rank and deadline to its dependencies. */
   addBlocked(spec: JobSpec, acceptedAt: Instant): void {
     if (this.cluster.jobs.has(spec.id)) return;
     this.blocked.add(spec.id);
@@ -52,14 +55,14 @@
     this.updateInherited();
   }
 
-  /** A job is blocked no longer: it was released or cancelled. */
+  /** Removes a blocked job that was released or cancelled. */
   removeBlocked(id: string): void {
     if (!this.blocked.delete(id)) return;
     this.dependencies.remove(id);
     this.updateInherited();
   }
 
-  /** The job has its commit. */
+  /** Removes a job that has its commit. */
   removeEnded(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (job !== undefined) removeJob(this.cluster, job);
@@ -68,7 +71,7 @@
     this.updateInherited();
   }
 
-  /** Finishes that are in the state service (S7): workers may forget these tasks. */
+  /** Marks tasks whose finish is in the state service (S7), so that workers may forget them. */
   markRangesStored(id: string, ranges: readonly Range[]): void {
     const job = this.cluster.jobs.get(id);
     if (job === undefined) return;
@@ -88,7 +91,7 @@
     scheduleReconciliation(this.cluster, job, index);
   }
 
-  /** The commit record could not be created (S7): it is decided on again. */
+  /** The commit record could not be created (S7): the job is committed again if all its tasks are done. */
   commitFailed(id: string): void {
     const job = this.cluster.jobs.get(id);
     if (job === undefined) return;
@@ -96,7 +99,7 @@
     if (job.done.covers(job.spec.tasks)) this.cluster.awaitingCommit.add(job);
   }
 
-  /** Gives released jobs the rank and the deadline that they inherit from the jobs that need them. */
+  /** Updates rank and deadline of released jobs from the jobs that need them. */
   private updateInherited(): void {
     for (const id of this.dependencies.takeChanged()) {
       const job = this.cluster.jobs.get(id);
@@ -106,7 +109,7 @@
       if (job.rank === rank && job.deadlineAt === deadline) continue;
       job.rank = rank;
       job.deadlineAt = deadline;
-      // the queue is sorted anew, and what may be preempted for whom changes
+      // the order of the queue changes, and so does what may be preempted
       this.cluster.capacityVersion++;
     }
   }
--- a/src/core/jobs/progress.ts
+++ b/src/core/jobs/progress.ts
@@ -1,6 +1,6 @@
-/** Which jobs' progress changed since when, so that members are told of changes alone. */
+/** Log of changes in the progress of jobs, so that members are sent only what changed. */
 
-/** Changes that are remembered; half of them are dropped at a time. */
+/** Number of changes that are remembered; beyond it the older half is dropped. */
 const MAX_CHANGES = 4000;
 
 interface Change {
@@ -8,13 +8,13 @@
   readonly job: string;
 }
 
-/** The latest changes of jobs' progress, numbered. */
+/** The latest changes, numbered by versions. */
 export class ProgressLog {
-  /** The number of the latest change. */
+  /** Version of the latest change; 0: none yet. */
   version = 0;
   private readonly changes: Change[] = [];
 
-  /** A job's progress changed; several changes in a row of one job count as one. */
+  /** Records that a job's progress changed; consecutive changes of one job are stored as one. */
   recordChange(job: string): void {
     this.version++;
     if (this.changes.at(-1)?.job === job) this.changes.pop();
@@ -22,7 +22,7 @@
     if (this.changes.length > MAX_CHANGES) this.changes.splice(0, MAX_CHANGES / 2);
   }
 
-  /** Jobs changed after `version`, the latest first; null: that is too long ago, or below 0, so all must be told. */
+  /** Jobs that changed after `version`, the latest first; null: not known any more, or `version` is below 0. */
   changedSince(version: number): Set<string> | null {
     const first = this.changes[0];
     if (version < 0 || (first !== undefined && version < first.version - 1)) return null;
--- a/src/core/members/finish-store.ts
+++ b/src/core/members/finish-store.ts
@@ -1,6 +1,6 @@
 /**
- * A member's finished tasks, by job, until the job is over: which are still to be stored, and which stored ones the
- * leader hasn't been told of yet. A finish is forgotten nowhere else before it is stored (S7).
+ * The finished tasks that a member knows of, by job, until the job has ended: which have yet to be stored, and which
+ * stored ones have yet to be reported to the leader. Workers keep a finish at least until it is stored (S7).
  */
 import * as Duration from "effect/Duration";
 import type { StoredFinishes } from "./member-update.js";
@@ -8,26 +8,26 @@
 import { keys } from "../records.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** Finishes of a job that isn't known here as open are given up after so long. */
+/** Finishes of a job that this node doesn't know as unfinished are dropped after this time. */
 const DROP_UNKNOWN_AFTER = Duration.seconds(30);
-/** A write that the state service refuses as it is gives way to other jobs' for so long. */
+/** How long a job whose write the state service refused waits before the next try. */
 const PAUSE_AFTER_REFUSAL = Duration.seconds(30);
-/** Several times as many as may be unfinished at once. */
+/** Limit on the jobs in the store: several times the number that may be unfinished at once. */
 const MAX_JOBS = 20_000;
 
 interface JobFinishes {
   readonly known: RangeSet;
   readonly stored: RangeSet;
-  /** Stored, and the leader hasn't been told. */
+  /** Stored, but not reported to the leader. */
   unreported: RangeSet;
-  /** What the last successful write of each chunk held. */
+  /** Text of the last successful write of each window of task numbers. */
   readonly written: Map<number, string>;
-  /** Since when a finish waits to be stored. */
+  /** Since when a finish has been waiting to be stored; after a refusal, when the pause ends. Null: none waits. */
   waitingSince: Instant | null;
   isWriting: boolean;
-  /** Whether the state service refused its last write, which held nothing else. */
+  /** Whether the state service refused the last write of this job alone. */
   isRefused: boolean;
-  /** Writes that failed, or that may be carried out yet. */
+  /** Number of writes that failed or have an unknown outcome, so that they may still be carried out. */
   unansweredWrites: number;
 }
 
@@ -42,47 +42,47 @@
   unansweredWrites: 0,
 });
 
-/** One range record that is to be written. */
+/** A range record to be written. */
 export interface FinishPut {
   readonly key: string;
-  /** Which window of task numbers it holds. */
+  /** Number of its window of task numbers. */
   readonly window: number;
-  /** Its ranges as text, to compare with what was written before. */
+  /** Its ranges as JSON, for comparison with the last write. */
   readonly text: string;
   readonly ranges: Range[];
 }
 
-/** The writes of one job that are to be made, or were. */
+/** The range records of one job that are written together. */
 export interface FinishWrite {
   readonly job: string;
   readonly puts: FinishPut[];
 }
 
 /**
- * What became of one job's writes: `markStored`; `over`: its commit exists, so they aren't needed; `failed`: not carried out,
- * or may be yet; `refused`: not to be sent like this again.
+ * Outcome of one job's writes. `over`: the job has its commit, so they aren't needed; `failed`: not carried out, or not
+ * known; `refused`: the state service doesn't accept them as they are.
  */
 export type StoreResult = "stored" | "over" | "failed" | "refused";
 
-/** The finishes of all jobs that this member heard of. */
+/** The finished tasks of all jobs that this member has heard of. */
 export class FinishStore {
   private readonly finishesByJob = new Map<string, JobFinishes>();
   private readonly unstoredJobs = new Set<string>();
   private readonly unreportedJobs = new Set<string>();
 
   constructor(
-    /** Bytes that one range record may have. */
+    /** Most bytes in one range record. */
     private readonly maxValueBytes: number,
-    /** How long a finish may wait for others of its job before it is stored. */
+    /** How long a finish waits for others of its job, to be stored together. */
     private readonly batchingDelay: Duration.Duration,
   ) {}
 
-  /** Whether there are stored finishes that the leader hasn't been told of. */
+  /** Whether there are stored finishes that have not been reported to the leader. */
   get hasUnreported(): boolean {
     return this.unreportedJobs.size > 0;
   }
 
-  /** Another leader knows of none of them: all that is stored is reported anew. */
+  /** Marks all stored finishes as unreported: another leader doesn't know of them. */
   reportAllAgain(): void {
     for (const [job, finishes] of this.finishesByJob)
       if (finishes.stored.size > 0) {
@@ -91,7 +91,7 @@
       }
   }
 
-  /** A worker reported a task as done. */
+  /** Adds a finish that a worker reported. */
   addFinish(job: string, index: number, now: Instant): void {
     let finishes = this.finishesByJob.get(job);
     if (finishes === undefined) {
@@ -105,7 +105,7 @@
     this.unstoredJobs.add(job);
   }
 
-  /** The job has its commit, or its record is gone: its finishes are of no more use. */
+  /** Drops the finishes of a job that has its commit, or whose record is gone. */
   forgetJob(job: string): void {
     this.finishesByJob.delete(job);
     this.unstoredJobs.delete(job);
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Finishes to be stored now, at most `maxPuts` puts; each job's writes are under way until answered. Those of jobs
-   * that aren't open (over, or not heard of yet) wait, and are given up in the end.
+   * Begins the writes of finishes that are due, with at most `maxPuts` records; each ends with `writeAnswered`.
+   * Finishes of jobs that aren't known as unfinished (ended, or not heard of yet) wait, and are dropped in the end.
    */
   beginWrites(
     writer: string,
@@ -143,7 +143,7 @@
     return writes;
   }
 
-  /** What was refused by itself comes last and alone: in one write with others it would hold them up again. */
+  /** Jobs whose write was refused come last, and are written alone: together with others they would block these too. */
   private unstoredInWriteOrder(): [job: string, finishes: JobFinishes][] {
     const others: [string, JobFinishes][] = [];
     const refused: [string, JobFinishes][] = [];
@@ -156,7 +156,7 @@
 
   private changedPuts(job: string, finishes: JobFinishes, writer: string, maxPuts: number): FinishPut[] {
     const { unansweredWrites } = finishes;
-    // a write without an answer may be carried out after newer ones: no later one goes to its key
+    // a write without an answer may be carried out after newer ones, so later writes use other keys
     const keyWriter = unansweredWrites === 0 ? writer : `${writer}.${unansweredWrites}`;
     const puts: FinishPut[] = [];
     for (const [window, ranges] of splitIntoWindows(finishes.known.ranges(), this.maxValueBytes)) {
@@ -167,7 +167,7 @@
     return puts;
   }
 
-  /** The answer to one job's writes. */
+  /** Applies the outcome of one job's writes. */
   writeAnswered(write: FinishWrite, result: StoreResult, now: Instant): void {
     const finishes = this.finishesByJob.get(write.job);
     if (finishes === undefined) return;
@@ -208,8 +208,8 @@
   }
 
   /**
-   * Stored finishes that the leader hasn't been told of, in up to `maxRanges` ranges. What isn't delivered is put back
-   * with `putBack`.
+   * Takes stored finishes that have not been reported to the leader, in up to `maxRanges` ranges. If their delivery
+   * fails, they are returned with `putBack`.
    */
   takeUnreported(maxRanges: number): StoredFinishes[] {
     let rangesLeft = maxRanges;
@@ -229,7 +229,7 @@
     return taken;
   }
 
-  /** These didn't reach the leader. */
+  /** Returns finishes that did not reach the leader. */
   putBack(stored: readonly StoredFinishes[]): void {
     for (const { job, ranges } of stored) {
       const finishes = this.finishesByJob.get(job);
--- a/src/core/members/member-update.ts
+++ b/src/core/members/member-update.ts
@@ -1,22 +1,22 @@
-/** What a member tells the leader: heartbeats, when workers were heard and answered, stored finishes, outcomes of commands. */
+/** Messages from members to the leader: heartbeats, contacts with workers, stored finishes, outcomes of commands. */
 import type { CommandOutcome } from "../scheduler/decisions.js";
 import type { Range } from "../ranges.js";
 import type { Heartbeat } from "../records.js";
 
-/** A heartbeat and how long ago it came: after a new term old ones are sent anew, and must not pass for fresh. */
+/** A heartbeat with its age: in a new term old heartbeats are sent again, and must not be taken for fresh ones. */
 export interface AgedHeartbeat {
   readonly heartbeat: Heartbeat;
   readonly ageMs: number;
 }
 
-/** How many milliseconds ago a worker was last answered, and last sent something newer than before; negative: never. */
+/** Milliseconds since a worker was last answered, and since it last sent a newer heartbeat; negative: never. */
 export interface WorkerContact {
   readonly machine: string;
   readonly answerAgeMs: number;
   readonly heartbeatAgeMs: number;
 }
 
-/** What became of a command batch of the leader's, and which heartbeat the worker answered with; 0: none. */
+/** Outcome of one of the leader's command batches, and the id of the heartbeat that answered it; 0 and 0: none. */
 export interface CommandResult {
   readonly id: number;
   readonly outcome: CommandOutcome;
@@ -24,13 +24,13 @@
   readonly sequence: number;
 }
 
-/** Finishes of one job that are in the state service. */
+/** Finished tasks of one job that are stored in the state service. */
 export interface StoredFinishes {
   readonly job: string;
   readonly ranges: readonly Range[];
 }
 
-/** All of it, for one message. */
+/** The contents of one message from a member to the leader. */
 export interface MemberUpdate {
   readonly heartbeats: readonly AgedHeartbeat[];
   readonly contacts: readonly WorkerContact[];
--- a/src/core/members/worker-partition.ts
+++ b/src/core/members/worker-partition.ts
@@ -1,6 +1,6 @@
 /**
- * The workers that one member answers: which it takes in, when it last heard and answered them, and what the leader
- * hasn't been told of them yet. Pure: events in, decisions out.
+ * The workers in one member's partition: which ones it serves, when it last heard from them and answered them, and what
+ * it has yet to report to the leader. Does no I/O: takes events, returns decisions.
  */
 import * as Duration from "effect/Duration";
 import type { CommandOutcome } from "../scheduler/decisions.js";
@@ -10,13 +10,13 @@
 import { type Instant, hasElapsed, instant } from "../time.js";
 import { fencingTokenForAnswer, ownerOf } from "../leases/term.js";
 
-/** What a worker's heartbeat is answered with. */
+/** The answer to a worker's heartbeat. */
 export type HeartbeatAnswer =
-  /** The worker's lease is renewed under this token; the commands stop tasks of jobs that are over. */
+  /** The worker's lease is renewed under this token; the commands stop tasks of jobs that have ended. */
   | { kind: "taken"; fencingToken: number; stopCommands: Command[] }
-  /** Another member answers this worker. */
+  /** Another member serves this worker. */
   | { kind: "elsewhere"; member: string | null }
-  /** This node may not answer workers now, or isn't in the term: the worker tries another or comes again. */
+  /** This node may not answer workers now, or isn't in the term: the worker tries another node, or this one again. */
   | { kind: "unsure" };
 
 interface Worker {
@@ -25,15 +25,15 @@
   lastAnswerAt: Instant | null;
 }
 
-/** A worker that comes back within this time after it was redirected is taken in. */
+/** A worker that returns within this time after it was redirected is served here: it can't reach its member. */
 const ADOPT_IF_BACK_WITHIN = Duration.seconds(30);
-/** Items of each other kind that go with each heartbeat when little fits into a message. */
+/** When the number of heartbeats in a message is limited, the limit on each other kind of item is this multiple. */
 const ITEMS_PER_HEARTBEAT = 4;
-/** Tasks in the heartbeats of one message: a new leader is told everything, which doesn't fit into one (4 MiB). */
+/** Most tasks in the heartbeats of one message: a new leader is sent everything, which exceeds one message (4 MiB). */
 const MAX_TASKS_IN_UPDATE = 8000;
-/** What a heartbeat without tasks takes, counted in tasks. */
+/** Size of a heartbeat without tasks, as an equivalent number of tasks. */
 const HEARTBEAT_WEIGHT_TASKS = 4;
-/** Machines that were redirected to another member: several times as many as there may be. */
+/** Limit on the remembered redirections: several times the number of machines that there may be. */
 const MAX_REMEMBERED_REDIRECTIONS = 20_000;
 
 const isSameStatus = (status: TaskStatus, other: TaskStatus | undefined): boolean =>
@@ -43,7 +43,7 @@
   status.exitReason === other.exitReason &&
   status.job === other.job;
 
-/** Whether a newer heartbeat says nothing that the leader needs to hear. */
+/** Whether a newer heartbeat contains nothing new for the leader. */
 const isUnchanged = (last: Heartbeat, heartbeat: Heartbeat): boolean =>
   last.workerEpoch === heartbeat.workerEpoch &&
   last.fencingToken === heartbeat.fencingToken &&
@@ -52,41 +52,41 @@
   last.tasks.length === heartbeat.tasks.length &&
   last.tasks.every((status, position) => isSameStatus(status, heartbeat.tasks[position]));
 
-/** The name of the member that answers a machine's heartbeats; null: there is none. */
+/** Returns the name of the member that serves a machine's worker; null: none does. */
 export type OwnerNameLookup = (term: TermRecord, machine: string, zone: string) => string | null;
 
 const rendezvousOwnerName: OwnerNameLookup = (term, machine, zone) =>
   ownerOf(term, machine, zone)?.name ?? null;
 
-/** One member's view of its workers. */
+/** One member's partition of the workers. */
 export class WorkerPartition {
-  /** The newest term that `setTerm` was told of; null: none yet. */
+  /** The term last passed to `setTerm`; null: none yet. */
   term: TermRecord | null = null;
-  /** Where explicit ownership is used, it takes the place of the rendezvous hash. */
+  /** Finds a machine's owner, by rendezvous hashing; replaced where machines have explicit owners. */
   lookUpOwner: OwnerNameLookup = rendezvousOwnerName;
   private readonly workers = new Map<string, Worker>();
-  /** Machines that were redirected to another member, to which, and when. */
+  /** Last redirection of each machine: to which member, and when. */
   private readonly redirections = new Map<string, { readonly to: string; readonly at: Instant }>();
-  /** Machines that can't reach the member that they belong to, and which that is. */
+  /** Machines that are served here because they can't reach their owner, with the owner's name. */
   private readonly adoptedFrom = new Map<string, string>();
-  /** Workers whose heartbeat the leader hasn't been told; the same for when they were heard and answered. */
+  /** Machines whose latest heartbeat, or whose times of contact, have not been reported to the leader. */
   private readonly unreportedHeartbeats = new Set<string>();
   private readonly unreportedContacts = new Set<string>();
-  /** Finished tasks, until their jobs are over. */
+  /** Finished tasks, until their jobs have ended. */
   readonly finishes: FinishStore;
-  /** Outcomes of command batches that the leader hasn't been told. */
+  /** Outcomes of command batches that have not been reported to the leader. */
   private unreportedResults: CommandResult[] = [];
 
   constructor(
     readonly member: string,
     maxValueBytes: number,
-    /** How long a finish may wait for others of its job before it is stored. */
+    /** How long a finish waits for others of its job, to be stored together. */
     batchingDelay: Duration.Duration,
   ) {
     this.finishes = new FinishStore(maxValueBytes, batchingDelay);
   }
 
-  /** A new term. Another leader, or one that takes this process for another, is told everything anew. */
+  /** Begins a new term. Everything is reported again if the leader changed, or this process is new to it. */
   setTerm(term: TermRecord): void {
     const incarnationIn = (record: TermRecord | null): number | undefined =>
       record?.members.find((member) => member.name === this.member)?.incarnation;
@@ -114,8 +114,8 @@
   }
 
   /**
-   * The member that a worker has to be redirected to; null: it is taken in here. One that came back although it was
-   * redirected can't reach its member, and is taken in until the next term.
+   * The member that a worker has to be redirected to; null: it is served here. A worker that returns after a
+   * redirection can't reach its member, and is served here until the next term.
    */
   private redirectTarget(term: TermRecord, { machine, zone }: Heartbeat, now: Instant): string | null {
     const owner = this.lookUpOwner(term, machine, zone);
@@ -134,8 +134,8 @@
   }
 
   /**
-   * A worker's own heartbeat. `mayAnswer`: this node may answer workers now (S1, S11); `incarnation`: this process's, as
-   * a term must name it; `isEnded`: this job has its commit.
+   * Answers a heartbeat that a worker sent by itself. `mayAnswer`: whether this node may answer workers now (S1, S11);
+   * `incarnation`: that of this process, which the term must list; `isEnded`: whether a job has its commit.
    */
   handleHeartbeat(
     heartbeat: Heartbeat,
@@ -151,10 +151,12 @@
     const target = this.redirectTarget(term, heartbeat, now);
     if (target !== null) return { kind: "elsewhere", member: target };
     this.recordHeartbeat(heartbeat, now);
-    // a late copy is answered as well, and the proof by time must reckon with that; it is no sign of life
+    // a delayed copy is answered too, and the answer may renew the lease, so it counts for the proof that leases have
+    // expired; but it doesn't show that the worker is alive
     this.workerOf(heartbeat.machine).lastAnswerAt = now;
     this.unreportedContacts.add(heartbeat.machine);
-    // an outage may keep the leader's stop from a machine that is still answered: whoever answers it knows as well
+    // during an outage the leader's stop commands may not reach a machine that is still answered here, so the answer
+    // carries them as well
     const stopCommands = heartbeat.tasks
       .filter((task) => task.state !== "exited" && isEnded(task.job))
       .map(({ job, index, attempt }): Command => ({
@@ -171,7 +173,7 @@
     };
   }
 
-  /** A heartbeat, be it a worker's own or the answer to commands. One that isn't newer than the last changes nothing. */
+  /** Records a heartbeat, sent by itself or in answer to commands, unless it isn't newer than the last one. */
   recordHeartbeat(heartbeat: Heartbeat, now: Instant): void {
     const worker = this.workerOf(heartbeat.machine);
     const last = worker.heartbeat;
@@ -184,7 +186,7 @@
     worker.lastHeartbeatAt = now;
     this.unreportedContacts.add(heartbeat.machine);
     if (last !== null && isUnchanged(last, heartbeat)) {
-      // most heartbeats say nothing new: what they are made of needn't outlive them
+      // most heartbeats contain nothing new: the old task list is kept, so that the new one can be garbage-collected
       worker.heartbeat = { ...heartbeat, tasks: last.tasks };
       return;
     }
@@ -195,7 +197,7 @@
         this.finishes.addFinish(task.job, task.index, now);
   }
 
-  /** Forgets workers that have not come for long. */
+  /** Forgets workers that have not been in contact for `maxSilence`. */
   prune(now: Instant, maxSilence: Duration.Duration): void {
     for (const [machine, worker] of this.workers) {
       const last = instant(Math.max(worker.lastAnswerAt ?? 0, worker.lastHeartbeatAt ?? 0));
@@ -206,7 +208,7 @@
     }
   }
 
-  /** A batch of the leader's commands has its outcome; `heartbeat`: what the worker answered with, if it did. */
+  /** Records the outcome of one of the leader's command batches; `heartbeat`: the worker's answer, if there was one. */
   commandsAnswered(id: number, outcome: CommandOutcome, heartbeat: Heartbeat | null, now: Instant): void {
     if (heartbeat !== null) this.recordHeartbeat(heartbeat, now);
     this.unreportedResults.push({
@@ -217,7 +219,7 @@
     });
   }
 
-  /** Heartbeats for one message; the others go with the next ones. */
+  /** Takes unreported heartbeats for one message; the others remain for the next one. */
   private takeHeartbeats(now: Instant, maxHeartbeats: number): AgedHeartbeat[] {
     const heartbeats: AgedHeartbeat[] = [];
     let tasksLeft = MAX_TASKS_IN_UPDATE;
@@ -232,7 +234,7 @@
     return heartbeats;
   }
 
-  /** What the leader hasn't been told yet, at most so much. What isn't delivered is put back with `putBack`. */
+  /** Takes what has not been reported to the leader, within limits; `putBack` returns it if its delivery fails. */
   takeUpdate(now: Instant, maxHeartbeats = Infinity): MemberUpdate {
     const maxItems = maxHeartbeats * ITEMS_PER_HEARTBEAT;
     const heartbeats = this.takeHeartbeats(now, maxHeartbeats);
@@ -255,12 +257,12 @@
     return { heartbeats, contacts, storedFinishes, commandResults };
   }
 
-  /** Whether the last update named every worker answered before; only then does it prove anything of the others (S3). */
+  /** Whether the last update named every worker answered before it; only then it proves that no others were (S3). */
   isUpdateComplete(): boolean {
     return this.unreportedContacts.size === 0;
   }
 
-  /** This update didn't reach the leader. */
+  /** Returns an update that did not reach the leader. */
   putBack(update: MemberUpdate): void {
     for (const { heartbeat } of update.heartbeats)
       if (this.workers.has(heartbeat.machine)) this.unreportedHeartbeats.add(heartbeat.machine);
@@ -270,7 +272,7 @@
     this.unreportedResults = [...update.commandResults, ...this.unreportedResults];
   }
 
-  /** Whether there is something that the leader waits for; signs of life alone can wait. */
+  /** Whether there is something to report that the leader needs soon; times of contact alone can wait. */
   hasUpdate(): boolean {
     return (
       this.unreportedHeartbeats.size > 0 || this.finishes.hasUnreported || this.unreportedResults.length > 0
--- a/src/core/packing.ts
+++ b/src/core/packing.ts
@@ -1,19 +1,22 @@
-/** How much fits into one value and one transaction of the state service, measured as it is written: as JSON. */
+/** Splits data to fit values and transactions of the state service. Sizes are those of the stored JSON. */
 
-/** What one transaction may hold besides its count of changes; the rest is for keys, conditions and names. */
+/**
+ * Most bytes of values in one transaction, besides the limit on its number of changes. The rest of the service's limit
+ * is for keys, conditions and field names.
+ */
 export const MAX_TXN_BYTES = 56 * 1024;
-/** The service may write JSON a little differently from us; so nothing is filled to the last byte. */
+/** Share of a value that is filled: the service's JSON may be slightly longer than that of `JSON.stringify`. */
 const FILL_RATIO = 0.95;
 
-/** How many bytes are put into one value of a service whose values may have so many kilobytes. */
+/** Most bytes of JSON to put into one value, for a service that allows `valueKb` KiB. */
 export const maxValueBytes = (valueKb: number): number => Math.floor(valueKb * 1024 * FILL_RATIO);
 
-/** How many bytes a value has as it is written. */
+/** Size of a value as JSON in UTF-8. */
 export const jsonBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value));
 
 /**
- * Entries of a record, in order, in as few pieces as keep under `maxBytes` and `maxEntries` entries each. An entry that is too
- * large by itself gets a piece of its own.
+ * Splits the entries of a record, in order, into pieces of at most `maxBytes` and `maxEntries` each. An entry that
+ * exceeds `maxBytes` by itself gets a piece of its own.
  */
 export const splitRecord = <T>(
   entries: Iterable<readonly [name: string, value: T]>,
@@ -40,7 +43,7 @@
   return pieces;
 };
 
-/** The items in order, in groups that weigh no more than `maxEntries` each. One that weighs more is a group of its own. */
+/** Splits the items, in order, into groups of at most `maxWeight`. An item that weighs more gets a group of its own. */
 export const groupByWeight = <T>(
   items: readonly T[],
   weightOf: (item: T) => number,
--- a/src/core/placement/admission.ts
+++ b/src/core/placement/admission.ts
@@ -1,21 +1,21 @@
-/** Whether a job can ever run: what is refused at submission, since no machine and no quota could take it. */
+/** Admission check at submission: refuses jobs that no machine type or quota could ever accommodate. */
 import type { JobSpec, MachineType, Team } from "../records.js";
 import { isWithinLimit } from "./quota.js";
 
-/** Sizes of tasks and machine types are compared up to this difference, in processors, GPUs or gigabytes. */
+/** Tolerance when sizes of tasks and machine types are compared, in processors, GPUs or gigabytes. */
 const TYPE_SIZE_EPSILON = 1e-9;
 
-/** Whether a task fits an empty machine of the type, and the job's wishes allow it. */
+/** Whether the job allows the machine type and a task of it fits an empty machine of that type. */
 export const fitsMachineType = (job: JobSpec, type: MachineType): boolean =>
   (job.types === null || job.types.includes(type.name)) &&
   job.cpus <= type.cpus + TYPE_SIZE_EPSILON &&
   job.gpus <= type.gpus + TYPE_SIZE_EPSILON &&
   job.memoryGb <= type.memoryGb + TYPE_SIZE_EPSILON;
 
-/** Whether the job's wishes allow the zone. */
+/** Whether the job allows the zone. */
 export const allowsZone = (job: JobSpec, zone: string): boolean => job.zone === null || job.zone === zone;
 
-/** The reason why a job can never run, or null. */
+/** Why the job can never run; null: it can. */
 export const unschedulableReason = (
   job: JobSpec,
   teams: ReadonlyMap<string, Team>,
--- a/src/core/placement/bin-packing.ts
+++ b/src/core/placement/bin-packing.ts
@@ -1,4 +1,4 @@
-/** Which machine a task goes to, and how the tasks of an array are packed onto several. */
+/** Chooses the machine for a task, and packs the tasks of an array onto machines. */
 import * as Duration from "effect/Duration";
 import type { Cluster, Job, Machine } from "../cluster/cluster.js";
 import { type Instant, hasElapsed } from "../time.js";
@@ -7,13 +7,13 @@
 import { compareScores, machineScorer, type PartitionFreeCpus } from "./machine-score.js";
 import { zonePredicate } from "./zone-rules.js";
 
-/** A job keeps away from a machine where it failed; where there is no other, it is tried there again sooner. */
+/** How long a job avoids a machine on which it failed; the shorter time applies if no other machine fits. */
 const AVOID_AFTER_FAILURE = Duration.seconds(60);
 const MIN_AVOID_AFTER_FAILURE = Duration.seconds(10);
-/** A job keeps away for so long from a machine whose worker refused it. */
+/** How long a job avoids a machine whose worker refused it. */
 const AVOID_AFTER_REFUSAL = Duration.seconds(5);
 
-/** Where to look for a machine. */
+/** The machines to choose from, and what scoring them needs. */
 export interface MachineSearch {
   /** Machines that may be given work now. */
   readonly candidates: Iterable<Machine>;
@@ -21,7 +21,7 @@
   readonly partitionFreeCpus: PartitionFreeCpus;
 }
 
-/** So many tasks for one machine. */
+/** A number of tasks to be started on one machine. */
 export interface PackedTasks {
   readonly machine: Machine;
   readonly tasks: number;
@@ -53,11 +53,12 @@
     if (!happenedWithin(job.failedOn, machine, now, AVOID_AFTER_FAILURE)) fitting.push(machine);
     else if (!happenedWithin(job.failedOn, machine, now, MIN_AVOID_AFTER_FAILURE)) lastResort.push(machine);
   }
-  // the autoscaler counts that capacity, so nothing more is rented: a job must not wait for its memory to end
+  // the autoscaler counts the avoided machines as free capacity and rents no others: without the last resort the job
+  // would wait until the failures on them are forgotten
   return fitting.length > 0 ? fitting : lastResort;
 };
 
-/** The best machine for one task. */
+/** The machine with the best score for one task; null: it fits on none. */
 export const chooseMachine = (cluster: Cluster, job: Job, search: MachineSearch): Machine | null => {
   const score = machineScorer(cluster, job, search.partitionFreeCpus);
   let best: Machine | null = null;
@@ -72,7 +73,7 @@
   return best;
 };
 
-/** Machines for up to so many tasks of one array, scored once and then filled one after the other. */
+/** Packs up to `tasks` tasks of an array: machines are scored once, then filled in the order of their scores. */
 export const packTasks = (
   cluster: Cluster,
   job: Job,
--- a/src/core/placement/capacity.ts
+++ b/src/core/placement/capacity.ts
@@ -1,9 +1,9 @@
-/** Arithmetic of what a machine has free and what a task needs, in processors, GPUs and gigabytes of memory. */
+/** Arithmetic on the free capacity of machines and the needs of tasks: processors, GPUs, gigabytes of memory. */
 import type { Machine } from "../cluster/cluster.js";
 import type { JobSpec } from "../records.js";
 import { CAPACITY_EPSILON } from "./quota.js";
 
-/** Keeps a task that asks for nothing of a kind from dividing by zero. */
+/** Avoids a division by zero for a task that needs none of a resource. */
 const MIN_DEMAND = 1e-9;
 
 /** An amount of each resource. */
@@ -13,7 +13,7 @@
   memoryGb: number;
 }
 
-/** What no task on the machine occupies. */
+/** The capacity that no task on the machine occupies. */
 export const freeCapacity = (machine: Machine): Capacity => ({
   cpus: machine.cpus - machine.used.cpus,
   gpus: machine.gpus - machine.used.gpus,
@@ -39,7 +39,7 @@
     ),
   );
 
-/** Takes what so many tasks need out of `capacity`; a negative number gives it back. */
+/** Subtracts the needs of a number of tasks from `capacity`; a negative number gives capacity back. */
 export const reserve = (spec: JobSpec, capacity: Capacity, tasks: number): void => {
   capacity.cpus -= tasks * spec.cpus;
   capacity.gpus -= tasks * spec.gpus;
--- a/src/core/placement/eligibility.ts
+++ b/src/core/placement/eligibility.ts
@@ -1,27 +1,30 @@
-/** Which machines may be given work at all, and which a job's own wishes allow; other tasks and free capacity aside. */
+/** Which machines may be given work, and which ones a job's constraints allow, regardless of free capacity. */
 import type * as Duration from "effect/Duration";
 import type { Machine } from "../cluster/cluster.js";
 import type { JobSpec } from "../records.js";
 import { type Instant, hasElapsed } from "../time.js";
 import { allowsZone } from "./admission.js";
 
-/** Direct questions without an answer after which a machine gets no new work. */
+/** Consecutive command batches without an answer after which a machine gets no new work. */
 const UNREACHABLE_AFTER_BATCHES = 2;
 
-/** What a job's wishes are about: a machine, or one that could be rented. */
+/** What a job's constraints refer to, of an existing machine or of one that could be rented. */
 export interface MachineKind {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
 }
 
-/** Whether the job's own wishes allow this machine. */
+/** Whether the job's constraints on type, zone and spot allow the machine. */
 export const allowsMachine = (spec: JobSpec, machine: MachineKind): boolean =>
   (spec.types === null || spec.types.includes(machine.type)) &&
   allowsZone(spec, machine.zone) &&
   (spec.spot || !machine.spot);
 
-/** Where no task of `failed` could go, none of `spec` can: it wants as much, and may go nowhere else. */
+/**
+ * Whether a task of `spec` fits nowhere if a task of `failed` fits nowhere: it needs at least as much of each resource,
+ * and `failed` could run wherever `spec` could.
+ */
 export const isAtLeastAsDemanding = (spec: JobSpec, failed: JobSpec): boolean =>
   failed.cpus <= spec.cpus &&
   failed.gpus <= spec.gpus &&
@@ -39,7 +42,7 @@
   machine.lastHeartbeatAt !== null &&
   !hasElapsed(now, machine.lastHeartbeatAt, heartbeatMaxAge);
 
-/** Whether the machine is known for certain, works, and isn't about to go. */
+/** Whether the machine is recorded and confirmed, has no known fault and isn't about to be released or reclaimed. */
 const isInService = (machine: Machine): boolean =>
   machine.recorded &&
   machine.confirmed &&
--- a/src/core/placement/gang-placer.ts
+++ b/src/core/placement/gang-placer.ts
@@ -1,4 +1,4 @@
-/** Gang scheduling: all tasks of a job start at once, under one attempt number, or none does. */
+/** Gang scheduling: all tasks of a job start together, under one attempt number, or none does. */
 import * as Duration from "effect/Duration";
 import { type Job, type Machine, removeAttempt, type TaskAttempt } from "../cluster/cluster.js";
 import { PendingCommands } from "../commands/pending-commands.js";
@@ -13,20 +13,23 @@
 import { isWithinLimit } from "./quota.js";
 import type { TaskStarter } from "./task-starter.js";
 
-/** Smaller jobs would take all capacity that gets free: after this long a gang holds up those of its rank and below. */
+/**
+ * A gang that has waited this long holds back other jobs up to its own rank: smaller ones would otherwise take all
+ * capacity as it is freed.
+ */
 const HOLD_BACK_OTHERS_AFTER = Duration.seconds(15);
-/** Stands for the zone of every machine where a gang's zones don't matter. */
+/** Key for the machines of all zones, for a gang that needn't run in one zone. */
 const ANY_ZONE = "";
 
-/** Places gangs. */
+/** Places whole gangs. */
 export class GangPlacer {
-  /** `starter`: the one that numbers all of the leader's attempts. */
+  /** `starter`: numbers all of the leader's attempts. */
   constructor(
     private readonly context: SchedulerContext,
     private readonly starter: TaskStarter,
   ) {}
 
-  /** Starts the gang, or lets it hold up others if it has waited for long and could run on the machines there are. */
+  /** Starts the gang; or has it hold back other jobs, if it has waited long and would fit the present machines. */
   placeOrHoldBackOthers(job: Job, team: Team, round: PlacementRound): void {
     const isPlaced = this.place(job, team, round);
     if (isPlaced) round.startsLeft -= job.spec.tasks;
@@ -37,7 +40,7 @@
       round.highestHeldRank = job.rank;
   }
 
-  /** A broken gang is taken down whole before its next attempt. */
+  /** Starts the gang if all of it fits. A gang that lost tasks is stopped as a whole before its next attempt. */
   private place(job: Job, team: Team, round: PlacementRound): boolean {
     const { spec } = job;
     if (stopGang([...job.attempts.values()].flat(), round.pendingCommands) > 0) return false;
@@ -53,7 +56,7 @@
     return false;
   }
 
-  /** Tries to place a whole gang on the given machines; leaves nothing behind if it doesn't fit. */
+  /** Starts the whole gang on the given machines; if it doesn't fit, all is undone. */
   private placeOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { spec } = job;
     const { now, partitionFreeCpus } = round;
@@ -81,7 +84,7 @@
     return false;
   }
 
-  /** Whether the machines there are could run the whole gang if they were empty. */
+  /** Whether the whole gang would fit the usable machines if they were empty. */
   private fitsEmptyMachines(job: Job, now: Instant): boolean {
     const { spec } = job;
     const tasksByZone = new Map<string, number>();
--- a/src/core/placement/job-queue.ts
+++ b/src/core/placement/job-queue.ts
@@ -1,6 +1,6 @@
 /**
- * The order in which waiting jobs are served: by rank, then those within their team's guarantee, then by age. Owns which
- * jobs are within a guarantee, and whether deadlines may bring jobs forward.
+ * The order in which waiting jobs are served: by rank, then jobs within their team's guarantee first, then by age.
+ * Keeps track of which jobs are within a guarantee, and of whether a deadline may raise a job's rank.
  */
 import * as Duration from "effect/Duration";
 import { isSuspectedFaulty } from "../heartbeats/attempt-results.js";
@@ -11,17 +11,18 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** A job that waited this long without a single start goes before others of its rank, and with those above. */
+/** A job that has waited this long for its first start is served with the next higher rank. */
 const LONG_WAIT_AFTER = Duration.seconds(100);
 /**
- * A job that waited this long without a single start goes before all others with its first task: within four minutes the
- * largest have to begin, also those of a team without a guarantee. Its other tasks wait as before.
+ * The first task of a job that has waited this long for its first start is served before all other jobs: even the
+ * largest jobs, and those of teams without a guarantee, have to begin within four minutes. The other tasks keep their
+ * place.
  */
 const START_OVERDUE_AFTER = Duration.seconds(180);
-/** While a job above the lowest rank has waited this long without a start, no deadline brings lower jobs forward. */
+/** While a job above the lowest rank has waited this long for its first start, deadlines don't raise any job's rank. */
 const STARVED_AFTER = Duration.seconds(40);
 
-/** What a waiting job is sorted by. */
+/** A waiting job with its sort keys. */
 interface QueueEntry {
   readonly job: Job;
   readonly isStartOverdue: boolean;
@@ -35,24 +36,24 @@
   Number(other.isGuaranteed) - Number(one.isGuaranteed) ||
   one.job.revision - other.job.revision;
 
-/** A job that fails wherever it runs was started often enough: it goes before no others. */
+/** Jobs that fail wherever they run count as started, so that waiting doesn't move them ahead of others. */
 const hasStarted = (job: Job, now: Instant): boolean =>
   job.attempts.size > 0 || job.done.size > 0 || isSuspectedFaulty(job, now);
 
-/** Whether a job above the lowest rank has waited long for its first start. */
+/** Whether the job has waited for its first start so long that no deadline may move others ahead. */
 const isStarved = (job: Job, now: Instant): boolean =>
   job.rank > RANK.low && !hasStarted(job, now) && hasElapsed(now, job.releasedAt, STARVED_AFTER);
 
-/** Sorts the cluster's waiting jobs; a look at each of them, and no more. */
+/** Sorts the cluster's waiting jobs. The work is proportional to their number. */
 export class JobQueue {
   private guaranteed: ReadonlySet<Job> = new Set();
-  /** `Cluster.jobSetVersion` when `guaranteed` was worked out. */
+  /** `Cluster.jobSetVersion` when `guaranteed` was computed. */
   private guaranteedAtVersion = -1;
   private hasStarvedJob = false;
 
   constructor(private readonly context: SchedulerContext) {}
 
-  /** Waiting jobs that may be started now, the first to be served first. */
+  /** Waiting jobs that may be started now, in the order in which they are served. */
   sortedJobs(now: Instant): Job[] {
     const { cluster } = this.context;
     this.updateGuaranteed();
@@ -70,17 +71,17 @@
       .map(({ job }) => job);
   }
 
-  /** Whether the job fits into its team's guarantee together with the team's earlier unfinished jobs. */
+  /** Whether the job and all earlier unfinished jobs of its team fit into the team's guarantee together. */
   isGuaranteed(job: Job): boolean {
     return this.guaranteed.has(job);
   }
 
-  /** Whether the job waited so long for its first start that one task of it goes before all others. */
+  /** Whether the job has waited for its first start so long that its first task is served before all other jobs. */
   isStartOverdue(job: Job, now: Instant): boolean {
     return hasElapsed(now, job.releasedAt, START_OVERDUE_AFTER) && !hasStarted(job, now);
   }
 
-  /** Started now it can just be done by its deadline: waiting behind what has no deadline would be for nothing. */
+  /** Whether the job has to start now to meet its deadline, and the deadline may raise its rank. */
   mustStartNow(job: Job, now: Instant): boolean {
     const { deadlineAt, spec } = job;
     if (deadlineAt === null || this.hasStarvedJob || now >= deadlineAt) return false;
--- a/src/core/placement/machine-score.ts
+++ b/src/core/placement/machine-score.ts
@@ -1,22 +1,22 @@
-/** How well a machine suits a task: a list of numbers, compared one after the other, of which the higher is better. */
+/** Scores how well machines suit a task. A score is a list of numbers, compared in order; higher is better. */
 import type { Cluster, Job, Machine } from "../cluster/cluster.js";
 import type { JobSpec } from "../records.js";
 import { tasksByZone } from "./zone-rules.js";
 
-/** Share of a class's replicas that one machine may have before others are preferred. */
+/** Share of a class's replicas above which a machine ranks behind others. */
 const MAX_REPLICA_SHARE_PER_MACHINE = 0.15;
-/** The same bound as a multiple of the average over all machines; the lower one holds. */
+/** The same limit as a multiple of the average number of replicas per machine; the lower of the two applies. */
 const MAX_REPLICAS_TIMES_AVERAGE = 3;
-/** So many replicas of a class on one machine are never too many. */
+/** Up to this many replicas of a class on one machine are always fine. */
 const MIN_REPLICA_LIMIT = 2;
 
-/** The machine's score for one task of a job, at the moment at which the function was made. */
+/** Scores a machine for one task of a job, as things stood when the scorer was created. */
 export type MachineScorer = (machine: Machine) => number[];
 
-/** Free processors in the part of the machines that a member relays for. */
+/** Free processors of the machines in a member's partition; null: of the machines in no member's. */
 export type PartitionFreeCpus = (member: string | null) => number;
 
-/** How many replicas of a class one machine should have, so that its loss costs a small part of them. */
+/** The most replicas of a class that one machine should have, so that losing it costs a small part of them. */
 const maxReplicasPerMachine = (cluster: Cluster, spec: JobSpec): number => {
   const replicas = cluster.attemptsByClass.get(spec.className) ?? 0;
   const machines = Math.max(1, cluster.byLastHeartbeat.size);
@@ -27,7 +27,7 @@
   return Math.max(MIN_REPLICA_LIMIT, Math.ceil(limit));
 };
 
-/** Short tasks fill up the fullest machine, so that idle ones can be returned, and prefer spot, which services can't use. */
+/** Short tasks go to the fullest machine, so that idle ones can be released, and to spot, which services can't use. */
 const shortTaskScorer =
   ({ image }: JobSpec, partitionFreeCpus: PartitionFreeCpus): MachineScorer =>
   (machine) => {
@@ -40,7 +40,7 @@
     ];
   };
 
-/** Replicas go where the fewest of their class and job are, so that the loss of a machine or a zone costs little. */
+/** Replicas go where there are fewest of their job and class, so that losing a machine or a zone costs little. */
 const replicaScorer = (cluster: Cluster, job: Job, partitionFreeCpus: PartitionFreeCpus): MachineScorer => {
   const { spec } = job;
   const maxReplicas = maxReplicasPerMachine(cluster, spec);
@@ -58,7 +58,10 @@
   };
 };
 
-/** The design's companion: a cached image first, else the part with the most free processors. Among equals, see above. */
+/**
+ * The scorer for the job's kind. Each puts machines with the image in their cache first, and has the partition's free
+ * processors among its further criteria.
+ */
 export const machineScorer = (
   cluster: Cluster,
   job: Job,
@@ -68,7 +71,7 @@
     ? replicaScorer(cluster, job, partitionFreeCpus)
     : shortTaskScorer(job.spec, partitionFreeCpus);
 
-/** Orders two scores of the same length, the better one first. */
+/** Compares two scores of the same length, for sorting the better one first. */
 export const compareScores = (one: readonly number[], other: readonly number[]): number => {
   for (let index = 0; index < one.length; index++) {
     const mine = one[index] ?? 0;
--- a/src/core/placement/placer.ts
+++ b/src/core/placement/placer.ts
@@ -1,4 +1,4 @@
-/** Which waiting task starts next and where. Limits, zones and unknown attempts are checked here (S4, S5, S6). */
+/** Decides which waiting tasks start, and where, within limits, zone rules and the known attempts (S4, S5, S6). */
 import * as Duration from "effect/Duration";
 import type { Job, Machine } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
@@ -16,10 +16,13 @@
 import { TaskStarter } from "./task-starter.js";
 import { hasZoneConstraint } from "./zone-rules.js";
 
-/** When nothing changed, what didn't fit is tried again this often: heartbeats grow old, errors are forgiven. */
+/**
+ * Placement is repeated this often even if neither jobs nor capacity changed: heartbeats become too old, and the times
+ * for which jobs avoid machines run out.
+ */
 const RETRY_INTERVAL = Duration.millis(500);
 
-/** Places waiting tasks; a step looks at each waiting job, and only at machines with free capacity. */
+/** Places waiting tasks. A step looks at every waiting job, but only at machines with free capacity. */
 export class Placer {
   private readonly starter: TaskStarter;
   private readonly preemption: Preemption;
@@ -37,17 +40,17 @@
     this.gangs = new GangPlacer(context, this.starter);
   }
 
-  /** The job has its commit. */
+  /** Forgets the job, which has its commit. */
   forgetJob(id: string): void {
     this.preemption.forgetJob(id);
   }
 
-  /** Whether this term has hardly any attempt numbers left (S4). */
+  /** Whether this term is running out of attempt numbers (S4). */
   get needsNewTerm(): boolean {
     return this.starter.needsNewTerm;
   }
 
-  /** Starts what fits, and preempts other tasks for what doesn't. */
+  /** Starts the tasks that fit, and preempts others for those that don't. */
   step(now: Instant, pendingCommands: PendingCommands, notes: string[]): void {
     if (!this.isWorthTrying(now)) return;
     const queue = this.queue.sortedJobs(now);
@@ -91,7 +94,7 @@
     return round;
   }
 
-  /** What may run on machines that sent no heartbeat in this term, or that have tasks of unknown size (S6). */
+  /** The capacity of machines that sent no heartbeat in this term, or that have tasks of unknown size (S6). */
   private unknownUsage(): Usage {
     const { cluster } = this.context;
     const usage = { cpus: 0, gpus: 0 };
@@ -128,13 +131,13 @@
     if (left <= 0) return;
     const isZoned = hasZoneConstraint(spec);
     if (job.failedOn.size + job.refusedOn.size === 0 && !isZoned) round.markUnplaceable(spec);
-    // with hundreds of jobs waiting, a search in vain for one isn't repeated for similar ones in the same step
+    // hundreds of jobs may wait: a search that found nothing for one isn't repeated for similar ones in the same step
     const isPlain = !this.queue.isGuaranteed(job) && !isZoned;
     if (isPlain && round.hasNoPreemptionCandidates(job)) return;
     if (!this.preemption.preemptFor(job, round) && isPlain) round.markNoPreemptionCandidates(job);
   }
 
-  /** Starts up to `tasks` of an array's or a service's tasks; says how many were started or have others preempted for them. */
+  /** Starts up to `tasks` tasks of an array or a service; returns how many were started or had others preempted. */
   private placeTasks(job: Job, tasks: number, round: PlacementRound): number {
     if (job.spec.kind === "array" && !hasZoneConstraint(job.spec))
       return this.fillMachines(job, tasks, round);
@@ -167,7 +170,7 @@
     this.starter.start({ job, index, attempt, machine }, round.now, round.pendingCommands);
   }
 
-  /** Free capacity is no use to a job whose image takes longer to fetch than its start may take. */
+  /** Whether fetching the image would take longer than the start latency that the job's class allows. */
   private fetchTakesTooLong(job: Job, machine: Machine): boolean {
     const objective = this.context.options.startLatencyObjectives.get(job.spec.className);
     const type = this.context.machineTypeByName.get(machine.type);
--- a/src/core/placement/preemption-candidates.ts
+++ b/src/core/placement/preemption-candidates.ts
@@ -1,4 +1,4 @@
-/** Which running tasks could be stopped so that a more important one fits, and what their end would cost. */
+/** Finds running tasks whose preemption makes room for another task, and the cost of stopping them. */
 import {
   type Cluster,
   type Job,
@@ -13,24 +13,24 @@
 import { allowsMachine } from "./eligibility.js";
 import { zonePredicate } from "./zone-rules.js";
 
-/** What fetching the image costs, in the processor-seconds of work that would be thrown away instead. */
+/** Cost of fetching the image, as an equivalent in processor-seconds of lost work. */
 const IMAGE_FETCH_COST_CPU_SECONDS = 20;
 const MS_PER_SECOND = 1000;
 
-/** An attempt of a job that this leader knows. */
+/** An attempt whose job's spec is known. */
 export type AttemptWithSpec = TaskAttempt & { readonly spec: JobSpec };
 
 const hasSpec = (attempt: TaskAttempt): attempt is AttemptWithSpec => attempt.spec !== null;
 
-/** Tasks on one machine whose end lets a task start there. */
+/** Tasks on one machine that have to be stopped so that another task fits there. */
 export interface PreemptionCandidates {
   readonly machine: Machine;
   readonly attempts: readonly TaskAttempt[];
-  /** Processor-seconds of work that are lost. */
+  /** Processor-seconds of work that would be lost, including the image fetch. */
   readonly costCpuSeconds: number;
 }
 
-/** Attempts on the machine that may be stopped: the least important first, of these the ones that ran for the least time. */
+/** Attempts on the machine that may be stopped: the lowest rank first, then the ones that ran for the shortest time. */
 const preemptibleAttempts = (
   cluster: Cluster,
   machine: Machine,
@@ -47,7 +47,7 @@
     )
     .sort((one, other) => rankOf(cluster, one) - rankOf(cluster, other) || other.stateSince - one.stateSince);
 
-/** What would have to be stopped on one machine; null: the task wouldn't fit, or fits already. */
+/** The tasks to stop on one machine; null: the job's task doesn't fit even then, or fits already. */
 const candidatesOn = (
   machine: Machine,
   job: Job,
@@ -66,7 +66,7 @@
   return attempts.length > 0 && fits(job.spec, capacity) ? { machine, attempts, costCpuSeconds } : null;
 };
 
-/** The cheapest set of tasks on one machine whose end lets one task of `job` start there. */
+/** The cheapest set of tasks on a single machine that makes room for one task of `job`; null: there is none. */
 export const findPreemptionCandidates = (
   cluster: Cluster,
   job: Job,
--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -1,6 +1,6 @@
 /**
- * Preempts running tasks for more important ones, or for what a team's guarantee covers. Owns for which jobs tasks are
- * being stopped, so that no more is stopped than needed, and when all machines were last searched.
+ * Preempts running tasks in favour of jobs of a higher rank or within their team's guarantee. Keeps track of the jobs
+ * for which tasks are being stopped, so that no more are stopped than needed, and of the last search of all machines.
  */
 import * as Duration from "effect/Duration";
 import { type TaskAttempt, type Job, type Machine, occupiesCapacity, rankOf } from "../cluster/cluster.js";
@@ -11,17 +11,18 @@
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** Machines on which something was started lately, where stopping costs the least. */
+/** Number of machines with the latest starts that are searched first: stopping recent starts costs the least. */
 const MAX_RECENT_MACHINES = 64;
-/** Work of so long is cheap to throw away. */
+/** A task without checkpoints that has run for less than this is cheap to stop. */
 const CHEAP_LOSS_RUNTIME = Duration.seconds(6);
-/** How long stopped tasks may take until the capacity that they occupy counts as missing again. */
+/** How long stopped tasks may take to free their capacity before more are stopped for the same job. */
 const STOP_DURATION = Duration.millis(300);
-/** A search costs far more than a look at a waiting job: searches for one job keep this distance. */
+/** Time between searches for one job, and between searches of all machines: a search is expensive. */
 const SEARCH_INTERVAL = Duration.millis(500);
+/** How long a job waits after a search of all machines that found nothing. */
 const PAUSE_AFTER_FULL_SEARCH = Duration.times(SEARCH_INTERVAL, 2);
 
-/** Whether stopping a task throws away more than a moment's work. */
+/** Whether stopping the task loses a considerable amount of work. */
 const losesMuchWork = (attempt: AttemptWithSpec, now: Instant): boolean =>
   Duration.toMillis(attempt.spec.checkpointInterval) === 0 &&
   attempt.state === "running" &&
@@ -30,9 +31,9 @@
 const taskNames = (attempts: readonly TaskAttempt[]): string =>
   attempts.map((attempt) => `${attempt.job}/${attempt.index}`).join(" ");
 
-/** Preempts for one task of a job at a time. */
+/** Preempts other tasks, for one task of a job at a time. */
 export class Preemption {
-  /** Until when no search is made for a job: tasks are stopping for it, or a search has just been in vain. */
+  /** By job, until when no search is made: tasks are being stopped for it, or a search has just found nothing. */
   private readonly searchPausedUntil = new Map<string, Instant>();
   private lastFullSearchAt: Instant | null = null;
 
@@ -41,12 +42,12 @@
     private readonly queue: JobQueue,
   ) {}
 
-  /** The job has its commit. */
+  /** Forgets the job, which has its commit. */
   forgetJob(id: string): void {
     this.searchPausedUntil.delete(id);
   }
 
-  /** Stops others on a machine where the job's image is cached; whether some are stopping. */
+  /** Stops other tasks on a machine that has the job's image in its cache; returns whether some are stopping. */
   preemptWhereCached(job: Job, round: PlacementRound): boolean {
     const until = this.searchPausedUntil.get(job.spec.id);
     if (until !== undefined) return round.now < until;
@@ -54,7 +55,7 @@
     return this.preemptOn(job, cached, round);
   }
 
-  /** Stops others for one task of a job, where anything may be stopped for it at all; false: nothing was found. */
+  /** Stops other tasks for one task of the job; false: nothing was found that may be stopped. */
   preemptFor(job: Job, round: PlacementRound): boolean {
     const { now } = round;
     const { id } = job.spec;
@@ -63,7 +64,7 @@
     if (!this.mayPreemptAny(job)) return false;
     if (this.preemptOn(job, this.recentMachines(now), round)) return true;
     this.searchPausedUntil.set(id, plus(now, SEARCH_INTERVAL));
-    // nothing that started lately will do: now and then all machines are searched
+    // machines with recent starts don't suffice: at intervals all machines are searched
     if (this.lastFullSearchAt !== null && !hasElapsed(now, this.lastFullSearchAt, SEARCH_INTERVAL))
       return false;
     this.lastFullSearchAt = now;
@@ -75,7 +76,7 @@
     return false;
   }
 
-  /** Whether some task has a lower rank, or some other team uses more than its guarantee. */
+  /** Whether a task of a lower rank exists, or another team exceeds its guarantee while the job is within its own. */
   private mayPreemptAny(job: Job): boolean {
     const hasLower = this.context.cluster.attemptsByRank.some((tasks, rank) => rank < job.rank && tasks > 0);
     return hasLower || (this.queue.isGuaranteed(job) && this.isOtherTeamOverGuarantee(job.spec.team));
@@ -90,7 +91,7 @@
     return false;
   }
 
-  /** Machines on which something was started lately, and that may be given work. */
+  /** Machines of the latest starts whose tasks are still there, if they may be given work. */
   private recentMachines(now: Instant): Machine[] {
     const found = new Set<Machine>();
     const { recentStarts, machines } = this.context.cluster;
@@ -102,7 +103,7 @@
     return [...found].filter((machine) => this.context.canStartTasks(machine, now));
   }
 
-  /** Stops the cheapest tasks on one of the given machines; false: there are none. */
+  /** Stops the cheapest set of tasks on one of the given machines; false: there is none. */
   private preemptOn(job: Job, candidates: readonly Machine[], round: PlacementRound): boolean {
     const { now, pendingCommands, notes } = round;
     const found = findPreemptionCandidates(this.context.cluster, job, candidates, now, (attempt) =>
@@ -115,7 +116,7 @@
     return true;
   }
 
-  /** Production may stop whatever is lower; gangs are never stopped. */
+  /** Whether the attempt may be stopped for the job. Production may stop all lower ranks; gangs are never stopped. */
   private mayPreempt(attempt: AttemptWithSpec, job: Job, now: Instant): boolean {
     if (attempt.spec.kind === "gang") return false;
     const { cluster } = this.context;
@@ -123,13 +124,13 @@
     const isProduction = job.rank === RANK.production;
     if (job.rank < RANK.production && owner !== undefined && this.queue.mustStartNow(owner, now))
       return false;
-    // below production, a start a little sooner isn't worth work that has run for a while
+    // below production, an earlier start isn't worth losing work that has run for a while
     const isLower = rankOf(cluster, attempt) < job.rank;
     if (isLower && (isProduction || !losesMuchWork(attempt, now))) return true;
     return this.queue.isGuaranteed(job) && this.exceedsGuarantee(attempt.spec, job.spec.team);
   }
 
-  /** Whether a task of another team runs beyond that team's own guarantee. */
+  /** Whether a task of another team uses capacity beyond that team's guarantee. */
   private exceedsGuarantee(spec: JobSpec, requestingTeam: string): boolean {
     if (spec.team === requestingTeam || spec.kind === "service") return false;
     const team = this.context.options.teams.get(spec.team);
--- a/src/core/placement/task-starter.ts
+++ b/src/core/placement/task-starter.ts
@@ -1,18 +1,18 @@
-/** Decides on starts: each gets an attempt first (S4) and an attempt number that is never used again. */
+/** Starts tasks: adds the attempt, with a number that is never used again, before the start command is sent (S4). */
 import { addAttempt, type TaskAttempt, type Job, type Machine } from "../cluster/cluster.js";
 import type { PendingCommands } from "../commands/pending-commands.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { attemptNumberOf, ATTEMPTS_PER_TERM } from "../leases/term.js";
 import type { Instant } from "../time.js";
 
-/** Latest starts that are remembered; half of them are dropped at a time. */
+/** Number of latest starts that are remembered; beyond it the older half is dropped. */
 const MAX_RECENT_STARTS = 512;
-/** With so many numbers left, a new term is due: it comes long before they are used up. */
+/** With this many attempt numbers left the leader begins a new term, long before they are used up. */
 const NEW_TERM_AT_ATTEMPTS_LEFT = 100_000;
-/** Numbers kept back for gangs, whose trial placements use one each. */
+/** Attempt numbers reserved for gangs, whose placement uses one for each try. */
 const RESERVED_ATTEMPTS = 1000;
 
-/** One task, the number of its attempt, and where it is to run. */
+/** A task to be started, with its attempt number and its machine. */
 export interface TaskStart {
   readonly job: Job;
   readonly index: number;
@@ -20,9 +20,9 @@
   readonly machine: Machine;
 }
 
-/** Numbers the attempts of one leader, anew in each of its terms. */
+/** Numbers the attempts of one leader, starting again from 1 in each of its terms. */
 export class TaskStarter {
-  /** Attempt numbers used in the term below. */
+  /** Attempt numbers used in term `termNumber`. */
   private attemptsUsed = 0;
   private termNumber = 0;
 
@@ -33,7 +33,7 @@
     return Math.max(0, this.attemptsLeft - RESERVED_ATTEMPTS);
   }
 
-  /** Whether the numbers of this term are about to be used up, so that the leader has to begin a new one. */
+  /** Whether this term is running out of attempt numbers, so that the leader has to begin a new term. */
   get needsNewTerm(): boolean {
     return this.attemptsLeft <= NEW_TERM_AT_ATTEMPTS_LEFT;
   }
@@ -42,7 +42,7 @@
     return ATTEMPTS_PER_TERM - (this.termNumber === this.context.term.number ? this.attemptsUsed : 0);
   }
 
-  /** The attempt of the next start; all tasks of a gang share one. */
+  /** The attempt number for the next start; all tasks of a gang share one. */
   nextAttempt(): number {
     const { number } = this.context.term;
     if (this.termNumber !== number) {
@@ -53,7 +53,7 @@
     return attemptNumberOf(number, this.attemptsUsed);
   }
 
-  /** Adds the attempt and the command of one start. */
+  /** Adds the attempt to the cluster, and its start command to `pendingCommands`. */
   start(
     { job, index, attempt, machine }: TaskStart,
     now: Instant,
--- a/src/core/placement/zone-rules.ts
+++ b/src/core/placement/zone-rules.ts
@@ -1,14 +1,14 @@
-/** Rules on the zones of a job's tasks: all in one zone, or spread over several. */
+/** Zone constraints among the tasks of a job: all in one zone, or spread over zones. */
 import { type Cluster, type Job, occupiesCapacity } from "../cluster/cluster.js";
 import type { JobSpec } from "../records.js";
 
-/** A job whose tasks are spread has at most this share of them in one zone, rounded up. */
+/** The most of a job's tasks that one zone may have if the job spreads them, as a share; rounded up to whole tasks. */
 const MAX_SPREAD_SHARE_PER_ZONE = 1 / 2;
 
-/** Whether the zones of a job's other tasks matter to where a task may go. */
+/** Whether the zone of a task depends on the zones of the job's other tasks. */
 export const hasZoneConstraint = (spec: JobSpec): boolean => spec.oneZone || spec.spreadOverZones;
 
-/** The numbers of the job's tasks by zone, counting all that are, or may be, on machines. */
+/** Number of the job's tasks in each zone, counting every attempt that occupies or may occupy a machine. */
 export const tasksByZone = (cluster: Cluster, job: Job): Map<string, number> => {
   const counts = new Map<string, number>();
   for (const attempts of job.attempts.values())
@@ -19,7 +19,7 @@
   return counts;
 };
 
-/** Which zones one more task may go to, given the job's other tasks at this moment. */
+/** Returns a predicate for the zones that one more task may run in, given the job's present tasks. */
 export const zonePredicate = (cluster: Cluster, job: Job): ((zone: string) => boolean) => {
   const { spec } = job;
   if (!hasZoneConstraint(spec)) return () => true;
--- a/src/core/ranges.ts
+++ b/src/core/ranges.ts
@@ -1,15 +1,15 @@
-/** Sets of task numbers, kept and stored as ranges: most tasks of an array finish about in order (S7). */
+/** Sets of task numbers, held and stored as ranges, since the tasks of an array finish roughly in order (S7). */
 
-/** The numbers from `from` up to, but without, `to`. */
+/** The numbers from `from` (included) to `to` (excluded). */
 export type Range = readonly [from: number, to: number];
 
-/** A set of task numbers kept as sorted, disjoint ranges that don't touch. */
+/** A set of task numbers, held as sorted ranges that neither overlap nor adjoin. */
 export class RangeSet {
   private segments: [number, number][] = [];
   /** How many numbers are in the set. */
   size = 0;
 
-  /** The set of all numbers in these ranges. */
+  /** The union of the ranges. */
   static of(ranges: Iterable<Range>): RangeSet {
     const set = new RangeSet();
     for (const [from, to] of ranges) set.add(from, to);
@@ -35,11 +35,11 @@
     return segment !== undefined && segment[0] <= number;
   }
 
-  /** Adds the numbers from `from` up to, but without, `to`. */
+  /** Adds the numbers from `from` (included) to `to` (excluded). */
   add(from: number, to = from + 1): void {
     if (from >= to) return;
     let first = this.findSegment(from);
-    // one that ends where this begins is extended
+    // a segment that ends where the new range begins is extended
     if (first > 0 && this.segments[first - 1]?.[1] === from) first--;
     let last = first;
     let low = from;
@@ -56,7 +56,7 @@
     this.size += high - low;
   }
 
-  /** Takes one number out. */
+  /** Removes a number, which may split a segment in two. */
   delete(number: number): void {
     const at = this.findSegment(number);
     const segment = this.segments[at];
@@ -68,7 +68,7 @@
     this.size--;
   }
 
-  /** Up to `limit` of the smallest numbers in the set. */
+  /** The smallest numbers in the set, at most `limit` of them; they stay in the set. */
   smallest(limit: number): number[] {
     const numbers: number[] = [];
     for (const [from, to] of this.segments)
@@ -79,24 +79,25 @@
     return numbers;
   }
 
-  /** Whether all numbers from 0 up to, but without, `count` are in the set. */
+  /** Whether the set contains all numbers from 0 to `count - 1`. */
   covers(count: number): boolean {
     const first = this.segments[0];
     return count === 0 || (first !== undefined && first[0] <= 0 && first[1] >= count);
   }
 
-  /** The set as ranges, the lowest first. */
+  /** The set as ranges in ascending order. */
   ranges(): Range[] {
     return this.segments.map(([from, to]) => [from, to] as const);
   }
 }
 
 /**
- * Splits ranges into windows of task numbers whose JSON stays under `maxBytes` each, whatever has finished.
- * A window's bounds never move, so rewriting one can't drop what another one held.
+ * Splits ranges by fixed windows of task numbers. The JSON of a window stays under `maxBytes` whichever of its tasks
+ * have finished: at worst every second one has, which gives one range for two numbers; 64 bytes are for the rest of the
+ * record. The bounds of a window never move, so rewriting one window can't drop ranges that another one held.
  */
 export const splitIntoWindows = (ranges: readonly Range[], maxBytes: number): Map<number, Range[]> => {
-  const bytesPerRange = 17; // "[100000,100001],"
+  const bytesPerRange = 17; // "[100000,100001],", a range of six-digit numbers, and one byte to spare
   const windowWidth = Math.max(1, Math.floor((maxBytes - 64) / bytesPerRange)) * 2;
   const rangesByWindow = new Map<number, Range[]>();
   for (const [from, to] of ranges)
--- a/src/core/rates/backoff.ts
+++ b/src/core/rates/backoff.ts
@@ -1,16 +1,16 @@
-/** Growing pauses between attempts that keep being refused for good reason: the same request gets the same answer. */
+/** Exponential backoff for requests that are refused for a lasting reason, so that an early retry is refused too. */
 import * as Duration from "effect/Duration";
 
 const FIRST_PAUSE = Duration.millis(250);
 const LONGEST_PAUSE = Duration.seconds(30);
-/** By then the longest pause is long reached. */
+/** Keeps the power of two finite; the longest pause is reached long before. */
 const MAX_DOUBLINGS = 20;
 
-/** The pauses of one request: 250 ms after the first refusal, twice as long after each that follows, 30 s at most. */
+/** The pauses of one request: 250 ms after the first refusal, doubled after each further one, 30 s at most. */
 export class Backoff {
   private refusals = 0;
 
-  /** It was refused: how long to wait before the next attempt. */
+  /** Counts a refusal; returns how long to wait before the next attempt. */
   pauseAfterRefusal(): Duration.Duration {
     return Duration.min(
       LONGEST_PAUSE,
@@ -18,7 +18,7 @@
     );
   }
 
-  /** It was accepted: the next refusal counts as the first. */
+  /** After the request was accepted: the pauses begin at the shortest again. */
   reset(): void {
     this.refusals = 0;
   }
--- a/src/core/rates/rate-limit-selector.ts
+++ b/src/core/rates/rate-limit-selector.ts
@@ -1,26 +1,27 @@
 /**
- * Which of two rates of the state service is in force. From some unannounced moment on it allows less; a node learns
- * that only from its refusals, and one refusal in today's bursts looks the same. So the lower rates are kept for a while
- * and then given up again, each time for longer when the next refusal follows soon.
+ * Selects which of two sets of rate limits of the state service to observe. At some time that isn't announced the
+ * service begins to apply lower limits. A node notices only that requests are refused, which a burst under the current
+ * limits can cause as well. So after a refusal the lower limits are kept for a while before the current ones are tried
+ * again, and for longer each time the next refusal follows soon.
  */
 import * as Duration from "effect/Duration";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** What the state service allows all nodes together. */
+/** Limits of the state service on all nodes together. */
 export interface RequestRates {
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rps: number;
-  /** Changes a second. */
+  /** Changes per second. */
   readonly writeRps: number;
 }
 
-/** How long the lower rates are kept after a refusal: at first, and at most. */
+/** How long the lower limits are kept after a refusal: at first, and at most. */
 const FIRST_LOWERED_SPAN = Duration.minutes(1);
 const LONGEST_LOWERED_SPAN = Duration.minutes(10);
-/** A refusal within this time after going back up says that the lower rates hold. */
+/** A refusal within this time after the return to the current limits suggests that the lower ones are in force. */
 const REPEATED_REFUSAL_WITHIN = Duration.minutes(1);
 
-/** Says which rates this node keeps to at a moment. */
+/** Tells which limits this node has to observe. */
 export class RateLimitSelector {
   private readonly lowerRates: RequestRates;
   private loweredSpan = FIRST_LOWERED_SPAN;
@@ -32,17 +33,17 @@
   ) {
     const rps = Math.min(currentRates.rps, futureRates.rps);
     const writeRps = Math.min(currentRates.writeRps, futureRates.writeRps);
-    // the same object when nothing is lower: nothing ever changes then
+    // if no limit is lower, this is the same object, and the selection never changes
     this.lowerRates =
       rps < currentRates.rps || writeRps < currentRates.writeRps ? { rps, writeRps } : currentRates;
   }
 
-  /** The rates in force; the same object as long as they are the same. */
+  /** The limits to observe now; the same object as long as they don't change. */
   ratesAt(now: Instant): RequestRates {
     return this.loweredUntil !== null && now < this.loweredUntil ? this.lowerRates : this.currentRates;
   }
 
-  /** The service said 429; whether to requests or to changes isn't known, so both go down. */
+  /** Records a 429 from the service. It doesn't say which limit was exceeded, so both are lowered. */
   recordRefusal(now: Instant): void {
     if (this.lowerRates === this.currentRates || this.ratesAt(now) === this.lowerRates) return;
     const isSoon = this.loweredUntil !== null && !hasElapsed(now, this.loweredUntil, REPEATED_REFUSAL_WITHIN);
--- a/src/core/rates/rate-limiter.ts
+++ b/src/core/rates/rate-limiter.ts
@@ -1,15 +1,15 @@
-/** A node's share of a rate that all nodes have together: a token bucket without a clock of its own. */
+/** Token bucket for one node's share of a rate that all nodes share. Has no clock: callers pass the time. */
 import * as Duration from "effect/Duration";
 import { type Instant, hasElapsed, plus } from "../time.js";
 
-/** For how long after a refusal urgent requests keep to the rate as well. */
+/** For how long after a refusal urgent requests are paced as well. */
 const PACING_AFTER_REFUSAL = Duration.seconds(2);
-/** They keep a little below the rate, or what others write in between would have them refused again. */
+/** Share of the rate at which urgent requests are paced: other requests in between would cause further refusals. */
 const PACED_RATE_SHARE = 0.9;
-/** How long each may wait for its turn. */
+/** Longest time that an urgent request may be delayed. */
 const MAX_URGENT_DELAY = Duration.seconds(1);
 
-/** Tokens come in at a steady rate and pile up to a burst; each request or change takes one. */
+/** Tokens are added at a constant rate up to a maximum, the burst; each request or change takes one. */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: Instant | null = null;
@@ -18,15 +18,15 @@
   private nextUrgentAt: Instant | null = null;
 
   constructor(
-    /** Tokens that come in a second. */
+    /** Tokens added per second. */
     private tokensPerSecond: number,
-    /** How many tokens pile up at most. */
+    /** Most tokens in the bucket. */
     private burst = Math.max(1, tokensPerSecond),
   ) {
     this.tokens = this.burst;
   }
 
-  /** Another share of the rate, from now on. */
+  /** Changes the rate from now on; the burst follows it. */
   setRate(now: Instant, tokensPerSecond: number): void {
     this.refill(now);
     this.tokensPerSecond = tokensPerSecond;
@@ -43,20 +43,21 @@
     this.refilledAt = now;
   }
 
-  /** Takes at once, going into debt: for renewals and commits. */
+  /** Takes tokens without waiting, if need be into debt: for urgent requests such as renewals and commits. */
   takeUrgent(now: Instant, count = 1): void {
     this.refill(now);
     this.tokens = Math.max(this.tokens - count, -this.burst);
   }
 
   /**
-   * How long an urgent one waits before it goes. Usually not at all; but after a refusal all of them at once, each
-   * trying again, would only be refused again. null: too many wait, so it isn't worth being sent.
+   * How long an urgent request has to wait before it is sent; null: longer than `maxWait`, so it shouldn't be sent.
+   * Usually there is no wait. After a refusal urgent requests are sent one after the other: all at once they would be
+   * refused again.
    */
   urgentDelay(now: Instant, count: number, maxWait = MAX_URGENT_DELAY): Duration.Duration | null {
     const isRecent = (at: Instant | null): boolean =>
       at !== null && !hasElapsed(now, at, PACING_AFTER_REFUSAL);
-    // also while others wait: they would all go together
+    // pacing goes on while others wait for their turn: otherwise this one would be sent together with them
     if (!isRecent(this.refusedAt) && !isRecent(this.nextUrgentAt)) {
       this.nextUrgentAt = null;
       return Duration.zero;
@@ -70,7 +71,7 @@
     return Duration.millis(sendAt - now);
   }
 
-  /** Takes `count` if it may; otherwise says how long to wait before asking again. */
+  /** Takes `count` tokens and returns zero, or, if there are too few, returns how long to wait before the next try. */
   take(now: Instant, count = 1): Duration.Duration {
     this.refill(now);
     if (this.closedUntil !== null && now < this.closedUntil) return Duration.millis(this.closedUntil - now);
@@ -82,7 +83,7 @@
     return Duration.millis(Math.ceil(((needed - this.tokens) / this.tokensPerSecond) * 1000) + 1);
   }
 
-  /** The other side said 429: nothing more for a while. */
+  /** Records a 429 from the other side: no tokens are given out for `span`. */
   recordRefusal(now: Instant, span: Duration.Duration): void {
     this.refusedAt = now;
     this.tokens = Math.min(this.tokens, 0);
--- a/src/core/records.ts
+++ b/src/core/records.ts
@@ -1,6 +1,6 @@
 /**
- * What the state service keeps and what workers say, in the core's terms: the one place that these types are imported
- * from. Each concern has a module of its own.
+ * Types of the records in the state service and of the workers' messages, under the core's names. Other modules import
+ * them from here; `records/` has a module for each subject.
  */
 export type {
   CommitRecord,
--- a/src/core/records/jobs.ts
+++ b/src/core/records/jobs.ts
@@ -1,73 +1,73 @@
-/** Jobs as users submit them and as the state service keeps their ends: specs, commits, fan-in sets, finished tasks. */
+/** Job specs as users submit them, and records of jobs in the state service: commits, fan-in sets, finished tasks. */
 import type * as Duration from "effect/Duration";
 import type { Range } from "../ranges.js";
 
-/** How a job's tasks belong together: independent ones, all at once or none, or replicas that run until cancelled. */
+/** `array`: independent tasks; `gang`: tasks that all start together; `service`: replicas that run until cancelled. */
 export type JobKind = "array" | "gang" | "service";
 
-/** How important users say that a job is. */
+/** The priority that the user gave a job. */
 export type Priority = "production" | "high" | "normal" | "low";
 
-/** Priorities as numbers: the higher one goes first, and may preempt the lower ones. */
+/** Priorities as numbers: a higher rank is served first and may preempt lower ones. */
 export const RANK: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
-/** What a user submitted. It never changes. */
+/** A job as the user submitted it. It never changes. */
 export interface JobSpec {
   readonly id: string;
-  /** The class of its tasks, for which users expect a start latency; attempts are counted by it. */
+  /** The class of its tasks: start-latency objectives are given, and attempts counted, by class. */
   readonly className: string;
   readonly team: string;
   readonly kind: JobKind;
   readonly priority: Priority;
-  /** How many tasks it has; they are numbered from 0. */
+  /** Number of tasks; they are numbered from 0. */
   readonly tasks: number;
-  /** What one task uses; processors may be fractions. */
+  /** Processors for one task; may be a fraction. The following sizes are for one task too. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
   readonly image: string;
   readonly imageGb: number;
-  /** Machine types that it may run on; null: any. */
+  /** Allowed machine types; null: any. */
   readonly types: readonly string[] | null;
-  /** The zone that it has to run in; null: any. */
+  /** The only allowed zone; null: any. */
   readonly zone: string | null;
-  /** All its tasks have to run in one zone. */
+  /** Whether all tasks have to run in the same zone. */
   readonly oneZone: boolean;
-  /** Its tasks are spread over zones. */
+  /** Whether tasks have to be spread over zones. */
   readonly spreadOverZones: boolean;
-  /** It may run on machines that the cloud can take back. */
+  /** Whether it may run on spot machines, which the cloud can reclaim. */
   readonly spot: boolean;
-  /** How long a task is expected to run. */
+  /** How long a task is expected to run, as the user estimates. */
   readonly estimate: Duration.Duration;
-  /** Its checkpoint interval, as the user gave it; zero: it saves no progress. */
+  /** The interval between checkpoints; zero: the job saves no progress. */
   readonly checkpointInterval: Duration.Duration;
-  /** How long saving takes. */
+  /** How long a task takes to save a checkpoint. */
   readonly saveDuration: Duration.Duration;
-  /** Counts from the submission, also for a job that waits for others. */
+  /** Counted from the submission, also for a job that waits for its dependencies; null: none. */
   readonly deadline: Duration.Duration | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Ids of the jobs that have to be done before any task of this one starts. */
   readonly dependsOn: readonly string[];
 }
 
 /** How a job ended. */
 export type JobOutcome = "done" | "cancelled";
 
-/** The end of a job: created only if absent, and never changed (S7). */
+/** Says that a job has ended: created only if absent, and never changed (S7). */
 export interface CommitRecord {
   readonly outcome: JobOutcome;
   readonly tasks: number;
 }
 
-/** A waiting job's fan-in set: which of its parents are done, and whether the add that filled it released the job. */
+/** Fan-in set of a blocked job: its parents that are done (`joined`), and whether the last of them released it. */
 export interface FaninRecord {
   readonly joined: readonly string[];
   readonly released: boolean;
 }
 
-/** Finished tasks of a job within one window of task numbers, as one process stored them (S7). */
+/** Finished tasks of a job within one window of task numbers, as stored by one process (S7). */
 export interface RangesRecord {
   readonly ranges: readonly Range[];
 }
 
-/** A task's name in logs and messages to users. */
+/** The task's name in logs and in messages to users. */
 export const taskName = (job: string, index: number): string => `${job}/${index}`;
--- a/src/core/records/machines.ts
+++ b/src/core/records/machines.ts
@@ -1,21 +1,21 @@
 /** Machines, their types, scale-out requests and the teams' quotas. */
 import type * as Duration from "effect/Duration";
 
-/** What is stored of a machine before anything is started on it (S5). */
+/** A machine's record, which is stored before anything is started on the machine (S5). */
 export interface MachineRecord {
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Where its worker listens; null: not known yet. */
+  /** Address of its worker; null: not known yet. */
   readonly addr: string | null;
 }
 
-/** Machines are recorded many to a record: few state writes a machine. */
+/** One stored record holds many machines, by id, to keep the number of writes low. */
 export interface MachinesRecord {
   readonly machines: Readonly<Record<string, MachineRecord>>;
 }
 
-/** A scale-out request that is stored until its outcome is certain (S10). */
+/** A scale-out request; it is stored until its outcome is certain (S10). */
 export interface RentalRecord {
   readonly type: string;
   readonly zone: string;
@@ -23,7 +23,7 @@
   readonly count: number;
 }
 
-/** A machine type that the platform offers; prices are compared with one another alone. */
+/** A machine type that the platform offers. Prices have no unit: they are only compared with one another. */
 export interface MachineType {
   readonly name: string;
   readonly cpus: number;
@@ -37,7 +37,7 @@
   readonly zones: readonly string[];
 }
 
-/** A team's quota; 0 means: no limit, and no guarantee. */
+/** A team's quota. A maximum of 0 means no limit, a guarantee of 0 no guarantee. */
 export interface Team {
   readonly name: string;
   readonly guaranteedCpus: number;
--- a/src/core/records/membership.ts
+++ b/src/core/records/membership.ts
@@ -1,30 +1,30 @@
-/** Terms, members and the leader, as the state service keeps them. */
+/** Records of the term, the members and the leader in the state service. */
 
-/** A member as a term names it. */
+/** A member as listed in a term. */
 export interface TermMember {
   readonly name: string;
-  /** Which process of that member: the revision of its member record. */
+  /** Identifies the member's process: the revision of its member record. */
   readonly incarnation: number;
   readonly zone: string;
 }
 
-/** The present term: who leads, and who the members are (S1). Its number makes the fencing tokens. */
+/** The current term: its leader and its members (S1). Fencing tokens derive from its number. */
 export interface TermRecord {
-  /** One higher than that of the term before. */
+  /** One higher than the previous term's. */
   readonly number: number;
-  /** Revision of the leader's key: terms with the same one have the same leader, with all that it remembers. */
+  /** Revision of the leader's key: in terms with the same one, the leader is the same process with the same state. */
   readonly leaderRevision: number;
   readonly leader: string;
   readonly members: readonly TermMember[];
 }
 
-/** A member's key, on the member's lease. */
+/** Value of a member's key, which is attached to the member's lease. */
 export interface MemberRecord {
   readonly zone: string;
   readonly leaseId: number;
 }
 
-/** The leader's key, on the leader's lease. */
+/** Value of the leader's key, which is attached to the leader's lease. */
 export interface LeaderRecord {
   readonly member: string;
   readonly leaseId: number;
--- a/src/core/records/state-keys.ts
+++ b/src/core/records/state-keys.ts
@@ -1,6 +1,6 @@
-/** The keys of the state service, other than those of shards (`shards/shard-keys.ts`). */
+/** Keys in the state service, other than those of shards (`shards/shard-keys.ts`). */
 
-/** Where the state service keeps each record. The names never change: earlier versions read and write them (S14). */
+/** The key or key prefix of each record. They never change: earlier versions read and write them (S14). */
 export const keys = {
   cluster: "cluster/",
   leader: "cluster/leader",
@@ -8,11 +8,11 @@
   members: "cluster/member/",
   member: (name: string) => `cluster/member/${name}`,
   types: "types",
-  /** Whatever concerns unfinished jobs: released ones, waiting ones and fan-in sets, so that one watch tells all. */
+  /** Common prefix of released jobs, blocked jobs and fan-in sets, so that one watch covers all unfinished jobs. */
   unfinished: "job",
   jobs: "job/",
   job: (id: string) => `job/${id}`,
-  /** A job that waits for others. Earlier versions never list or read it: they would start it at once. */
+  /** Jobs that wait for their dependencies. Earlier versions, which would start them, never list or read these keys. */
   blockedJobs: "job-waiting/",
   blockedJob: (id: string) => `job-waiting/${id}`,
   fanins: "job-fanin/",
--- a/src/core/records/worker-messages.ts
+++ b/src/core/records/worker-messages.ts
@@ -1,12 +1,12 @@
-/** What workers report and what they are told, in the core's terms; the wire's names are mapped in `io/codec.ts`. */
+/** Heartbeats of workers and commands to them, under the core's names; `io/codec.ts` maps the names on the wire. */
 
-/** What a worker says an attempt is doing. */
+/** An attempt's state as its worker reports it. */
 export type TaskState = "fetching" | "waiting" | "running" | "saving" | "exited";
 
-/** Why an attempt ended, as its worker says. */
+/** Why an attempt ended, as its worker reports it. */
 export type ExitReason = "done" | "stopped" | "peers" | "alone" | "error" | "no_room" | "busy" | "unknown";
 
-/** An attempt as a heartbeat shows it. */
+/** An attempt as a heartbeat lists it. */
 export interface TaskStatus {
   readonly job: string;
   readonly index: number;
@@ -16,30 +16,30 @@
   readonly exitReason: ExitReason | null;
 }
 
-/** A worker's message: all that is on its machine (S2). */
+/** A worker's message: its machine and all attempts on it (S2). */
 export interface Heartbeat {
   readonly machine: string;
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Which epoch of the worker speaks: a message of a larger one is newer than all of smaller ones. */
+  /** The worker's epoch: a message of a higher epoch is newer than all messages of lower ones. */
   readonly workerEpoch: number;
-  /** Grows with each message of the epoch. */
+  /** Grows with each message within an epoch. */
   readonly sequence: number;
-  /** The highest token that the worker has seen. */
+  /** The highest fencing token that the worker has seen. */
   readonly fencingToken: number;
-  /** In how many seconds the cloud takes the machine back; null: no notice. */
+  /** Seconds until the cloud reclaims the machine; null: no notice was given. */
   readonly reclaimNoticeSeconds: number | null;
   readonly tasks: readonly TaskStatus[];
 }
 
-/** What a worker is told to do with one attempt. */
+/** A command to a worker about one attempt. */
 export interface Command {
   readonly op: "start" | "stop" | "forget";
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
-  /** How long a stopped task may take to save. */
+  /** How long a stopped task may take to save its progress. */
   readonly gracePeriodSeconds: number;
 }
--- a/src/core/shards/shard-drain.ts
+++ b/src/core/shards/shard-drain.ts
@@ -1,19 +1,19 @@
 /**
- * What the leader's core knows about handing a shard over: whether its machines could be drained now, and whether every
- * command that was sent to them is settled. A machine is fenced once it was seen under a token that was raised after the
- * last command: whatever was sent before is refused from then on (S2 in docs/design.md).
+ * The leader's side of handing a shard over: whether the shard's machines can be handed over now, and whether all
+ * commands sent to them are settled. A machine is fenced once its worker has reported a fencing token that was raised
+ * after the last command: from then on it refuses commands that were sent earlier (S2 in docs/design.md).
  */
 import { Refusal, type ShardFacts } from "#shards";
 import type { TaskAttempt, Machine } from "../cluster/cluster.js";
 import type { SchedulerContext } from "../scheduler/scheduler-context.js";
 import { fencingTokenOf } from "../leases/term.js";
 
-/** The shard's side of the core. Owns `cluster.awaitingFence`. */
+/** Fences the machines of shards that are handed over. Owns `cluster.awaitingFence`. */
 export class ShardDrain {
-  /** `context`: what the parts of the core share. */
+  /** `context`: the state shared by the parts of the leader's core. */
   constructor(private readonly context: SchedulerContext) {}
 
-  /** Raises the machines' tokens and has them asked for heartbeats. */
+  /** Raises the machines' fencing tokens and has their workers asked for heartbeats. */
   raiseTokens(machines: readonly Machine[]): void {
     for (const machine of machines) {
       machine.fencingTokenStep++;
@@ -32,7 +32,7 @@
     if (machines.length > 0) cluster.capacityVersion++;
   }
 
-  /** What stands against handing the machines over, and whether they are fenced. */
+  /** What prevents handing the machines over, if anything, and whether they are fenced. */
   factsOf(machines: readonly Machine[]): ShardFacts {
     const relevant = machines.filter((machine) => this.mayHaveCommands(machine));
     const unfenced = relevant.find((machine) => !this.isFenced(machine));
@@ -44,7 +44,7 @@
     };
   }
 
-  /** One that is being returned, or that never got a command, has none to wait for. */
+  /** A machine that is being released, or without a record, which never got a command, needs no fencing. */
   private mayHaveCommands(machine: Machine): boolean {
     return machine.releaseRequestedAt === null && machine.recorded;
   }
--- a/src/core/time.ts
+++ b/src/core/time.ts
@@ -1,25 +1,25 @@
 /**
- * Time inside the core. Durations are effect's Duration; a moment is an Instant on this process's steady
- * clock. Node 20 has no such type (only the wall clock's Date), so this is its nearest kin: milliseconds
- * since an arbitrary start, branded so that it can't be mixed up with a plain number.
+ * Time inside the core. Spans are effect's `Duration`; points in time are `Instant`s on this process's monotonic clock.
+ * Node 20 has no type for these (`Date` is wall-clock time), so an `Instant` is a branded number: milliseconds since an
+ * arbitrary start, which can't be confused with a plain number.
  */
 import * as Duration from "effect/Duration";
 
-/** A moment on this process's steady clock, in milliseconds. */
+/** A point in time on this process's monotonic clock, in milliseconds since an arbitrary start. */
 export type Instant = number & { readonly Instant: unique symbol };
 
-/** The one place where a plain number of milliseconds becomes a moment. */
+/** Converts a reading of the monotonic clock, in milliseconds; there is no other conversion. */
 export const instant = (ms: number): Instant => ms as Instant;
-/** The moment that is later by a duration. */
+/** The instant `by` later. */
 export const plus = (at: Instant, by: Duration.Duration): Instant => instant(at + Duration.toMillis(by));
-/** The moment that is earlier by a duration. */
+/** The instant `by` earlier. */
 export const minus = (at: Instant, by: Duration.Duration): Instant => instant(at - Duration.toMillis(by));
 /** Whether at least `span` has passed from `earlier` to `now`. */
 export const hasElapsed = (now: Instant, earlier: Instant, span: Duration.Duration): boolean =>
   now - earlier >= Duration.toMillis(span);
 
-/** The steady clocks of two machines drift apart by as much as 0.05%; we allow four times that. */
+/** Monotonic clocks of two machines drift apart by up to 0.05%; four times that is allowed for. */
 export const MAX_CLOCK_DRIFT_RATIO = 0.002;
-/** What a span on one machine's clock may be at most on another's. */
+/** The most that a span on one machine's clock may last on another machine's. */
 export const withClockDrift = (span: Duration.Duration): Duration.Duration =>
   Duration.millis(Duration.toMillis(span) * (1 + MAX_CLOCK_DRIFT_RATIO));
