--- a/src/core/placement/preemption.ts
+++ b/src/core/placement/preemption.ts
@@ -112,7 +112,7 @@
     if (found === null) return false;
     for (const attempt of found.attempts) pendingCommands.stop(attempt);
     this.searchPausedUntil.set(job.spec.id, plus(now, STOP_DURATION));
-    notes.push(`stop ${taskNames(found.attempts)} on ${found.machine.id} for ${job.spec.id}`);
+    notes.push(`preempting ${taskNames(found.attempts)} on ${found.machine.id} for ${job.spec.id}`);
     return true;
   }
 
