--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -27,7 +27,7 @@
 /** What became of a batch, and the heartbeat that the worker answered with. */
 export interface WorkerAnswer {
   readonly outcome: CommandOutcome;
-  readonly report: Heartbeat | null;
+  readonly heartbeat: Heartbeat | null;
 }
 
 /** Calls to workers, which may hang: only so many at a time, each with a short timeout. */
@@ -86,11 +86,11 @@
   }
 }
 
-const withoutHeartbeat = (outcome: CommandOutcome): WorkerAnswer => ({ outcome, report: null });
+const withoutHeartbeat = (outcome: CommandOutcome): WorkerAnswer => ({ outcome, heartbeat: null });
 
 /** 200: executed; 409: not executed, for the fencing token or the epoch. Both come with the worker's heartbeat. */
 const answerOf = (reply: Reply): WorkerAnswer => {
   const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(parseJson(reply)) : null;
-  if (reply.status !== 200) return { outcome: "rejected", report: heartbeat };
-  return { outcome: heartbeat === null ? "unknown" : "done", report: heartbeat };
+  if (reply.status !== 200) return { outcome: "rejected", heartbeat };
+  return { outcome: heartbeat === null ? "unknown" : "done", heartbeat };
 };
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -117,10 +117,10 @@
 const buildMember = (base: BaseServices, membership: Membership, workers: WorkerClient): Member => {
   const { settings, timings, state, peers, log } = base;
   const options = {
-    me: settings.member,
+    self: settings.member,
     txnOps: settings.stateLimits.txnOps,
     valueKb: settings.stateLimits.valueKb,
-    keepFor: Duration.sum(timings.machineExpiry, CONTACT_RETENTION_AFTER_EXPIRY),
+    contactRetention: Duration.sum(timings.machineExpiry, CONTACT_RETENTION_AFTER_EXPIRY),
   };
   return new Member(options, membership, state, workers, peers, log);
 };
@@ -168,7 +168,7 @@
   };
   return new Leader(
     {
-      me: settings.member,
+      self: settings.member,
       timings,
       teams,
       fleet: { reuse, idleBoots, warmFor },
--- a/src/service/leader/command-dispatcher.ts
+++ b/src/service/leader/command-dispatcher.ts
@@ -50,7 +50,7 @@
   route(via: string | null): string | null {
     const { membership } = this.context.services;
     const isMember = membership.term?.members.some((member) => member.name === via) ?? false;
-    return isMember && via !== this.context.options.me ? via : null;
+    return isMember && via !== this.context.options.self ? via : null;
   }
 
   /** Makes a batch of a decision; from now on an answer is awaited. */
--- a/src/service/leader/leader-context.ts
+++ b/src/service/leader/leader-context.ts
@@ -27,7 +27,7 @@
 /** The settings that concern the leader. */
 export interface LeaderOptions {
   /** This member's name. */
-  readonly me: string;
+  readonly self: string;
   readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -123,7 +123,7 @@
   /** A term that came into force, this leader's or another one's. */
   readonly termChanged = (term: TermRecord): void => {
     this.zones.termObserved(term, now());
-    if (term.leader !== this.context.options.me) this.stop();
+    if (term.leader !== this.context.options.self) this.stop();
     else this.withScheduler((scheduler) => scheduler.renewTerm(term, now()));
     this.context.stepRequested.notify();
   };
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -109,7 +109,9 @@
     if (since === null) return false;
     return [...this.memberStatus, ...member.peerStatus].some(
       ([name, status]) =>
-        name !== this.context.options.me && status.ok && hasElapsed(status.at, since, OUTAGE_DETECTION_TIME),
+        name !== this.context.options.self &&
+        status.ok &&
+        hasElapsed(status.at, since, OUTAGE_DETECTION_TIME),
     );
   }
 }
--- a/src/service/members/election.ts
+++ b/src/service/members/election.ts
@@ -21,7 +21,7 @@
 
 /** What an election works with. */
 export interface ElectionOptions {
-  readonly me: string;
+  readonly self: string;
   readonly state: StateClient;
   readonly log: Log;
   readonly registry: MemberRegistry;
@@ -80,7 +80,7 @@
 
   /** Tries to become the leader when there is none; true: this process holds the leader's key since then. */
   readonly campaign: Effect.Effect<boolean, StateError> = Effect.gen(this, function* () {
-    const { me, log, registry, lease } = this.options;
+    const { self, log, registry, lease } = this.options;
     const { leaseId } = lease;
     if (leaseId === null || this.current !== null || !registry.isSynced) return false;
     const existing = registry.leaderKey;
@@ -92,7 +92,7 @@
       log.info({ revision: existing.revision, leaseId }, "elected leader by an earlier write of the key");
       return true;
     }
-    const record: LeaderRecord = { member: me, leaseId };
+    const record: LeaderRecord = { member: self, leaseId };
     const revision = yield* this.createKey(record);
     if (revision === null || lease.leaseId !== leaseId) return false;
     this.current = { revision, leaseId };
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -40,7 +40,7 @@
 
 /** What a finish writer works with. */
 export interface FinishWriterOptions {
-  readonly me: string;
+  readonly self: string;
   /** Changes that one transaction may hold. */
   readonly txnOps: number;
   readonly finishes: FinishStore;
@@ -49,7 +49,7 @@
   readonly rejections: RejectionBackoff;
   readonly log: Log;
   /** Whether a job is known and unfinished here: only such a job's finishes are stored. */
-  readonly isOpen: (job: string) => boolean;
+  readonly isUnfinished: (job: string) => boolean;
   /** Called when finishes were stored, or writing them failed. */
   readonly onWritten: () => void;
 }
@@ -122,13 +122,13 @@
 
   /** Never ends; what fails is tried again. */
   readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
-    const { me, membership, finishes, isOpen } = this.options;
+    const { self, membership, finishes, isUnfinished } = this.options;
     yield* Effect.sleep(STORE_INTERVAL);
     let isAnswered = true;
     while (isAnswered && membership.leaseId !== null) {
       // a restarted member must not overwrite what its earlier process stored
-      const writer = `${me}.${membership.incarnation}`;
-      const writes = finishes.beginWrites(writer, this.maxPuts, now(), isOpen);
+      const writer = `${self}.${membership.incarnation}`;
+      const writes = finishes.beginWrites(writer, this.maxPuts, now(), isUnfinished);
       if (writes.length === 0) break;
       isAnswered = yield* this.write(writes);
     }
--- a/src/service/members/leader-sync.ts
+++ b/src/service/members/leader-sync.ts
@@ -40,9 +40,9 @@
 
 /** What the sync with the leader works with. */
 export interface LeaderSyncOptions {
-  readonly me: string;
+  readonly self: string;
   /** How long workers are remembered that don't come any more. */
-  readonly keepFor: Duration.Duration;
+  readonly contactRetention: Duration.Duration;
   readonly membership: Membership;
   readonly partition: WorkerPartition;
   readonly peers: Peers;
@@ -53,7 +53,7 @@
   /** The leader in this process; null: this process doesn't lead. */
   readonly localLeader: () => ((request: SyncRequest) => SyncResponse) | null;
   /** Whether a job is known and unfinished here. */
-  readonly isOpen: (job: string) => boolean;
+  readonly isUnfinished: (job: string) => boolean;
   /** Called when the leader says that a job is done, its commit record being there (S8). */
   readonly onDone: (job: string, tasks: number) => void;
 }
@@ -98,7 +98,7 @@
   }
 
   private nextRequest(term: TermRecord): SyncRequest {
-    const { me, membership, partition, relay } = this.options;
+    const { self, membership, partition, relay } = this.options;
     if (this.answeredTerm !== term.number) {
       this.leaderClockMark = UNKNOWN;
       this.progressVersion = UNKNOWN;
@@ -107,7 +107,7 @@
     const update = partition.takeUpdate(now(), this.isLeaderUnreachable() ? relay.maxHeartbeats : Infinity);
     return {
       termNumber: term.number,
-      member: me,
+      member: self,
       incarnation: membership.incarnation,
       // the proof by time (S3): an update that names some workers says nothing of the others
       leaderClockMark: partition.isUpdateComplete() ? this.leaderClockMark : UNKNOWN,
@@ -123,13 +123,13 @@
 
   /** null: no answer came. */
   private send(term: TermRecord, request: SyncRequest): Effect.Effect<SyncResponse | null> {
-    const { me, peers, localLeader } = this.options;
-    if (term.leader === me) return Effect.succeed(localLeader()?.(request) ?? null);
+    const { self, peers, localLeader } = this.options;
+    if (term.leader === self) return Effect.succeed(localLeader()?.(request) ?? null);
     return peers.sync(term.leader, request).pipe(Effect.orElseSucceed(() => null));
   }
 
   private readonly syncOnce = Effect.gen(this, function* () {
-    const { me, membership, partition, relay } = this.options;
+    const { self, membership, partition, relay } = this.options;
     const { term } = membership;
     if (term === null) return;
     const request = this.nextRequest(term);
@@ -142,14 +142,14 @@
       return;
     }
     if (response !== null) membership.observeTerm(response.termNumber);
-    const mayRelay = response === null && term.leader !== me && this.isLeaderUnreachable();
+    const mayRelay = response === null && term.leader !== self && this.isLeaderUnreachable();
     const isRelayed = mayRelay && (yield* relay.relay(request));
     if (!isRelayed) partition.putBack(request);
     yield* Effect.sleep(RETRY_PAUSE);
   });
 
   private applyResponse(leader: string, response: SyncResponse): void {
-    const { onDone, isOpen } = this.options;
+    const { onDone, isUnfinished } = this.options;
     if (this.answeredTerm === response.termNumber) {
       this.leaderClockMark = response.leaderClockMark;
       this.progressVersion = response.progressVersion;
@@ -157,7 +157,7 @@
     this.statusByPeer.set(leader, { at: now(), ok: response.reachesStateService });
     for (const { job, done, running, over } of response.progress) {
       if (over) onDone(job, done);
-      else if (isOpen(job)) this.progressByJob.set(job, { done, running });
+      else if (isUnfinished(job)) this.progressByJob.set(job, { done, running });
     }
   }
 
@@ -168,7 +168,7 @@
     yield* this.syncOnce;
     if (!hasElapsed(now(), this.prunedAt, PRUNE_INTERVAL)) return;
     this.prunedAt = now();
-    this.options.partition.prune(now(), this.options.keepFor);
+    this.options.partition.prune(now(), this.options.contactRetention);
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.sync(() => this.options.log.error({ reason: cause.toString() }, "sync with the leader failed")),
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -23,7 +23,7 @@
 
 /** What a lease keeper works with. */
 export interface LeaseKeeperOptions {
-  readonly me: string;
+  readonly self: string;
   readonly zone: string;
   readonly timings: LeaseTimings;
   readonly state: StateClient;
@@ -63,20 +63,20 @@
 
   /** Ends the lease of this member's previous process, which is dead: nobody has to wait for its expiry. */
   private readonly revokePreviousLease = Effect.gen(this, function* () {
-    const { me, state } = this.options;
-    const row = yield* state.get(keys.member(me));
+    const { self, state } = this.options;
+    const row = yield* state.get(keys.member(self));
     if (row !== null) yield* state.revokeLease(decodeMember(row.value).leaseId);
   });
 
   private readonly join = Effect.gen(this, function* () {
-    const { me, zone, timings, state, log, extension, rejections, onJoined } = this.options;
+    const { self, zone, timings, state, log, extension, rejections, onJoined } = this.options;
     yield* this.revokePreviousLease;
     const leaseId = yield* state.grantLease(timings.memberLease);
     const record: MemberRecord = { zone, leaseId };
     // a late copy of an earlier process's write finds this key there and changes nothing
     const result = yield* state.commit(
-      [{ key: keys.member(me), revision: 0 }],
-      [{ put: keys.member(me), value: encodeMember(record), leaseId }, ...extension.changesOnJoin(leaseId)],
+      [{ key: keys.member(self), revision: 0 }],
+      [{ put: keys.member(self), value: encodeMember(record), leaseId }, ...extension.changesOnJoin(leaseId)],
       "vital",
     );
     if (result.ok === null) yield* Effect.ignore(state.revokeLease(leaseId));
@@ -95,7 +95,7 @@
   }
 
   private readonly renew = Effect.gen(this, function* () {
-    const { me, timings, state, log, terms, registry } = this.options;
+    const { self, timings, state, log, terms, registry } = this.options;
     const leaseId = this.currentLeaseId;
     if (leaseId === null) return yield* this.join;
     const sentAt = now();
@@ -111,7 +111,7 @@
     }
     terms.recordRenewal(termRow, sentAt);
     // the lease lives, but the key isn't this process's: nobody counts it as a member
-    if (registry.hasLost(me, this.currentIncarnation)) {
+    if (registry.hasLost(self, this.currentIncarnation)) {
       log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, joining anew");
       yield* state.revokeLease(leaseId);
       this.handleLoss("member key lost");
--- a/src/service/members/member.ts
+++ b/src/service/members/member.ts
@@ -20,20 +20,20 @@
 import { UpdateRelaySender } from "./update-relay-sender.js";
 import { fragmentLimits } from "./update-relay.js";
 
-export { maxRangeRecordBytes as rangesBytes } from "./finish-writer.js";
+export { maxRangeRecordBytes } from "./finish-writer.js";
 
 /** A finish is safe on its machine; it is stored once others of its job had time to join it. */
 const FINISH_BATCHING_DELAY = Duration.seconds(4);
 
 /** Settings of a member. */
 export interface MemberOptions {
-  readonly me: string;
+  readonly self: string;
   /** Changes that one transaction of the state service may hold. */
   readonly txnOps: number;
   /** Kilobytes that one of its values may hold. */
   readonly valueKb: number;
   /** How long workers are remembered that don't come any more. */
-  readonly keepFor: Duration.Duration;
+  readonly contactRetention: Duration.Duration;
 }
 
 /** One process's work as a member, for as long as `run` runs. */
@@ -61,21 +61,21 @@
     peers: Peers,
     log: Log,
   ) {
-    const { me, valueKb, txnOps, keepFor } = options;
+    const { self, valueKb, txnOps, contactRetention } = options;
     const rejections = new RejectionBackoff(log);
-    const partition = new WorkerPartition(me, maxRangeRecordBytes(valueKb, txnOps), FINISH_BATCHING_DELAY);
+    const partition = new WorkerPartition(self, maxRangeRecordBytes(valueKb, txnOps), FINISH_BATCHING_DELAY);
     const limits = fragmentLimits(valueKb, txnOps);
-    const isOpen = (job: string): boolean => this.isUnfinished(job);
+    const isUnfinished = (job: string): boolean => this.isUnfinished(job);
     const sync = new LeaderSync({
-      ...{ me, keepFor, membership, partition, peers, log, isOpen },
-      relay: new UpdateRelaySender({ me, membership, state, rejections, limits, log }),
+      ...{ self, contactRetention, membership, partition, peers, log, isUnfinished },
+      relay: new UpdateRelaySender({ self, membership, state, rejections, limits, log }),
       reachesStateService: () => this.reachesStateService(),
       localLeader: () => this.localLeader,
       onDone: (job, tasks) => this.onDone(job, tasks),
     });
     const syncIfUpdated = (): void => sync.requestIfUpdated();
     const finishWriter = new FinishWriter({
-      ...{ me, txnOps, membership, state, rejections, log, isOpen },
+      ...{ self, txnOps, membership, state, rejections, log, isUnfinished },
       finishes: partition.finishes,
       onWritten: syncIfUpdated,
     });
--- a/src/service/members/membership.ts
+++ b/src/service/members/membership.ts
@@ -42,7 +42,7 @@
   readonly run: Effect.Effect<void>;
 
   constructor(
-    private readonly me: string,
+    private readonly self: string,
     zone: string,
     private readonly timings: LeaseTimings,
     state: StateClient,
@@ -58,18 +58,18 @@
     const terms = new TermStore({ timings, log, otherMembers, askPeer, onTerm });
     const registry = new MemberRegistry(state, () => this.keysChanged());
     const lease = new LeaseKeeper({
-      ...{ me, zone, timings, state, log, terms, registry, rejections, extension },
+      ...{ self, zone, timings, state, log, terms, registry, rejections, extension },
       onJoined: () => this.changed.notify(),
       onLost: (reason) => this.election.stepDown(reason),
     });
     const onLost = (): void => this.onLost();
-    const election = new Election({ me, state, log, registry, lease, rejections, onLost });
+    const election = new Election({ self, state, log, registry, lease, rejections, onLost });
     this.terms = terms;
     this.registry = registry;
     this.lease = lease;
     this.election = election;
     this.campaign = election.campaign;
-    this.writeTerm = new TermWriter({ me, state, terms, lease, election, rejections, extension }).write;
+    this.writeTerm = new TermWriter({ self, state, terms, lease, election, rejections, extension }).write;
     this.run = Effect.all([lease.run, registry.run, terms.confirmByPeers(() => this.isInTerm())], {
       concurrency: 3,
       discard: true,
@@ -120,7 +120,7 @@
 
   /** May this node act as the leader right now (S1)? */
   isActingLeader(): boolean {
-    return this.leadership !== null && this.term?.leader === this.me && this.mayAct();
+    return this.leadership !== null && this.term?.leader === this.self && this.mayAct();
   }
 
   /** What this node answers another that asks whether its term is current: as far as is known or was begun here. */
@@ -144,7 +144,7 @@
   }
 
   private isInTerm(): boolean {
-    return this.terms.hasMember(this.me, this.incarnation);
+    return this.terms.hasMember(this.self, this.incarnation);
   }
 
   /** A new term closes the fencing window; the renewal that opens it again is sent at once. */
--- a/src/service/members/term-writer.ts
+++ b/src/service/members/term-writer.ts
@@ -13,7 +13,7 @@
 
 /** What a term writer works with. */
 export interface TermWriterOptions {
-  readonly me: string;
+  readonly self: string;
   readonly state: StateClient;
   readonly terms: TermStore;
   readonly lease: LeaseKeeper;
@@ -32,13 +32,13 @@
     members: readonly TermMember[],
     leadership: Leadership,
   ): TermRecord | null {
-    const { me, lease } = this.options;
-    if (!members.some((member) => member.name === me && member.incarnation === lease.incarnation))
+    const { self, lease } = this.options;
+    if (!members.some((member) => member.name === self && member.incarnation === lease.incarnation))
       return null;
     return {
       number: (storedTerm === null ? 0 : decodeTerm(storedTerm.value).number) + 1,
       leaderRevision: leadership.revision,
-      leader: me,
+      leader: self,
       members,
     };
   }
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -18,7 +18,7 @@
 
 /** What a relay sender works with. */
 export interface UpdateRelaySenderOptions {
-  readonly me: string;
+  readonly self: string;
   readonly membership: Membership;
   readonly state: StateClient;
   readonly rejections: RejectionBackoff;
@@ -41,13 +41,13 @@
 
   /** Relays an update, if this node may act and it is time for another. true: the leader will find it. */
   relay(update: SyncRequest): Effect.Effect<boolean> {
-    const { me, membership, state, limits } = this.options;
+    const { self, membership, state, limits } = this.options;
     const { leaseId } = membership;
     if (leaseId === null || !membership.mayAct()) return Effect.succeed(false);
     if (this.lastRelayedAt !== null && !hasElapsed(now(), this.lastRelayedAt, this.pause))
       return Effect.succeed(false);
     this.lastRelayedAt = now();
-    return Effect.map(relayUpdate({ state, member: me, leaseId, update, limits }), (result) => {
+    return Effect.map(relayUpdate({ state, member: self, leaseId, update, limits }), (result) => {
       this.adapt(result);
       this.options.log.info(
         { result: result.kind, heartbeats: update.heartbeats.length },
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -29,7 +29,7 @@
 import { MachineRecordStore, opsOf } from "../src/service/leader/machine-record-store.js";
 import { encodeLeader, encodeMember, encodeTerm } from "../src/io/record-codec.js";
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
-import { rangesBytes } from "../src/service/members/member.js";
+import { maxRangeRecordBytes } from "../src/service/members/member.js";
 
 const LIMITS = [
   { valueKb: 16, txnOps: 20 },
@@ -109,7 +109,7 @@
 test("a full transaction of ranges fits, whatever has finished", () => {
   const everySecond = Array.from({ length: 50_000 }, (_, i) => [2 * i, 2 * i + 1] as const);
   for (const limits of LIMITS) {
-    const bytes = rangesBytes(limits.valueKb, limits.txnOps);
+    const bytes = maxRangeRecordBytes(limits.valueKb, limits.txnOps);
     const all = [...splitIntoWindows(everySecond, bytes).values()].map((ranges) => ({ ranges }));
     const largest = all.sort((a, b) => jsonBytes(b) - jsonBytes(a)).slice(0, limits.txnOps);
     assertFits(
