--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -20,7 +20,7 @@
 
 const sameTypes = (types: readonly MachineType[], others: readonly MachineType[]): boolean =>
   types.length === others.length &&
-  types.every((type, i) => type.name === others[i]?.name && type.cpus === others[i]?.cpus);
+  types.every((type, index) => type.name === others[index]?.name && type.cpus === others[index]?.cpus);
 
 /** Keeps the scheduler's list of machines and every node's machine types up to date. */
 export class CloudInventory {
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -31,10 +31,10 @@
 
 /** Sweeps once a second while this node leads. */
 export class GarbageCollector {
-  private scannedAt: Instant = now();
+  private lastScanAt: Instant = now();
   /** Changes in one sweep: fewer once one was refused. */
   private maxSweepOps: number;
-  private sweeps = 0;
+  private sweepCount = 0;
 
   constructor(
     private readonly context: LeaderContext,
@@ -47,7 +47,7 @@
     yield* Effect.sleep(SWEEP_INTERVAL);
     const { leadership } = this.context.services.membership;
     if (leadership === null || this.context.schedulerLock === null) return;
-    if (hasElapsed(now(), this.scannedAt, SCAN_INTERVAL)) yield* this.scan();
+    if (hasElapsed(now(), this.lastScanAt, SCAN_INTERVAL)) yield* this.scan();
     const sweep = this.nextSweep();
     if (sweep.deletes.length + sweep.rewrites.length === 0) return;
     const result = yield* this.write(sweep, leadership);
@@ -63,7 +63,7 @@
     return Effect.gen(this, function* () {
       const { jobCache, state } = this.context.services;
       const { staleKeys } = this.context;
-      this.scannedAt = now();
+      this.lastScanAt = now();
       const { rows } = yield* state.list(keys.ranges);
       this.context.schedulerLock?.with((scheduler) => {
         for (const row of rows) if (!scheduler.cluster.jobs.has(jobOfRanges(row))) staleKeys.add(row.key);
@@ -82,7 +82,7 @@
       txnBytes: MAX_TXN_BYTES,
       newKey: this.recorder.newKey,
     };
-    const reservedDeletes = ++this.sweeps % 2 === 0 ? Math.min(staleKeys.size, this.maxSweepOps) : 0;
+    const reservedDeletes = ++this.sweepCount % 2 === 0 ? Math.min(staleKeys.size, this.maxSweepOps) : 0;
     const maxRewrites = Math.min(MAX_REWRITES_PER_SWEEP, this.maxSweepOps - reservedDeletes);
     const rewrites = this.recorder.store.pendingRewrites(maxRewrites, limits, now());
     const rewriteOps = rewrites.reduce((sum, rewrite) => sum + opsOf(rewrite), 0);
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -53,7 +53,7 @@
       else rejections.accepted("commit of a job", id);
       if (result.ok === true) {
         log.info({ job: id, termNumber: this.context.termNumber }, "done");
-        this.progress.finished(id, tasks);
+        this.progress.recordDone(id, tasks);
         member.onDone(id, tasks);
         return;
       }
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -32,7 +32,7 @@
   private readonly failedChecks = new Set<string>();
   private readonly checkRequested = new Signal();
   private lastFullCheckAt: Instant | null = null;
-  private running = false;
+  private isRunning = false;
   /** Fan-in sets that the state service refused to have written, and until when that isn't tried again. */
   private readonly rejectedUntil = new Map<string, Instant>();
   private readonly rejections: RejectionBackoff;
@@ -48,7 +48,7 @@
 
   /** A blocked job was heard of. */
   requestCheck(id: string): void {
-    if (!this.running) return;
+    if (!this.isRunning) return;
     this.pendingChecks.add(id);
     this.checkRequested.notify();
   }
@@ -60,13 +60,13 @@
 
   /** For as long as this node leads. */
   readonly run: Effect.Effect<never> = Effect.suspend(() => {
-    this.running = true;
+    this.isRunning = true;
     this.lastFullCheckAt = null;
     return Effect.forever(this.checkRound);
   }).pipe(
     Effect.ensuring(
       Effect.sync(() => {
-        this.running = false;
+        this.isRunning = false;
         this.pendingChecks.clear();
         this.failedChecks.clear();
       }),
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -157,7 +157,7 @@
 
   private readonly watchOnce: Effect.Effect<void, StateError> = Effect.gen(this, function* () {
     const { membership } = this.context.services;
-    yield* membership.changed.wait(MEMBERS_CHECK_INTERVAL);
+    yield* membership.clusterChanged.wait(MEMBERS_CHECK_INTERVAL);
     if (membership.leadership === null && !(yield* membership.campaign)) return;
     const { schedulerLock } = this.context;
     if (schedulerLock === null) yield* this.takeOver;
--- a/src/service/leader/machine-record-store.ts
+++ b/src/service/leader/machine-record-store.ts
@@ -108,7 +108,7 @@
 
   /** Records to be written anew in up to `maxOps` changes, empty ones first: they cost the least. */
   pendingRewrites(maxOps: number, limits?: RewriteLimits, at?: Instant): Rewrite[] {
-    const candidates = this.candidates(at);
+    const candidates = this.dueRewrites(at);
     candidates.sort((rewrite, other) => recordsWritten(rewrite) - recordsWritten(other));
     const chosen: Rewrite[] = [];
     let opsLeft = maxOps;
@@ -128,7 +128,7 @@
   }
 
   /** What has to be written and may be now, in the order in which it changed. */
-  private candidates(at: Instant | undefined): Rewrite[] {
+  private dueRewrites(at: Instant | undefined): Rewrite[] {
     const candidates: Rewrite[] = [];
     for (const key of this.dirty) {
       const chunk = this.chunks.get(key);
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -22,7 +22,10 @@
 
 /** Answers members, and remembers which of them reach the state service. */
 export class MemberSync {
-  private readonly memberStatus = new Map<string, { readonly at: Instant; readonly ok: boolean }>();
+  private readonly memberStatus = new Map<
+    string,
+    { readonly reportedAt: Instant; readonly reachesStateService: boolean }
+  >();
 
   constructor(
     private readonly context: LeaderContext,
@@ -33,7 +36,10 @@
   /** A member's update; refused unless this node leads in the term that the member names, which counts the member in. */
   readonly sync = (request: SyncRequest): SyncResponse => {
     const { member, membership } = this.context.services;
-    this.memberStatus.set(request.member, { at: now(), ok: request.reachesStateService });
+    this.memberStatus.set(request.member, {
+      reportedAt: now(),
+      reachesStateService: request.reachesStateService,
+    });
     const base = {
       termNumber: membership.term?.number ?? 0,
       leaderClockMark: now(),
@@ -85,18 +91,15 @@
 
   /** Signs of life, and the evidence for the expiry of leases (S3). An age below zero: there was none. */
   private applyContacts(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
-    const answered = [];
+    const renewals = [];
     for (const { machine, answerAgeMs, heartbeatAgeMs } of request.contacts) {
       if (heartbeatAgeMs >= 0)
         scheduler.contactReported(machine, minus(receivedAt, Duration.millis(heartbeatAgeMs)));
-      if (answerAgeMs >= 0) answered.push({ machine, at: minus(receivedAt, Duration.millis(answerAgeMs)) });
+      if (answerAgeMs >= 0) renewals.push({ machine, at: minus(receivedAt, Duration.millis(answerAgeMs)) });
     }
     const { member, incarnation, termNumber, leaderClockMark } = request;
     const completeUpTo = leaderClockMark < 0 ? null : instant(leaderClockMark);
-    scheduler.leaseRenewalsReported(
-      { member, incarnation, termNumber, completeUpTo, renewals: answered },
-      receivedAt,
-    );
+    scheduler.leaseRenewalsReported({ member, incarnation, termNumber, completeUpTo, renewals }, receivedAt);
   }
 
   /**
@@ -110,8 +113,8 @@
     return [...this.memberStatus, ...member.peerStatus].some(
       ([name, status]) =>
         name !== this.context.options.self &&
-        status.ok &&
-        hasElapsed(status.at, since, OUTAGE_DETECTION_TIME),
+        status.reachesStateService &&
+        hasElapsed(status.reportedAt, since, OUTAGE_DETECTION_TIME),
     );
   }
 }
--- a/src/service/leader/progress-reporter.ts
+++ b/src/service/leader/progress-reporter.ts
@@ -24,7 +24,7 @@
   }
 
   /** A job has its commit as done. */
-  finished(id: string, tasks: number): void {
+  recordDone(id: string, tasks: number): void {
     this.finishedJobs.set(id, tasks);
     if (this.finishedJobs.size > MAX_FINISHED_JOBS) {
       const oldest = this.finishedJobs.keys().next();
--- a/src/service/members/leader-sync.ts
+++ b/src/service/members/leader-sync.ts
@@ -28,8 +28,8 @@
 
 /** What another node said of itself: when, and whether it reaches the state service. */
 export interface PeerStatus {
-  readonly at: Instant;
-  readonly ok: boolean;
+  readonly reportedAt: Instant;
+  readonly reachesStateService: boolean;
 }
 
 /** How far a job has come, in tasks. */
@@ -60,7 +60,7 @@
 
 /** Tells the leader what is new, for as long as `run` runs. */
 export class LeaderSync {
-  private readonly requested = new Signal();
+  private readonly syncRequested = new Signal();
   /** The newest answer's mark on the leader's clock and version of the jobs' progress, under `answeredTerm`. */
   private leaderClockMark = UNKNOWN;
   private progressVersion = UNKNOWN;
@@ -84,12 +84,12 @@
 
   /** Syncs soon, whatever there is to say. */
   request(): void {
-    this.requested.notify();
+    this.syncRequested.notify();
   }
 
   /** Syncs soon if there is something that the leader waits for. */
   requestIfUpdated(): void {
-    if (this.options.partition.hasUpdate()) this.requested.notify();
+    if (this.options.partition.hasUpdate()) this.syncRequested.notify();
   }
 
   /** A job ended. */
@@ -154,7 +154,7 @@
       this.leaderClockMark = response.leaderClockMark;
       this.progressVersion = response.progressVersion;
     }
-    this.statusByPeer.set(leader, { at: now(), ok: response.reachesStateService });
+    this.statusByPeer.set(leader, { reportedAt: now(), reachesStateService: response.reachesStateService });
     for (const { job, done, running, over } of response.progress) {
       if (over) onDone(job, done);
       else if (isUnfinished(job)) this.progressByJob.set(job, { done, running });
@@ -163,7 +163,7 @@
 
   /** Never ends; what fails is tried again. */
   readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
-    yield* this.requested.wait(SYNC_INTERVAL);
+    yield* this.syncRequested.wait(SYNC_INTERVAL);
     yield* Effect.sleep(BATCHING_DELAY);
     yield* this.syncOnce;
     if (!hasElapsed(now(), this.prunedAt, PRUNE_INTERVAL)) return;
--- a/src/service/members/membership.ts
+++ b/src/service/members/membership.ts
@@ -29,7 +29,7 @@
   private readonly lease: LeaseKeeper;
   private readonly election: Election;
   /** Notified when this process joined and when the cluster's keys changed. One loop waits for it: the leader's. */
-  readonly changed = new Signal();
+  readonly clusterChanged = new Signal();
   /** Called with each newer term; set once, before `run`. */
   onTerm: (term: TermRecord) => void = () => undefined;
   /** Called when this process has led and leads no more; set once, before `run`. */
@@ -48,18 +48,18 @@
     state: StateClient,
     log: Log,
     otherMembers: readonly string[],
-    askPeer: (member: string, termNumber: number) => Effect.Effect<boolean>,
+    askForConfirmation: (member: string, termNumber: number) => Effect.Effect<boolean>,
     /** When the last request was sent whose answer showed every job that had ended by then; null: none was yet. */
     private readonly jobViewReadAt: () => Instant | null,
     extension: MembershipExtension = NO_EXTENSION,
   ) {
     const rejections = new RejectionBackoff(log);
-    const onTerm = (term: TermRecord): void => this.termAdopted(term);
-    const terms = new TermStore({ timings, log, otherMembers, askPeer, onTerm });
-    const registry = new MemberRegistry(state, () => this.keysChanged());
+    const onTerm = (term: TermRecord): void => this.onTermAdopted(term);
+    const terms = new TermStore({ timings, log, otherMembers, askForConfirmation, onTerm });
+    const registry = new MemberRegistry(state, () => this.onKeysChanged());
     const lease = new LeaseKeeper({
       ...{ self, zone, timings, state, log, terms, registry, rejections, extension },
-      onJoined: () => this.changed.notify(),
+      onJoined: () => this.clusterChanged.notify(),
       onLost: (reason) => this.election.stepDown(reason),
     });
     const onLost = (): void => this.onLost();
@@ -148,14 +148,14 @@
   }
 
   /** A new term closes the fencing window; the renewal that opens it again is sent at once. */
-  private termAdopted(term: TermRecord): void {
+  private onTermAdopted(term: TermRecord): void {
     this.onTerm(term);
     this.lease.requestRenewal();
   }
 
-  private keysChanged(): void {
+  private onKeysChanged(): void {
     this.terms.adopt(this.registry.termRow);
     this.election.checkLeaderKey();
-    this.changed.notify();
+    this.clusterChanged.notify();
   }
 }
--- a/src/service/members/term-store.ts
+++ b/src/service/members/term-store.ts
@@ -25,7 +25,7 @@
   /** All nodes but this one: each has to confirm the term. */
   readonly otherMembers: readonly string[];
   /** Whether that node knows of no newer term; false also when it doesn't answer. */
-  readonly askPeer: (member: string, termNumber: number) => Effect.Effect<boolean>;
+  readonly askForConfirmation: (member: string, termNumber: number) => Effect.Effect<boolean>;
   /** Called with each newer term. */
   readonly onTerm: (term: TermRecord) => void;
 }
@@ -129,7 +129,7 @@
   /** The fencing window counts from before the question: what the node learns after its answer isn't in it. */
   private requestConfirmation(member: string, term: TermRecord): Effect.Effect<void> {
     const askedAt = now();
-    return Effect.map(this.options.askPeer(member, term.number), (confirmed) => {
+    return Effect.map(this.options.askForConfirmation(member, term.number), (confirmed) => {
       if (confirmed && this.current === term) this.peerConfirmations.set(member, askedAt);
     });
   }
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -14,7 +14,7 @@
 import { type FragmentLimits, type RelayResult, relayUpdate } from "./update-relay.js";
 
 const RELAY_INTERVAL = Duration.seconds(1);
-const MAX_HEARTBEATS = 60;
+const MAX_RELAYED_HEARTBEATS = 60;
 
 /** What a relay sender works with. */
 export interface UpdateRelaySenderOptions {
@@ -28,7 +28,7 @@
 
 /** Leaves a member's updates in the state service. */
 export class UpdateRelaySender {
-  private heartbeatLimit = MAX_HEARTBEATS;
+  private heartbeatLimit = MAX_RELAYED_HEARTBEATS;
   private pause = RELAY_INTERVAL;
   private lastRelayedAt: Instant | null = null;
 
@@ -62,7 +62,7 @@
     const isTooMuch = result.kind === "rejected" || result.kind === "too large";
     this.heartbeatLimit = isTooMuch
       ? Math.max(1, Math.floor(this.heartbeatLimit / 2))
-      : Math.min(MAX_HEARTBEATS, this.heartbeatLimit + 1);
+      : Math.min(MAX_RELAYED_HEARTBEATS, this.heartbeatLimit + 1);
     this.pause =
       result.kind === "rejected"
         ? Duration.max(RELAY_INTERVAL, rejections.rejected("member update", result.reason))
