--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -1,4 +1,4 @@
-/** What the cloud has: the list of this cluster's machines, and the machine types that it offers. */
+/** Keeps track of the cloud's machines of this cluster and of the machine types that it offers. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { jsonBytes } from "../../core/packing.js";
@@ -8,23 +8,23 @@
 import type { Leadership } from "../members/membership.js";
 import type { LeaderContext } from "./leader-context.js";
 
-/** How long the types may be missing in the state service before this node asks the cloud itself; how often it does. */
+/** How long a node waits for types in the state service before it fetches them from the cloud itself. */
 const MISSING_TYPES_DELAY = Duration.seconds(5);
 const MISSING_TYPES_FETCH_INTERVAL = Duration.seconds(30);
 const TYPES_REFRESH_INTERVAL = Duration.seconds(30);
 const RETRY_PAUSE = Duration.seconds(1);
-/** Machines in one answer of the cloud's list. */
+/** Machines per page of the cloud's listing. */
 const LIST_PAGE_SIZE = 500;
-/** The share of the cloud's rate that lists may take: the rest is for scaling. */
+/** Maximum share of the cloud's request rate that listings use; the rest is for scaling. */
 const LIST_SHARE_OF_RATE = 0.5;
 
 const sameTypes = (types: readonly MachineType[], others: readonly MachineType[]): boolean =>
   types.length === others.length &&
   types.every((type, index) => type.name === others[index]?.name && type.cpus === others[index]?.cpus);
 
-/** Keeps the scheduler's list of machines and every node's machine types up to date. */
+/** Keeps the scheduler's list of machines and all nodes' machine types up to date. */
 export class CloudInventory {
-  /** Whether the types have changed since they were last written. */
+  /** Whether the types have changed since they were last written to the state service. */
   private hasUnwrittenTypes = false;
 
   constructor(private readonly context: LeaderContext) {}
@@ -36,13 +36,13 @@
     yield* Effect.sleep(Duration.max(this.context.options.listInterval, this.listPause(rows.length)));
   });
 
-  /** Lists the machines, for as long as this node leads. */
+  /** Lists the machines periodically while this node leads. */
   readonly listMachines: Effect.Effect<never> = this.listOnce.pipe(
     Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
     Effect.forever,
   );
 
-  /** So long that lists of this many machines take no more than their share of the cloud's rate. */
+  /** Pause that keeps listings of this many machines within their share of the cloud's request rate. */
   private listPause(machines: number): Duration.Duration {
     const requests = Math.ceil(machines / LIST_PAGE_SIZE);
     return Duration.seconds(requests / (this.context.options.cloudRps * LIST_SHARE_OF_RATE));
@@ -60,7 +60,7 @@
     yield* Effect.sleep(TYPES_REFRESH_INTERVAL);
   });
 
-  /** Asks for the machine types and stores them for the other nodes, for as long as this node leads. */
+  /** Fetches the machine types periodically and stores them for the other nodes, while this node leads. */
   readonly refreshTypes: Effect.Effect<never> = this.refreshTypesOnce.pipe(
     Effect.catchAll(() => Effect.sleep(RETRY_PAUSE)),
     Effect.forever,
@@ -91,7 +91,7 @@
     yield* Effect.sleep(MISSING_TYPES_FETCH_INTERVAL);
   });
 
-  /** Types that aren't in the state service, being too many for one value: a node that doesn't lead asks as well. */
+  /** Fetches the types on a node that doesn't lead, if they are too large to be stored in the state service. */
   readonly fetchMissingTypes: Effect.Effect<never> = this.fetchMissingTypesOnce.pipe(
     Effect.catchAll(() => Effect.sleep(MISSING_TYPES_FETCH_INTERVAL)),
     Effect.forever,
--- a/src/service/leader/command-dispatcher.ts
+++ b/src/service/leader/command-dispatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Command delivery: batches go to the member that owns the machine, or straight from this node, and stay unanswered
- * until their outcome comes with that member's updates. What isn't heard of may be carried out yet (S4).
+ * Command delivery: batches are sent through the member that owns the machine, or directly by this node, and stay
+ * pending until their outcome arrives with that member's updates. Without an outcome they may still be executed (S4).
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -13,18 +13,18 @@
 import type { CommandBatch } from "../../io/peer-codec.js";
 import type { LeaderContext } from "./leader-context.js";
 
-/** Commands of which nothing was heard for this long count as unknown: they may be carried out yet. */
+/** After this long without an outcome, commands count as `unknown`: they may still be executed. */
 const OUTCOME_TIMEOUT = Duration.seconds(6);
 const BATCHES_PER_TERM = 1_000_000_000;
-/** Commands in one message to a member: far below what a message may hold (4 MiB). */
+/** Keeps messages to members far below their size limit of 4 MiB. */
 const MAX_COMMANDS_PER_MESSAGE = 10_000;
-/** A machine's address counts as two commands. */
+/** Size of a batch in commands; the machine's address counts as two. */
 const commandWeight = (batch: CommandBatch): number => 2 + batch.commands.length;
 
 /** A decision to send commands to one machine. */
 export type CommandsDecision = Extract<Decision, { kind: "commands" }>;
 
-/** Whether a member took a message: `unknown` if it was sent and the answer was lost. */
+/** Whether a member accepted a message; `unknown`: it was sent and the answer was lost. */
 type DeliveryOutcome = "accepted" | "not accepted" | "unknown";
 
 interface PendingBatch {
@@ -34,30 +34,30 @@
   readonly sentAt: Instant;
 }
 
-/** Sends the scheduler's commands and tells it what became of each. */
+/** Sends the scheduler's commands and reports their outcomes to it. */
 export class CommandDispatcher {
-  /** The oldest first. */
+  /** By batch id, oldest first. */
   private readonly pendingBatches = new Map<number, PendingBatch>();
 
   constructor(private readonly context: LeaderContext) {}
 
-  /** This node leads no longer: outcomes concern the next leader. */
+  /** Forgets all pending batches when this node stops leading. */
   clear(): void {
     this.pendingBatches.clear();
   }
 
-  /** The member that sends commands to a machine; null: this node itself. */
+  /** The member to send commands through, where `via` is the machine's owner; null: this node sends them. */
   route(via: string | null): string | null {
     const { membership } = this.context.services;
     const isMember = membership.term?.members.some((member) => member.name === via) ?? false;
     return isMember && via !== this.context.options.self ? via : null;
   }
 
-  /** Makes a batch of a decision; from now on an answer is awaited. */
+  /** Turns a decision into a batch, which is pending from now on. */
   prepare(decision: CommandsDecision): CommandBatch {
     const { shards } = this.context.services;
     const { machine, zone, addr, workerEpoch, fencingToken, commands } = decision;
-    // not used again, also not by a later leader
+    // never reused, not even by a later leader
     const id = (this.context.termNumber ?? 0) * BATCHES_PER_TERM + this.context.nextSequence();
     this.pendingBatches.set(id, { machine, commands, fencingToken, sentAt: now() });
     if (commands.length > 0) {
@@ -74,7 +74,7 @@
     log.debug({ fencingToken, machine, commands: described.join(", ") }, "commands");
   }
 
-  /** Starts to send batches by a member, in as many messages as they need; null: by this node. */
+  /** Starts sending batches through a member, in as many messages as needed; `via` null: from this node. */
   dispatch(via: string | null, batches: readonly CommandBatch[]): Effect.Effect<void> {
     return Effect.forEach(
       groupByWeight(batches, commandWeight, MAX_COMMANDS_PER_MESSAGE),
@@ -90,8 +90,8 @@
       if (term === null || this.context.schedulerLock === null) return;
       const outcome = via === null ? "not accepted" : yield* this.deliverThrough(via, term, batches);
       if (outcome === "accepted") return;
-      // the member can't be reached, or may not send: this node sends by itself. Commands that may have been sent aren't
-      // sent twice; a batch without commands only asks for a heartbeat, which may be asked for twice
+      // the member can't be reached or may not send, so this node sends the batches. Commands that may already have
+      // been sent are not repeated; a batch without commands only requests a heartbeat, so repeating it does no harm
       const ownBatches =
         outcome === "not accepted" ? batches : batches.filter((batch) => batch.commands.length === 0);
       const receipt = yield* member.deliver({ term, batches: ownBatches });
@@ -115,7 +115,7 @@
     );
   }
 
-  /** The outcome of a batch, and the heartbeat that the worker answered with. Only the first one counts. */
+  /** Reports the first outcome of a batch, and the heartbeat that the worker answered with, to the scheduler. */
   recordOutcome(scheduler: Scheduler, id: number, outcome: CommandOutcome, answeredBy?: HeartbeatId): void {
     const batch = this.pendingBatches.get(id);
     if (batch === undefined) return;
@@ -126,7 +126,7 @@
       this.context.services.log.debug({ machine, outcome, count: commands.length }, "commands not answered");
   }
 
-  /** Batches that waited too long for an answer may be carried out yet. */
+  /** Reports batches that have been pending too long as `unknown`. */
   expirePending(scheduler: Scheduler): void {
     for (const [id, batch] of this.pendingBatches) {
       if (!hasElapsed(now(), batch.sentAt, OUTCOME_TIMEOUT)) return;
--- a/src/service/leader/failover-recovery.ts
+++ b/src/service/leader/failover-recovery.ts
@@ -1,6 +1,6 @@
 /**
- * Failover recovery: a new leader writes its term first, then loads all records and builds a scheduler from them. What
- * it knows from earlier counts for nothing (S5).
+ * Failover recovery: a new leader first writes its term, then loads all records and builds a scheduler from them. It
+ * doesn't rely on anything that it knew before (S5).
  */
 import * as Effect from "effect/Effect";
 import type { ZoneMembership } from "../../core/leases/zone-membership.js";
@@ -16,14 +16,14 @@
 import type { ProgressReporter } from "./progress-reporter.js";
 import { jobOfRanges, machinesIn, rangesIn } from "./stored-records.js";
 
-/** The records that were loaded, and the leadership that they were loaded for. */
+/** The loaded records, and the leadership and term under which they were loaded. */
 export interface LoadedState {
   readonly leadership: Leadership;
   readonly term: TermRecord;
   /** When loading began. */
   readonly startedAt: Instant;
   readonly jobs: readonly Row[];
-  /** Jobs written up to this revision are among `released`; later ones come from the job cache. */
+  /** Jobs written up to this revision are in `jobs`; later ones come from the job cache. */
   readonly jobsRevision: number;
   readonly ranges: readonly Row[];
   readonly machines: readonly Row[];
@@ -39,7 +39,7 @@
     private readonly zones: ZoneMembership,
   ) {}
 
-  /** Writes a term of this leader and loads all records; null: this node doesn't lead. */
+  /** Writes a new term of this leader and loads all records; null: this node doesn't lead. */
   load(): Effect.Effect<LoadedState | null, StateError> {
     return Effect.gen(this, function* () {
       const { membership, state } = this.context.services;
@@ -65,13 +65,13 @@
     });
   }
 
-  /** Whether this node still leads as it did when loading began. To be asked in the step that uses what was loaded. */
+  /** Whether this node still leads under the same term; no asynchronous step may separate this from the state's use. */
   isCurrent({ leadership, term }: LoadedState): boolean {
     const { membership } = this.context.services;
     return membership.leadership === leadership && membership.term === term;
   }
 
-  /** A scheduler that knows all that was loaded, and what the job cache has heard of since. */
+  /** Builds a scheduler from the loaded records and from later changes in the job cache. */
   restore(loaded: LoadedState): Scheduler {
     const { term, leadership, startedAt } = loaded;
     const scheduler = new Scheduler(this.context.options, term, leadership.revision, startedAt, this.zones);
@@ -108,7 +108,7 @@
     }
   }
 
-  /** The job cache may have heard of later jobs, and later ends, while the records were read. */
+  /** Applies what the job cache learned while the records were read: later jobs, and jobs that have ended. */
   private catchUp(scheduler: Scheduler, { jobsRevision }: LoadedState): void {
     const { jobCache } = this.context.services;
     for (const job of jobCache.released.values())
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -1,6 +1,6 @@
 /**
- * Garbage collection, without haste: deletes keys that are of no more use (answered scale-out requests, ranges and
- * fan-in sets of committed jobs) and writes records of machines anew without those that are gone.
+ * Low-priority garbage collection: deletes obsolete keys (answered scale-out requests, range records and fan-in sets of
+ * committed jobs) and rewrites machine records without the machines that are gone.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -18,21 +18,21 @@
 
 const SWEEP_INTERVAL = Duration.seconds(1);
 const SCAN_INTERVAL = Duration.seconds(30);
-/** Records of machines changed in one sweep: they mustn't use up the rate of changes. */
+/** Keeps rewrites of machine records from using up the rate of changes. */
 const MAX_REWRITES_PER_SWEEP = 6;
 
-/** What one transaction of a sweep does. */
+/** The content of one sweep, which is a single transaction. */
 interface Sweep {
   readonly deletes: readonly string[];
   readonly rewrites: readonly Rewrite[];
-  /** Changes that the rewrites take. */
+  /** Number of changes in the transaction that the rewrites need. */
   readonly rewriteOps: number;
 }
 
 /** Sweeps once a second while this node leads. */
 export class GarbageCollector {
   private lastScanAt: Instant = now();
-  /** Changes in one sweep: fewer once one was refused. */
+  /** Maximum number of changes in one sweep, reduced after a rejection. */
   private maxSweepOps: number;
   private sweepCount = 0;
 
@@ -55,10 +55,10 @@
     else this.handleResult(sweep, result);
   });
 
-  /** For as long as this node leads. */
+  /** Sweeps periodically while this node leads. */
   readonly run: Effect.Effect<never> = this.sweepOnce.pipe(Effect.ignore, Effect.forever);
 
-  /** Looks for ranges and fan-in sets of jobs that are over. */
+  /** Finds range records and fan-in sets of jobs that have ended. */
   private scan(): Effect.Effect<void, StateError> {
     return Effect.gen(this, function* () {
       const { jobCache, state } = this.context.services;
@@ -68,13 +68,13 @@
       this.context.schedulerLock?.with((scheduler) => {
         for (const row of rows) if (!scheduler.cluster.jobs.has(jobOfRanges(row))) staleKeys.add(row.key);
       });
-      // sets of jobs that an earlier version committed, or whose set wasn't known to who committed them: a set is
-      // created with its job, so one without is left over
+      // a fan-in set is created with its job, so a set without an unfinished job is obsolete. It is left over if an
+      // earlier version committed the job, or a leader that didn't know of the set
       for (const id of jobCache.fanins.keys()) if (!jobCache.isUnfinished(id)) staleKeys.add(keys.fanin(id));
     });
   }
 
-  /** A split may need a whole transaction, and so may stale keys: each goes first in its turn. */
+  /** Rewrites and deletions take turns to go first, since a split or the stale keys may fill a whole transaction. */
   private nextSweep(): Sweep {
     const { staleKeys } = this.context;
     const limits = {
@@ -111,7 +111,7 @@
     );
   }
 
-  /** Too large for the service: the next sweep does half as much. */
+  /** The state service rejected the sweep as too large: the next one makes half as many changes. */
   private handleRejection({ deletes, rewrites, rewriteOps }: Sweep, error: string): Effect.Effect<void> {
     const { rejections } = this.context;
     const { store } = this.recorder;
@@ -119,7 +119,7 @@
     const [first, ...others] = rewrites;
     this.maxSweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
     if (first !== undefined && others.length + deletes.length === 0) {
-      // the same would be refused again, and as the first in line it would hold up all others
+      // it would be rejected again and, being the first in line, block all others
       const pause = rejections.rejected("record of machines gone", error, first.key);
       store.postpone(first.key, plus(now(), pause));
       return Effect.void;
@@ -138,7 +138,7 @@
       store.markWritten(rewrites);
       return;
     }
-    // a piece that exists: an earlier copy of its split, whose answer was lost, was carried out
+    // if a piece exists, an earlier copy of its split was carried out and the answer to that was lost
     const { failed } = result;
     store.markWritten(rewrites.filter(({ pieces }) => pieces.some((piece) => failed.includes(piece.key))));
   }
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -1,4 +1,4 @@
-/** Job commits: the record that makes a job done for ever, once the scheduler knows all of its tasks finished (S7). */
+/** Commits jobs: creates the record that makes a job permanently done, once all of its tasks have finished (S7). */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { type CommitRecord, keys } from "../../core/records.js";
@@ -10,14 +10,14 @@
 
 const RETRY_PAUSE = Duration.millis(250);
 
-/** Creates commit records and tells the scheduler of those that couldn't be created. */
+/** Creates commit records and tells the scheduler which ones failed. */
 export class JobCommitter {
   constructor(
     private readonly context: LeaderContext,
     private readonly progress: ProgressReporter,
   ) {}
 
-  /** Commits a job as done; the scheduler decides on it anew if that fails. */
+  /** Commits a job as done; if that fails, the scheduler decides on the job again. */
   commit(id: string, tasks: number): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const { leadership } = this.context.services.membership;
@@ -37,7 +37,7 @@
       [
         { put: keys.commit(id), value: record },
         { delete: keys.job(id) },
-        // a child deletes its fan-in set once it commits
+        // a committed job no longer needs its fan-in set
         ...(jobCache.fanins.has(id) ? [{ delete: keys.fanin(id) }] : []),
       ],
       "first",
@@ -57,7 +57,7 @@
         member.onDone(id, tasks);
         return;
       }
-      // a commit that exists is the outcome for ever, whichever it is
+      // an existing commit record is the job's final outcome, whichever that is
       if (result.ok === false && result.failed.includes(keys.commit(id))) jobCache.remove(id);
       else this.context.schedulerLock?.with((scheduler) => scheduler.commitFailed(id));
     });
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -1,9 +1,9 @@
 /**
- * Looks after blocked jobs while this node leads: each parent's commit joins the fan-in sets of the jobs that depend on
- * it, the add that fills a set releases its job in the same conditional write, and a cancelled parent's outcome passes
- * on. A commit that this process made is followed by its joins at once. Whatever was missed (a leader that ended between
- * a commit and its joins, a job accepted while its parent committed) is found by looking at what is still blocked: at
- * all of it after a failover and every few seconds, at the rest only where something changed.
+ * Releases blocked jobs while this node leads. A committed parent is added to the fan-in sets of the jobs that depend
+ * on it, and the conditional write that completes a set also releases its job. If a parent was cancelled, the jobs that
+ * depend on it are cancelled as well. When a parent ends, the jobs that depend on it are checked at once. That misses
+ * some cases (a leader that fails between a commit and the update of the fan-in sets, a job that is accepted while its
+ * parent commits), so all blocked jobs are checked after a failover and every few seconds.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -25,15 +25,15 @@
 const FULL_CHECK_INTERVAL = Duration.seconds(5);
 const MAX_CONCURRENT_CHECKS = 4;
 
-/** Releases jobs once all that they depend on is done, and cancels those that depend on a cancelled one. */
+/** Releases jobs once all of their parents are done, and cancels those with a cancelled parent. */
 export class JobReleaser {
   private readonly pendingChecks = new Set<string>();
-  /** Those with a join that the state service didn't take: checked again after a moment. */
+  /** Jobs whose check failed because of the state service, to be checked again in the next round. */
   private readonly failedChecks = new Set<string>();
   private readonly checkRequested = new Signal();
   private lastFullCheckAt: Instant | null = null;
   private isRunning = false;
-  /** Fan-in sets that the state service refused to have written, and until when that isn't tried again. */
+  /** Jobs whose fan-in set the state service refused to write, and when the write may be tried again. */
   private readonly rejectedUntil = new Map<string, Instant>();
   private readonly rejections: RejectionBackoff;
 
@@ -46,19 +46,19 @@
     this.rejections = new RejectionBackoff(log);
   }
 
-  /** A blocked job was heard of. */
+  /** Requests a check of a blocked job; ignored while this node doesn't lead. */
   requestCheck(id: string): void {
     if (!this.isRunning) return;
     this.pendingChecks.add(id);
     this.checkRequested.notify();
   }
 
-  /** A job has its commit: those that depend on it are checked. */
+  /** Requests checks of the jobs that depend on a job that has ended. */
   jobEnded(id: string): void {
     for (const child of this.jobCache.dependencies.childrenOf(id)) this.requestCheck(child);
   }
 
-  /** For as long as this node leads. */
+  /** Checks blocked jobs while this node leads. */
   readonly run: Effect.Effect<never> = Effect.suspend(() => {
     this.isRunning = true;
     this.lastFullCheckAt = null;
@@ -84,7 +84,7 @@
       concurrency: MAX_CONCURRENT_CHECKS,
       discard: true,
     });
-    // what a write of this round led to goes on at once
+    // jobs affected by a write of this round are checked without a pause
     if (this.pendingChecks.size === 0) yield* this.checkRequested.wait(CHECK_INTERVAL);
     for (const id of this.failedChecks) this.pendingChecks.add(id);
     this.failedChecks.clear();
@@ -97,7 +97,7 @@
     ),
   );
 
-  /** Checks one job; a write that isn't taken is tried again after a moment. */
+  /** Checks one job; if a request to the state service fails, the check is repeated in the next round. */
   private check(id: string): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const job = this.jobCache.blocked.get(id);
@@ -134,7 +134,7 @@
           this.log.info({ job: id }, "cancelled with a job that it depends on");
           return;
         case "join":
-          // adds to full or missing sets release nothing
+          // a set that is missing or has already released its job is not written
           if (fanin !== null && !fanin.released)
             yield* this.join(id, job, fanin, { joined: step.joined, released: step.fills });
           return;
@@ -150,7 +150,7 @@
       const known = this.status.outcome(id);
       if (known !== undefined) return known.outcome;
       const row = yield* this.state.get(keys.commit(id));
-      // accepted a moment ago, and not heard of here yet
+      // the parent was accepted a moment ago, and this node doesn't know it yet
       if (row === null) return "unknown";
       const commit = commitIn(row);
       this.status.remember(id, commit);
@@ -166,7 +166,7 @@
     });
   }
 
-  /** The add, and with the filling one the release, in one conditional write (S12, S13). */
+  /** Adds parents to the fan-in set and, if that completes it, releases the job: one conditional write (S12, S13). */
   private join(
     id: string,
     job: BlockedJob,
@@ -202,7 +202,7 @@
   ): Effect.Effect<void, StateError> {
     return Effect.gen(this, function* () {
       if (result.ok === null) {
-        // the same add would be refused again: ever longer pauses
+        // the same write would be rejected again, so the pauses increase
         this.rejectedUntil.set(id, plus(now(), this.rejections.rejected("fan-in", result.error, id)));
         return;
       }
@@ -215,7 +215,7 @@
         this.log.info({ job: id }, "released");
         return;
       }
-      // somebody else's add, or a late one of an earlier leader, came first: the next check rests on that
+      // another write came first, perhaps a delayed one of an earlier leader: the next check uses its result
       if (result.failed.includes(keys.fanin(id)) || result.failed.length === 0) yield* this.readFanin(id);
     });
   }
--- a/src/service/leader/leader-context.ts
+++ b/src/service/leader/leader-context.ts
@@ -1,6 +1,6 @@
 /**
- * What the leader's modules share: the clients they write with, the scheduler behind its lock, and the fibers that run
- * only while this node leads. Nothing here decides anything.
+ * What the leader's modules share: the service clients, the scheduler behind its lock, and the fibers that run only
+ * while this node leads. It contains no decisions.
  */
 import type * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -24,28 +24,28 @@
 import type { JobReleaser } from "./job-releaser.js";
 import type { Locked } from "./locked.js";
 
-/** The settings that concern the leader. */
+/** Settings of the leader. */
 export interface LeaderOptions {
   /** This member's name. */
   readonly self: string;
   readonly timings: LeaseTimings;
   readonly teams: ReadonlyMap<string, Team>;
   readonly fleet: FleetOptions;
-  /** How soon users expect tasks of a class to start, from the platform's objectives. */
+  /** The platform's objectives for the time until a task starts, by class of the job. */
   readonly startLatencyObjectives: ReadonlyMap<string, Duration.Duration>;
-  /** Changes in one transaction of the state service, at most. */
+  /** Maximum number of changes in one transaction of the state service. */
   readonly txnOps: number;
-  /** Size of one value in the state service, at most, in KiB. */
+  /** Maximum size of one value in the state service, in KiB. */
   readonly valueKb: number;
-  /** Pause between two lists of the cloud's machines, at least. */
+  /** Minimum pause between two listings of the cloud's machines. */
   readonly listInterval: Duration.Duration;
-  /** The cloud's limit of requests a second. */
+  /** The cloud's limit of requests per second. */
   readonly cloudRps: number;
-  /** Who owns which machine where shards decide that; absent: rendezvous hashing alone. */
+  /** Which member owns which machine, if shards decide that; absent: rendezvous hashing decides alone. */
   readonly ownership?: MachineOwnership;
 }
 
-/** The parts of this process that the leader works with. */
+/** The services of this process that the leader uses. */
 export interface LeaderServices {
   readonly membership: Membership;
   readonly member: Member;
@@ -54,22 +54,22 @@
   readonly cloud: CloudClient;
   readonly peers: Peers;
   readonly jobReleaser: JobReleaser;
-  /** null: shards are off. */
+  /** null: shards are disabled. */
   readonly shards: ShardLeader | null;
   readonly log: Log;
 }
 
-/** The state that the leader's modules share. */
+/** State and background fibers of the leader's modules. */
 export class LeaderContext {
   /** null: this node doesn't lead, or hasn't loaded the state yet. */
   schedulerLock: Locked<Scheduler> | null = null;
-  /** Asks for a step before the next regular one. */
+  /** Requests a scheduler step before the next regular one. */
   readonly stepRequested = new Signal();
-  /** Keys that are of no more use; garbage collection deletes them. */
+  /** Obsolete keys, which garbage collection deletes. */
   readonly staleKeys = new Set<string>();
-  /** Growing pauses for what the state service refuses as it is. */
+  /** Increasing pauses between attempts to write records that the state service rejects. */
   readonly rejections: RejectionBackoff;
-  /** Bytes that one value may hold. */
+  /** Maximum number of bytes in one value of the state service. */
   readonly valueBytes: number;
   private sequence = 0;
   private fibers: Fiber.RuntimeFiber<unknown, unknown>[] = [];
@@ -82,12 +82,12 @@
     this.valueBytes = maxValueBytes(options.valueKb);
   }
 
-  /** The number of the term in force as far as this node knows. */
+  /** The number of the newest term that this node knows; undefined: none yet. */
   get termNumber(): number | undefined {
     return this.services.membership.term?.number;
   }
 
-  /** Counts up for as long as the process lives: with the term's number it makes names that are never used again. */
+  /** Increases throughout the life of the process. Names made of the term number and this are never reused. */
   nextSequence(): number {
     return ++this.sequence;
   }
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Interrupts all that was forked, without waiting for it. A scope or a `FiberSet` would wait for the fibers to end,
-   * but whoever lost the leadership has to be told at once, and may be one of these fibers itself.
+   * Interrupts all forked effects without waiting for them to end. A scope or a `FiberSet` would wait, but the caller
+   * that detects the loss of leadership must not be held up, and may itself run in one of these fibers.
    */
   interruptAll(): void {
     const { fibers } = this;
--- a/src/service/leader/leader-write-timeout.ts
+++ b/src/service/leader/leader-write-timeout.ts
@@ -1,5 +1,5 @@
-/** The patience of the leader's own writes, which take turns with others after a refusal for the rate. */
+/** How long the leader's writes wait for admission after the state service refused a request for its rate limit. */
 import * as Duration from "effect/Duration";
 
-/** After refusals the leader's own changes wait in line: an attempt that gives up soon only comes again, out of turn. */
+/** Long, since a write that gives up early is only repeated, and then has lost its place in the queue. */
 export const LEADER_WRITE_ADMISSION_TIMEOUT = Duration.seconds(10);
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -1,6 +1,6 @@
 /**
- * The leader: campaigns when nobody leads, recovers the state, and runs the modules of this folder for as long as this
- * node leads. It owns the scheduler's lock; each module has one concern and shares the `LeaderContext`.
+ * The leader: campaigns when there is no leader, recovers the state once elected, and runs the modules of this folder
+ * while this node leads. Owns the scheduler's lock; each module has one concern and shares the `LeaderContext`.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -31,15 +31,15 @@
 
 const MEMBERS_CHECK_INTERVAL = Duration.millis(500);
 const RETRY_PAUSE = Duration.millis(200);
-/** Members that come and go together get one new term. */
+/** Pause after a new term, so that member changes in quick succession share one term. */
 const NEW_TERM_PAUSE = Duration.millis(200);
 
-/** Why a leader begins a new term. */
+/** Why a leader starts a new term. */
 type NewTermReason = "members changed" | "attempt numbers run out";
 
-/** This node's part in leading the cluster. */
+/** This node's leader role: election, failover and all leader loops. */
 export class Leader {
-  /** Jobs written up to this revision are in what was loaded; later ones come from the job cache. */
+  /** Jobs written up to this revision were loaded on failover; later ones come from the job cache. */
   private loadedRevision = 0;
   private readonly zones = new ZoneMembership();
   private readonly context: LeaderContext;
@@ -52,9 +52,9 @@
   private readonly recovery: FailoverRecovery;
   private readonly stepLoop: StepLoop;
   private readonly memberSync: MemberSync;
-  /** A member's update; also called by this node's own member. */
+  /** Handles a member's update; this node's own member calls it directly. */
   readonly sync: (request: SyncRequest) => SyncResponse;
-  /** For as long as the process lives: campaigns, leads, and learns the machine types when it doesn't lead. */
+  /** Never ends: campaigns and leads; while not leading, fetches the machine types if they are missing. */
   readonly run: Effect.Effect<void>;
 
   constructor(options: LeaderOptions, services: LeaderServices) {
@@ -82,7 +82,7 @@
     this.registerListeners();
   }
 
-  /** What the job cache and the membership tell the leader. */
+  /** Subscribes to events of the job cache and the membership. */
   private registerListeners(): void {
     const { jobCache, membership } = this.context.services;
     jobCache.onBlocked = (job) => this.onBlockedJob(job);
@@ -93,7 +93,7 @@
     membership.onLost = () => this.stop();
   }
 
-  /** Does nothing while this node doesn't lead. */
+  /** Runs a critical section on the scheduler; does nothing while this node doesn't lead. */
   private withScheduler(section: (scheduler: Scheduler) => void): void {
     this.context.schedulerLock?.with(section);
   }
@@ -120,7 +120,7 @@
     this.context.stepRequested.notify();
   }
 
-  /** A term that came into force, this leader's or another one's. */
+  /** Handles a newer term; stops leading if the term names another leader. */
   readonly termChanged = (term: TermRecord): void => {
     this.zones.termObserved(term, now());
     if (term.leader !== this.context.options.self) this.stop();
@@ -128,17 +128,17 @@
     this.context.stepRequested.notify();
   };
 
-  /** Whether this node alone can't reach the state service, while others do. */
+  /** Whether this node can't reach the state service although another node can. */
   isStateOutageLocal(): boolean {
     return this.memberSync.isStateOutageLocal();
   }
 
-  /** How many tasks of a job are done and running, as the leader last told this node. */
+  /** How many tasks of a job are done and running, as last reported to this node by the leader. */
   progressOf(id: string): { done: number; running: number } {
     return this.context.services.member.progress.get(id) ?? { done: 0, running: 0 };
   }
 
-  /** Follows the members: campaigns when nobody leads, and begins a new term when the members change. */
+  /** Campaigns when there is no leader, and starts a new term when the members change or attempt numbers run out. */
   private get watchMembers(): Effect.Effect<never> {
     const { log } = this.context.services;
     return this.watchOnce.pipe(
@@ -176,7 +176,7 @@
     });
   }
 
-  /** Failover: from the first term of this leadership to the start of all its loops. */
+  /** Failover: writes the first term of this leadership, restores the scheduler, and starts the leader's loops. */
   private readonly takeOver: Effect.Effect<void, StateError> = Effect.gen(this, function* () {
     const loaded = yield* this.recovery.load();
     if (loaded === null || !this.recovery.isCurrent(loaded)) return;
@@ -220,7 +220,7 @@
     return Effect.forEach(loops, (loop) => this.context.fork(loop), { discard: true });
   }
 
-  /** This node leads no longer: all loops are interrupted at once, and what they were about is the next leader's. */
+  /** Stops leading and interrupts all loops at once. Their unfinished work is left to the next leader. */
   private stop(): void {
     const { member, shards, state } = this.context.services;
     this.context.schedulerLock = null;
--- a/src/service/leader/locked.ts
+++ b/src/service/leader/locked.ts
@@ -1,14 +1,14 @@
 /**
- * Shared state behind a short lock. A section is a plain synchronous function: in this single-threaded process
- * nothing else runs until it returns, and being synchronous it can't be held over I/O. A semaphore (effect's)
- * would add a queue for no gain on a quarter of a core; see docs/design.md.
+ * Mutual exclusion for shared state. A critical section is a plain synchronous function: in this single-threaded
+ * process nothing else runs until it returns, and it can't extend over I/O. Effect's semaphore would add a queue
+ * without any benefit on a quarter of a core; see docs/design.md.
  */
 
-/** A state that is reached only in sections. */
+/** A state that is accessible only in critical sections. */
 export class Locked<S> {
   constructor(private state: S) {}
 
-  /** Reads or changes the state in one section. */
+  /** Runs a critical section, which may read and change the state. */
   with<A>(section: (state: S) => A): A {
     return section(this.state);
   }
--- a/src/service/leader/machine-record-store.ts
+++ b/src/service/leader/machine-record-store.ts
@@ -1,24 +1,24 @@
 /**
- * Which record of the state service holds which machines. A chunk (one such record) is created once with its machines,
- * and from then on only loses machines that are gone; so a late copy of an earlier write never hides a machine that may
- * hold tasks (S5).
+ * Which record of the state service holds which machines. Such a record is called a chunk. It is created once with its
+ * machines, and later writes only remove machines that are gone. So a delayed copy of an earlier write never hides a
+ * machine that may hold tasks (S5).
  *
- * A chunk whose rest is larger than a value may be (an earlier version, or earlier limits, made it) can't be written
- * anew. It is split: one transaction creates pieces under names of their own and deletes the chunk. That keeps the
- * argument, for a late copy of any write as well:
- * - Only a split deletes a key of which a machine isn't gone, and it creates a piece with that machine at once.
- * - A split has the condition that none of its pieces exists, and no name is used for anything else. Until it is
- *   answered it is sent again exactly as it was, and its pieces aren't written otherwise. So each key is created with
- *   one content only, whichever copy creates it, and what is written to it later is that content without some machines
- *   that are gone.
- * - A late rewrite of a chunk that was split brings the chunk back, with more machines than are left of it: machines
- *   that are gone, or that are in a piece as well. The next leader reads it and deletes it in time.
+ * A chunk whose remaining machines exceed the size limit of a value (created by an earlier version or under earlier
+ * limits) can't be rewritten. It is split: one transaction creates pieces under new keys and deletes the chunk. The
+ * guarantee holds nevertheless, even if a copy of any write is delayed:
+ * - Only a split deletes a key that contains machines that aren't gone, and it creates pieces with them in the same
+ *   transaction.
+ * - A split is conditional on none of its pieces existing, and their keys are used for nothing else. Until a split is
+ *   answered it is resent unchanged, and its pieces aren't written in any other way. So a key is always created with
+ *   the same content, whichever copy creates it, and later writes only remove machines that are gone.
+ * - A delayed rewrite of a chunk that was split recreates the chunk, with machines that are gone or that are in a piece
+ *   as well. The next leader reads it and eventually deletes it.
  */
 import { jsonBytes, splitRecord } from "../../core/packing.js";
 import type { MachineRecord } from "../../core/records.js";
 import type { Instant } from "../../core/time.js";
 
-/** Bytes of a transaction that a rewrite or a piece needs beside its machines: key, condition and names. */
+/** What a rewrite or a piece takes in a transaction besides its machines: key, condition and property names. */
 const REWRITE_OVERHEAD_BYTES = 250;
 
 type Machines = Readonly<Record<string, MachineRecord>>;
@@ -29,18 +29,18 @@
   readonly machines: Machines;
 }
 
-/** One record to be written anew, deleted or split. */
+/** A pending change of one record: it is rewritten, deleted or split. */
 export interface Rewrite {
   readonly key: string;
-  /** null: the key is deleted, since nothing is left in it or it is split. */
+  /** The record's new content; null: the key is deleted, because the record is empty or is split. */
   readonly machines: Machines | null;
-  /** What is created in its place. */
+  /** The records that a split creates in its place. */
   readonly pieces: readonly Piece[];
-  /** The chunk's version that this was made of: a later one has to be written again. */
+  /** The chunk's version that this is based on: if the chunk has changed since, it is written once more. */
   readonly version: number;
 }
 
-/** How much one transaction may hold, and one value in it; and names for new chunks. */
+/** Size limits of a transaction and of one value in it, and a source of keys for new chunks. */
 export interface RewriteLimits {
   readonly valueBytes: number;
   readonly txnBytes: number;
@@ -50,15 +50,15 @@
 interface Chunk {
   readonly machines: Map<string, MachineRecord>;
   version: number;
-  /** A split that may have been carried out, or may be yet. */
+  /** The pieces of a split that was sent and isn't answered; it may have been carried out, or still be. */
   split: readonly Piece[] | null;
-  /** A piece of such a split: not to be written until that is answered. */
+  /** Whether this is a piece of such a split; it isn't written until the split is answered. */
   awaitsSplit: boolean;
-  /** Its write was refused by itself: until then it isn't written. */
+  /** Set when its write was rejected on its own: it isn't written again before then. */
   postponedUntil: Instant | null;
 }
 
-/** Changes of a transaction that a rewrite takes. */
+/** Number of changes that a rewrite needs in a transaction. */
 export const opsOf = (rewrite: Rewrite): number => 1 + rewrite.pieces.length;
 
 const bytesOf = ({ machines, pieces }: Rewrite): number =>
@@ -66,16 +66,16 @@
   pieces.reduce((sum, piece) => sum + jsonBytes(piece), 0) +
   REWRITE_OVERHEAD_BYTES;
 
-/** Records written by a rewrite: those with the fewest go first. */
+/** Number of records that a rewrite writes, other than deletions. */
 const recordsWritten = ({ machines, pieces }: Rewrite): number => (machines === null ? 0 : 1) + pieces.length;
 
-/** The records of machines as they are stored, and which of them have to be written anew. */
+/** The stored machine records, and which of them have to be rewritten. */
 export class MachineRecordStore {
   private readonly chunks = new Map<string, Chunk>();
   private readonly keysByMachine = new Map<string, string[]>();
   private readonly dirty = new Set<string>();
 
-  /** A record that is stored, or may be; `awaitsSplit`: it is a piece of a split that isn't answered yet. */
+  /** Adds a record that is or may be stored; `awaitsSplit`: it is a piece of a split that isn't answered yet. */
   add(key: string, machines: Machines, awaitsSplit = false): void {
     this.chunks.set(key, {
       machines: new Map(Object.entries(machines)),
@@ -88,7 +88,7 @@
       this.keysByMachine.set(id, [...(this.keysByMachine.get(id) ?? []), key]);
   }
 
-  /** The machine is gone for certain. */
+  /** Removes a machine that is certainly gone. */
   remove(id: string): void {
     for (const key of this.keysByMachine.get(id) ?? []) {
       const chunk = this.chunks.get(key);
@@ -100,13 +100,13 @@
     this.keysByMachine.delete(id);
   }
 
-  /** This record was refused by itself: it gives way to the others until then. */
+  /** Postpones the write of a record that was rejected on its own, so that others go first. */
   postpone(key: string, until: Instant): void {
     const chunk = this.chunks.get(key);
     if (chunk !== undefined) chunk.postponedUntil = until;
   }
 
-  /** Records to be written anew in up to `maxOps` changes, empty ones first: they cost the least. */
+  /** Rewrites that need up to `maxOps` changes in total; deletions come first, since they cost the least. */
   pendingRewrites(maxOps: number, limits?: RewriteLimits, at?: Instant): Rewrite[] {
     const candidates = this.dueRewrites(at);
     candidates.sort((rewrite, other) => recordsWritten(rewrite) - recordsWritten(other));
@@ -127,7 +127,7 @@
     return chosen;
   }
 
-  /** What has to be written and may be now, in the order in which it changed. */
+  /** All rewrites that may be made now, in the order in which the records changed. */
   private dueRewrites(at: Instant | undefined): Rewrite[] {
     const candidates: Rewrite[] = [];
     for (const key of this.dirty) {
@@ -142,7 +142,7 @@
     return candidates;
   }
 
-  /** A chunk that is too large for one value is split if there is room for that; if not it stays for now: null. */
+  /** Splits a chunk that is too large for one value; null: the split doesn't fit into this transaction. */
   private splitIfTooLarge(
     rewrite: Rewrite,
     limits: RewriteLimits,
@@ -162,7 +162,7 @@
     return { ...rewrite, machines: null, pieces };
   }
 
-  /** They were carried out, by this transaction or, for a split whose pieces exist, by an earlier copy. */
+  /** Records that rewrites were carried out, by this transaction or, if a split's pieces exist, by an earlier copy. */
   markWritten(rewrites: readonly Rewrite[]): void {
     for (const { key, machines, pieces, version } of rewrites) {
       const chunk = this.chunks.get(key);
@@ -178,8 +178,9 @@
   }
 
   /**
-   * Too large for the service: another split may be tried. Should an earlier copy be carried out all the same, its
-   * pieces hold all that is left of the chunk; nobody here writes them, and the next leader finds them.
+   * Records that the state service rejected rewrites as too large, so that another split may be tried. If an earlier
+   * copy is carried out nevertheless, its pieces hold all that is left of the chunk; this leader doesn't write them,
+   * and the next leader loads them.
    */
   markRejected(rewrites: readonly Rewrite[]): void {
     for (const { key, pieces } of rewrites) {
--- a/src/service/leader/machine-recorder.ts
+++ b/src/service/leader/machine-recorder.ts
@@ -1,4 +1,4 @@
-/** Machine records: a machine is stored, with many others in one record, before anything starts on it (S5). */
+/** Records machines: each is stored, with many others in one record, before any task starts on it (S5). */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { splitRecord } from "../../core/packing.js";
@@ -9,12 +9,12 @@
 import type { LeaderContext } from "./leader-context.js";
 import { MachineRecordStore } from "./machine-record-store.js";
 
-/** Machines that come together are recorded together. */
+/** Delay before a write, so that machines added in quick succession share a record. */
 const BATCHING_DELAY = Duration.millis(100);
 const RETRY_PAUSE = Duration.millis(300);
-/** Machines in one record, however many would fit: each that goes has the rest of them written anew. */
+/** Kept low, since the removal of a machine rewrites all others in its record. */
 const MAX_MACHINES_PER_RECORD = 40;
-/** A refused record of machines is tried again with fewer, down to this many bytes. */
+/** A rejected record is retried with fewer machines, down to this size. */
 const MIN_RECORD_BYTES = 256;
 
 interface UnrecordedMachine {
@@ -22,38 +22,38 @@
   readonly record: MachineRecord;
 }
 
-/** Stores records of new machines, and knows which record holds which machine. */
+/** Stores records of new machines, and keeps track of which record holds which machine. */
 export class MachineRecorder {
-  /** Which key holds which machines; garbage collection rewrites them. */
+  /** Which record holds which machines; garbage collection rewrites the records. */
   store = new MachineRecordStore();
   private readonly unrecorded: UnrecordedMachine[] = [];
-  /** Bytes in one record: fewer once one was refused. */
+  /** Maximum size of a record, reduced after a rejection. */
   private maxRecordBytes: number;
 
   constructor(private readonly context: LeaderContext) {
     this.maxRecordBytes = context.valueBytes;
   }
 
-  /** A new leader reads all records anew. */
+  /** Forgets all records, before a new leader loads them. */
   reset(): void {
     this.store = new MachineRecordStore();
   }
 
-  /** This node leads no longer: the next leader records what is missing. */
+  /** Forgets the unrecorded machines when this node stops leading: the next leader records them. */
   clear(): void {
     this.unrecorded.length = 0;
   }
 
-  /** A machine to be recorded. */
+  /** Queues a machine to be recorded. */
   add(id: string, record: MachineRecord): void {
     this.unrecorded.push({ id, record });
   }
 
-  /** A key that no other record of machines ever has. */
+  /** A key that no other machine record ever has. */
   readonly newKey = (): string =>
     keys.machinesOf(`${this.context.termNumber}-${this.context.nextSequence()}`);
 
-  /** Records machines, many at a time, for as long as this leadership lasts. */
+  /** Records queued machines while this leadership lasts. */
   run(leadership: Leadership): Effect.Effect<never> {
     return Effect.forever(this.recordOnce(leadership));
   }
@@ -69,7 +69,7 @@
       if (machines === undefined) return;
       const batch = this.takeBatch(machines);
       const key = this.newKey();
-      // also when the answer is lost: what may be written has to be deleted some day
+      // added before the answer, which may be lost: a record that may exist has to be deleted eventually
       this.store.add(key, machines);
       const result = yield* this.write(key, machines, leadership);
       this.notifyScheduler(batch, result?.ok === true);
@@ -77,13 +77,13 @@
     });
   }
 
-  /** The machines at the head of the queue that are in `machines`. */
+  /** Takes those machines from the head of the queue that are in `machines`. */
   private takeBatch(machines: MachinesRecord["machines"]): UnrecordedMachine[] {
     const firstRemaining = this.unrecorded.findIndex(({ id }) => !(id in machines));
     return this.unrecorded.splice(0, firstRemaining === -1 ? this.unrecorded.length : firstRemaining);
   }
 
-  /** null: not carried out, or the answer was lost. */
+  /** null: the write was not carried out, or its answer was lost. */
   private write(
     key: string,
     machines: MachinesRecord["machines"],
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -1,4 +1,4 @@
-/** Members' updates: heartbeats, stored finishes, acknowledged leases and command outcomes reach the scheduler here. */
+/** Passes members' updates to the scheduler: heartbeats, stored finishes, lease acknowledgements, command outcomes. */
 import * as Duration from "effect/Duration";
 import type { Heartbeat } from "../../core/records.js";
 import type { Scheduler } from "../../core/scheduler/scheduler.js";
@@ -9,7 +9,7 @@
 import type { LeaderContext } from "./leader-context.js";
 import type { ProgressReporter } from "./progress-reporter.js";
 
-/** Every node asks the state service for something more often than this, so it notices an outage within it. */
+/** Every node sends requests to the state service more often than this, so it notices an outage within this time. */
 const OUTAGE_DETECTION_TIME = Duration.millis(1200);
 
 const describeTasks = (heartbeat: Heartbeat): string =>
@@ -20,7 +20,7 @@
     )
     .join(", ");
 
-/** Answers members, and remembers which of them reach the state service. */
+/** Answers members' updates, and remembers which members reach the state service. */
 export class MemberSync {
   private readonly memberStatus = new Map<
     string,
@@ -33,7 +33,7 @@
     private readonly progress: ProgressReporter,
   ) {}
 
-  /** A member's update; refused unless this node leads in the term that the member names, which counts the member in. */
+  /** Handles a member's update. Refused unless this node leads the request's term and that term names the member. */
   readonly sync = (request: SyncRequest): SyncResponse => {
     const { member, membership } = this.context.services;
     this.memberStatus.set(request.member, {
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Signs of life, and the evidence for the expiry of leases (S3). An age below zero: there was none. */
+  /** Reports when workers were last heard and last answered, the latter for lease expiry (S3). Negative ages: never. */
   private applyContacts(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
     const renewals = [];
     for (const { machine, answerAgeMs, heartbeatAgeMs } of request.contacts) {
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Whether this node alone can't reach the state service: another one said that it does, so long after this one's
-   * requests began to fail that it would have noticed an outage of all.
+   * Whether this node can't reach the state service although another node can: that node said so long enough after the
+   * requests of this one began to fail that it would have noticed a general outage.
    */
   isStateOutageLocal(): boolean {
     const { member, state } = this.context.services;
--- a/src/service/leader/progress-reporter.ts
+++ b/src/service/leader/progress-reporter.ts
@@ -1,29 +1,29 @@
-/** How far jobs have come, for the members: they answer users' questions from it without asking the state service. */
+/** Reports jobs' progress to the members, so that they can answer users without asking the state service. */
 import { ProgressLog } from "../../core/jobs/progress.js";
 import type { Scheduler } from "../../core/scheduler/scheduler.js";
 import type { JobProgress } from "../../io/peer-codec.js";
 
-/** Jobs whose end is kept for members that haven't heard of it. */
+/** How many finished jobs are remembered for members that haven't been told yet. */
 const MAX_FINISHED_JOBS = 4000;
 
-/** Which jobs' progress changed since a member last heard of it. */
+/** Knows which jobs' progress has changed since a member was last told. */
 export class ProgressReporter {
   private progress = new ProgressLog();
-  /** Jobs that this leader committed, with their number of tasks; the oldest come first. */
+  /** Jobs that this leader committed, with their number of tasks; oldest first. */
   private readonly finishedJobs = new Map<string, number>();
 
-  /** The version that a member names when it asks for what changed since. */
+  /** The current version; a member's next update names the version it knows. */
   get version(): number {
     return this.progress.version;
   }
 
-  /** A new scheduler's progress is told from the start. */
+  /** Starts to track the jobs of a new scheduler, without earlier changes. */
   track(scheduler: Scheduler): void {
     this.progress = new ProgressLog();
     scheduler.cluster.onProgress = (job) => this.progress.recordChange(job.spec.id);
   }
 
-  /** A job has its commit as done. */
+  /** Records that a job was committed as done. */
   recordDone(id: string, tasks: number): void {
     this.finishedJobs.set(id, tasks);
     if (this.finishedJobs.size > MAX_FINISHED_JOBS) {
@@ -33,7 +33,7 @@
     this.progress.recordChange(id);
   }
 
-  /** What changed after `version`; everything where that is no longer known. */
+  /** Progress that changed after `version`, or all progress if the changes since then are no longer known. */
   since(scheduler: Scheduler, version: number): JobProgress[] {
     const changed = this.progress.changedSince(version);
     const progress: JobProgress[] = [];
--- a/src/service/leader/scale-in.ts
+++ b/src/service/leader/scale-in.ts
@@ -1,4 +1,4 @@
-/** Scale-in: returns machines to the cloud, and drops their records once they are gone for certain (S3). */
+/** Scale-in: returns machines to the cloud, and removes their records once they are certainly gone (S3). */
 import * as Effect from "effect/Effect";
 import type { Decision } from "../../core/scheduler/scheduler.js";
 import { now } from "../../io/clock.js";
@@ -7,10 +7,10 @@
 
 const MAX_LOGGED_MACHINES = 5;
 
-/** The machines that a decision returns. */
+/** A decision to return machines. */
 export type ScaleInDecision = Extract<Decision, { kind: "release" }>;
 
-/** Returns machines and tells the scheduler whether they are gone. */
+/** Returns machines and reports to the scheduler whether they are gone. */
 export class ScaleIn {
   constructor(
     private readonly context: LeaderContext,
@@ -39,7 +39,7 @@
     });
   }
 
-  /** Nothing is on an empty machine, and nothing more will start there: a next leader needn't wait for it. */
+  /** Removes the records of empty machines: no task will start there, so the next leader needn't wait for them. */
   private dropEmptyMachineRecords(machines: readonly string[]): void {
     this.context.schedulerLock?.with((scheduler) => {
       for (const id of machines) {
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out: requests for machines, each stored before it is sent, so that the next leader knows of it (S10). */
+/** Scale-out: requests machines. A request is stored before it is sent, so that the next leader knows of it (S10). */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { keys, type RentalRecord } from "../../core/records.js";
@@ -10,7 +10,7 @@
 const FIRST_RETRY_PAUSE_MS = 500;
 const MAX_RETRY_PAUSE_MS = 4000;
 
-/** The machines that a decision asks for. */
+/** A decision to request machines. */
 export type ScaleOutDecision = Extract<Decision, { kind: "rent" }>;
 
 /** Sends scale-out requests until their outcome is certain. */
@@ -19,7 +19,7 @@
 
   constructor(private readonly context: LeaderContext) {}
 
-  /** Stores and sends a request. One that can't be stored isn't sent, and its name is never used again. */
+  /** Stores and sends a request. If it can't be stored it isn't sent, and its name is never reused. */
   request({ rent }: ScaleOutDecision): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const { log, membership } = this.context.services;
@@ -45,7 +45,7 @@
     });
   }
 
-  /** Whether the request is stored. As long as this takes it counts as outstanding, so no other takes its place. */
+  /** Stores a request, which already counts as outstanding so that no other replaces it; true: it is stored. */
   private store(name: string, record: RentalRecord, leadership: Leadership): Effect.Effect<boolean> {
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Sends a stored request until its outcome is certain, then tells the scheduler of the machines. */
+  /** Sends a stored request until its outcome is certain, then reports the machines to the scheduler. */
   resolve(name: string, record: RentalRecord, leadership: Leadership): Effect.Effect<void> {
     return Effect.gen(this, function* () {
       const { cloud, log, membership } = this.context.services;
@@ -78,7 +78,7 @@
           this.handleOutcome(name, record, machines);
           return;
         }
-        // while it is uncertain it stays outstanding, so nothing is requested twice
+        // it stays outstanding until its outcome is certain, so that no machines are requested twice
         const pause = Math.min(MAX_RETRY_PAUSE_MS, FIRST_RETRY_PAUSE_MS * 2 ** tries);
         yield* Effect.sleep(Duration.millis(pause));
       }
@@ -86,7 +86,7 @@
   }
 
   private handleOutcome(name: string, record: RentalRecord, machines: readonly string[]): void {
-    // sent again under the same name it would only get the same answer: its record can go in its turn
+    // a repeat under the same name would only get the same answer, so the record is no longer needed
     this.context.staleKeys.add(keys.rental(name));
     this.context.schedulerLock?.with((scheduler) => scheduler.rentalAnswered(name, record, machines, now()));
     this.context.stepRequested.notify();
--- a/src/service/leader/step-loop.ts
+++ b/src/service/leader/step-loop.ts
@@ -1,4 +1,4 @@
-/** The loops that ask the scheduler for decisions and have them carried out, and its summary for operators. */
+/** The loops that run the scheduler and execute its decisions, and the periodic summary for operators. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Decision } from "../../core/scheduler/scheduler.js";
@@ -11,14 +11,13 @@
 import type { ScaleIn } from "./scale-in.js";
 import type { ScaleOut } from "./scale-out.js";
 
-/** Pause between two steps, at most. */
 const MAX_STEP_INTERVAL = Duration.millis(250);
-/** Events that come together are decided on together. */
+/** Delay before a step, so that events in quick succession are handled together. */
 const BATCHING_DELAY = Duration.millis(35);
 const AUTOSCALER_INTERVAL = Duration.millis(700);
 const SUMMARY_INTERVAL = Duration.seconds(5);
 
-/** Who carries out which kind of decision. */
+/** The modules that execute the scheduler's decisions. */
 export interface DecisionHandlers {
   readonly dispatcher: CommandDispatcher;
   readonly committer: JobCommitter;
@@ -27,7 +26,7 @@
   readonly scaleIn: ScaleIn;
 }
 
-/** Steps the scheduler while this node leads. */
+/** Runs the scheduler's steps while this node leads. */
 export class StepLoop {
   constructor(
     private readonly context: LeaderContext,
@@ -53,7 +52,7 @@
     for (const [via, batches] of batchesByMember) yield* dispatcher.dispatch(via, batches);
   });
 
-  /** Decides on all but the fleet's size, for as long as this node leads. */
+  /** Makes and executes all decisions but those on the fleet's size, while this node leads. */
   readonly run: Effect.Effect<never> = this.stepOnce.pipe(
     Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "step failed")),
     Effect.forever,
@@ -96,13 +95,13 @@
       if (decision.kind !== "commands") yield* this.context.fork(this.execute(decision));
   });
 
-  /** Decides on the fleet's size, for as long as this node leads. */
+  /** Makes and executes the decisions on the fleet's size, while this node leads. */
   readonly autoscale: Effect.Effect<never> = this.autoscaleOnce.pipe(
     Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "autoscaler failed")),
     Effect.forever,
   );
 
-  /** One line of figures for operators every few seconds. */
+  /** Logs the scheduler's summary figures for operators every few seconds. */
   readonly logSummaries: Effect.Effect<never> = Effect.gen(this, function* () {
     yield* Effect.sleep(SUMMARY_INTERVAL);
     this.context.schedulerLock?.with((scheduler) =>
--- a/src/service/members/command-deliverer.ts
+++ b/src/service/members/command-deliverer.ts
@@ -1,6 +1,6 @@
 /**
- * Delivers the leader's commands to workers. They go out only under the term in force and only while this node may act
- * (S1), and that is asked again right before each is sent (S2).
+ * Delivers the leader's commands to workers. They are sent only under the term in force and only while this node may
+ * act (S1); both are checked again right before each request to a worker (S2).
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -13,9 +13,9 @@
 import type { WorkerClient } from "../../io/worker-client.js";
 import type { Membership } from "./membership.js";
 
-/** A command that waited this long for its turn isn't sent: the leader is about to take it for unanswered. */
+/** A batch that was queued for longer isn't sent, since the leader is about to give up waiting for its outcome. */
 const MAX_QUEUE_TIME = Duration.seconds(3);
-/** A delivery that came before its term or before this node may act waits for that, up to half a second each. */
+/** A delivery that arrives before its term, or before this node may act, waits up to half a second for each. */
 const MAX_READINESS_CHECKS = 20;
 const READINESS_CHECK_INTERVAL = Duration.millis(25);
 
@@ -37,13 +37,13 @@
     private readonly membership: Membership,
     private readonly workers: WorkerClient,
     private readonly partition: WorkerPartition,
-    /** Called when an outcome was recorded. */
+    /** Called when an outcome has been recorded. */
     private readonly onOutcome: () => void,
   ) {}
 
   /**
-   * Answers at once whether the batches are being sent; their outcomes go to the leader with the member's updates. None
-   * is sent if this node may not send under that term, or has no room for more.
+   * Starts to send the batches, and answers whether it did; their outcomes go to the leader with the member's updates.
+   * None is sent if this node may not send under that term, or if too many requests to workers are in progress.
    */
   deliver(delivery: CommandDelivery): Effect.Effect<DeliveryReceipt> {
     return Effect.gen(this, function* () {
@@ -68,7 +68,7 @@
   private send(term: TermRecord, batch: CommandBatch): Effect.Effect<void> {
     const receivedAt = now();
     const maySend = (): boolean => this.maySend(term) && !hasElapsed(now(), receivedAt, MAX_QUEUE_TIME);
-    // a queue may have held it up: what isn't allowed any more isn't sent
+    // the request may have been queued, so permission is checked once more right before it is sent
     const reply = Effect.suspend((): Effect.Effect<CommandReply> =>
       maySend() ? this.workers.sendCommands({ ...batch, maySend }) : Effect.succeed(BARRED),
     );
--- a/src/service/members/election.ts
+++ b/src/service/members/election.ts
@@ -1,6 +1,6 @@
 /**
- * The election of the leader: whoever creates the leader's key, on its own lease, leads for as long as the key is
- * there. The key alone entitles to nothing: acting takes a term under it as well (S1).
+ * Leader election: the process that creates the leader key, attached to its own lease, leads while the key exists. The
+ * key alone doesn't permit it to act: that also takes a term that was written under the key (S1).
  */
 import * as Effect from "effect/Effect";
 import { keys, type LeaderRecord } from "../../core/records.js";
@@ -11,15 +11,15 @@
 import type { LeaseKeeper } from "./lease-keeper.js";
 import type { MemberRegistry } from "./member-registry.js";
 
-/** The leader's key as this process holds it. */
+/** The leader key as held by this process. */
 export interface Leadership {
-  /** The key's revision: every write of the leader has it as a condition. */
+  /** The key's revision, which is a condition of all writes that the leader makes. */
   readonly revision: number;
-  /** The lease that the key is on. */
+  /** The lease that the key is attached to. */
   readonly leaseId: number;
 }
 
-/** What an election works with. */
+/** Settings and dependencies of `Election`. */
 export interface ElectionOptions {
   readonly self: string;
   readonly state: StateClient;
@@ -27,22 +27,22 @@
   readonly registry: MemberRegistry;
   readonly lease: LeaseKeeper;
   readonly rejections: RejectionBackoff;
-  /** Called when this process has led and leads no more. */
+  /** Called when this process stops being the leader. */
   readonly onLost: () => void;
 }
 
-/** Knows whether this process holds the leader's key. */
+/** Campaigns for the leader key, and knows whether this process holds it. */
 export class Election {
   private current: Leadership | null = null;
 
   constructor(private readonly options: ElectionOptions) {}
 
-  /** The leader's key, as long as this process holds it; null: it doesn't lead. */
+  /** The leader key while this process holds it; null: it doesn't lead. */
   get leadership(): Leadership | null {
     return this.current;
   }
 
-  /** This process leads no more. */
+  /** Ends this process's leadership; does nothing if it doesn't lead. */
   stepDown(reason: string): void {
     if (this.current === null) return;
     this.current = null;
@@ -50,13 +50,13 @@
     this.options.onLost();
   }
 
-  /** Steps down if the key that is there now isn't the one that this process holds. */
+  /** Steps down if the leader key has been deleted or replaced. */
   checkLeaderKey(): void {
     if (this.current !== null && this.options.registry.leaderRevision !== this.current.revision)
       this.stepDown("leader key lost");
   }
 
-  /** Creates the leader's key. The result is its revision; null: it isn't this process's. */
+  /** Creates the leader key and returns its revision; null: this process doesn't hold the key. */
   private createKey(record: LeaderRecord): Effect.Effect<number | null, StateError> {
     const { state, rejections } = this.options;
     const { leaseId } = record;
@@ -69,7 +69,7 @@
       .pipe(
         Effect.tap((result) => rejections.sleepIfRejected("leader", result)),
         Effect.map((result) => (result.ok === true ? result.revision : null)),
-        // the answer was lost: only the key itself says whether the write was carried out
+        // the answer was lost, so the key itself has to show whether the write was carried out
         Effect.catchTag("Unanswered", () =>
           Effect.map(state.get(keys.leader), (row) =>
             row !== null && decodeLeader(row.value).leaseId === leaseId ? row.revision : null,
@@ -78,15 +78,15 @@
       );
   }
 
-  /** Tries to become the leader when there is none; true: this process holds the leader's key since then. */
+  /** Tries to become the leader if there is none; true: this process has become the leader. */
   readonly campaign: Effect.Effect<boolean, StateError> = Effect.gen(this, function* () {
     const { self, log, registry, lease } = this.options;
     const { leaseId } = lease;
     if (leaseId === null || this.current !== null || !registry.isSynced) return false;
     const existing = registry.leaderKey;
     if (existing !== null) {
-      // a write without an answer may be carried out after the key was read again: then the key is this process's all
-      // the same, and as long as its lease lives nobody else can lead
+      // an unanswered write may have been carried out after the key was read: then this process holds the key after
+      // all, and nobody else can become the leader while its lease is alive
       if (existing.record.leaseId !== leaseId) return false;
       this.current = { revision: existing.revision, leaseId };
       log.info({ revision: existing.revision, leaseId }, "elected leader by an earlier write of the key");
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -1,6 +1,6 @@
 /**
- * Stores finished tasks as range records in the state service, so that they outlive the heartbeats that told of them
- * (S7). Each write has the condition that its jobs have no commit yet (S8).
+ * Stores finished tasks as range records in the state service, so that they outlive the heartbeats that reported them
+ * (S7). Each write is conditional on its jobs having no commit record yet (S8).
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -14,13 +14,12 @@
 import type { RejectionBackoff } from "../rejection-backoff.js";
 import type { Membership } from "./membership.js";
 
-/** Bytes of one range record at most. */
 const MAX_RANGE_RECORD_BYTES = 3000;
-/** With its key, a condition and names a range record needs so many bytes more of a transaction. */
+/** What a range record takes in a transaction besides its ranges: key, condition and property names. */
 const RECORD_OVERHEAD_BYTES = 400;
 const STORE_INTERVAL = Duration.seconds(1);
 
-/** How many bytes one range record may have, by the state service's limits: kB a value, and changes a transaction. */
+/** Maximum size of a range record, given the state service's limits: KiB per value, and changes per transaction. */
 export const maxRangeRecordBytes = (valueKb: number, txnOps: number): number =>
   Math.min(
     MAX_RANGE_RECORD_BYTES,
@@ -28,35 +27,35 @@
     Math.floor(MAX_TXN_BYTES / txnOps) - RECORD_OVERHEAD_BYTES,
   );
 
-/** What the state service said to one transaction of finishes. */
+/** The result of one transaction of range records. */
 type TransactionResult =
   | { readonly kind: "stored" }
-  /** Nothing was written: these conditions failed. */
+  /** Nothing was written, because the conditions on these keys failed. */
   | { readonly kind: "conflict"; readonly failedKeys: readonly string[] }
-  /** Nothing was written, nor will be as it is: something in it is too large. */
+  /** Nothing was written, and a retry would be rejected too, since something in the transaction is too large. */
   | { readonly kind: "rejected"; readonly reason: string }
-  /** Nothing was written, or it may be written yet. */
+  /** The transaction was not carried out, or its outcome is unknown. */
   | { readonly kind: "unanswered"; readonly reason: string };
 
-/** What a finish writer works with. */
+/** Settings and dependencies of `FinishWriter`. */
 export interface FinishWriterOptions {
   readonly self: string;
-  /** Changes that one transaction may hold. */
+  /** Maximum number of changes in one transaction. */
   readonly txnOps: number;
   readonly finishes: FinishStore;
   readonly membership: Membership;
   readonly state: StateClient;
   readonly rejections: RejectionBackoff;
   readonly log: Log;
-  /** Whether a job is known and unfinished here: only such a job's finishes are stored. */
+  /** Whether this node knows a job as unfinished. Only finished tasks of such jobs are stored. */
   readonly isUnfinished: (job: string) => boolean;
-  /** Called when finishes were stored, or writing them failed. */
+  /** Called after each write, whether it succeeded or failed. */
   readonly onWritten: () => void;
 }
 
-/** Stores finishes for as long as `run` runs. */
+/** Stores finished tasks while `run` runs. */
 export class FinishWriter {
-  /** Puts in one transaction: fewer once that was too much, and one more again after each that wasn't. */
+  /** Maximum number of puts in one transaction: reduced after a rejection, and one more after each other answer. */
   private maxPuts: number;
 
   constructor(private readonly options: FinishWriterOptions) {
@@ -79,7 +78,7 @@
     );
   }
 
-  /** Makes transactions smaller after a rejection, and larger again after an answer that was none. */
+  /** Makes transactions smaller after a rejection, and larger again after any other answer. */
   private adaptSize(result: TransactionResult, puts: number): Effect.Effect<void> {
     const { rejections, txnOps, log } = this.options;
     if (result.kind === "unanswered") {
@@ -91,21 +90,21 @@
       this.maxPuts = Math.min(txnOps, this.maxPuts + 1);
       return Effect.void;
     }
-    // half of what was sent, which may be less than could have been: that soon shows which one is too large
+    // half of what was sent, which may be less than the maximum: this soon isolates the record that is too large
     this.maxPuts = Math.max(1, Math.floor(puts / 2));
     const pause = rejections.rejected("finishes", result.reason);
-    // one by itself is put off by the finish store; others needn't wait for that
+    // the finish store postpones a record that was rejected on its own, so others needn't wait
     return puts <= 1 ? Effect.void : Effect.sleep(pause);
   }
 
-  /** Which record is too large isn't known until it goes alone; it then gives way to the others. */
+  /** The result for one job. A record is only known to be too large if it was rejected on its own. */
   private resultOf(write: FinishWrite, result: TransactionResult, puts: number): StoreResult {
     if (result.kind === "stored") return "stored";
     if (result.kind === "conflict" && result.failedKeys.includes(keys.commit(write.job))) return "over";
     return result.kind === "rejected" && puts <= 1 ? "refused" : "failed";
   }
 
-  /** One transaction. true: it was stored, or what kept it from that is known, so the next may follow at once. */
+  /** Writes one transaction; true: it was stored or its failed conditions are known, so the next may follow at once. */
   private write(writes: readonly FinishWrite[]): Effect.Effect<boolean> {
     return Effect.gen(this, function* () {
       const changes = writes.flatMap((write) =>
@@ -120,7 +119,7 @@
     });
   }
 
-  /** Never ends; what fails is tried again. */
+  /** Never ends; failed writes are retried. */
   readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
     const { self, membership, finishes, isUnfinished } = this.options;
     yield* Effect.sleep(STORE_INTERVAL);
--- a/src/service/members/leader-sync.ts
+++ b/src/service/members/leader-sync.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the leader informed of what this member learned, and takes in what the leader answers. What doesn't reach the
- * leader is put back and goes with the next message, or through the state service while the leader can't be reached.
+ * Sends the leader what this member has learned, and applies the leader's responses. An update that doesn't reach the
+ * leader is put back and sent with the next message, or through the state service while the leader can't be reached.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -15,33 +15,33 @@
 import type { Peers } from "./peers.js";
 import type { UpdateRelaySender } from "./update-relay-sender.js";
 
-/** Also when there is nothing to say, which says that this member lives. */
+/** An update is sent at least this often, even if empty, to show that this member is alive. */
 const SYNC_INTERVAL = Duration.seconds(1);
-/** What comes together goes together: each message costs the same, however much it holds. */
+/** Delay before a message, so that it covers more: messages cost the same whatever their size. */
 const BATCHING_DELAY = Duration.millis(100);
 const RETRY_PAUSE = Duration.millis(100);
 const PRUNE_INTERVAL = Duration.seconds(5);
-/** After this long without reaching the leader, updates go through the state service. */
+/** Updates go through the state service once the leader has been unreachable for this long. */
 const RELAY_AFTER = Duration.millis(800);
-/** Nothing of the leader's was seen yet. */
+/** The clock mark and the progress version before the leader's first response. */
 const UNKNOWN = -1;
 
-/** What another node said of itself: when, and whether it reaches the state service. */
+/** What another node last reported of itself: when, and whether it reaches the state service. */
 export interface PeerStatus {
   readonly reportedAt: Instant;
   readonly reachesStateService: boolean;
 }
 
-/** How far a job has come, in tasks. */
+/** A job's progress, as numbers of tasks. */
 export interface JobProgress {
   readonly done: number;
   readonly running: number;
 }
 
-/** What the sync with the leader works with. */
+/** Settings and dependencies of `LeaderSync`. */
 export interface LeaderSyncOptions {
   readonly self: string;
-  /** How long workers are remembered that don't come any more. */
+  /** How long a worker is remembered after it was last heard or answered. */
   readonly contactRetention: Duration.Duration;
   readonly membership: Membership;
   readonly partition: WorkerPartition;
@@ -52,16 +52,16 @@
   readonly reachesStateService: () => boolean;
   /** The leader in this process; null: this process doesn't lead. */
   readonly localLeader: () => ((request: SyncRequest) => SyncResponse) | null;
-  /** Whether a job is known and unfinished here. */
+  /** Whether this node knows a job as unfinished. */
   readonly isUnfinished: (job: string) => boolean;
-  /** Called when the leader says that a job is done, its commit record being there (S8). */
+  /** Called when the leader reports that a job is done, so its commit record exists (S8). */
   readonly onDone: (job: string, tasks: number) => void;
 }
 
-/** Tells the leader what is new, for as long as `run` runs. */
+/** Sends updates to the leader while `run` runs. */
 export class LeaderSync {
   private readonly syncRequested = new Signal();
-  /** The newest answer's mark on the leader's clock and version of the jobs' progress, under `answeredTerm`. */
+  /** The clock mark and the progress version in the leader's newest response under `answeredTerm`. */
   private leaderClockMark = UNKNOWN;
   private progressVersion = UNKNOWN;
   private answeredTerm = 0;
@@ -72,27 +72,27 @@
 
   constructor(private readonly options: LeaderSyncOptions) {}
 
-  /** Whether the leaders that answered reach the state service, by what they said themselves. */
+  /** By member, what each leader that answered last reported about reaching the state service. */
   get peerStatus(): ReadonlyMap<string, PeerStatus> {
     return this.statusByPeer;
   }
 
-  /** How far the unfinished jobs have come, by what the leader said. */
+  /** The progress of unfinished jobs, as last reported by the leader. */
   get progress(): ReadonlyMap<string, JobProgress> {
     return this.progressByJob;
   }
 
-  /** Syncs soon, whatever there is to say. */
+  /** Requests a sync soon, even without news. */
   request(): void {
     this.syncRequested.notify();
   }
 
-  /** Syncs soon if there is something that the leader waits for. */
+  /** Requests a sync soon if there is news that the leader waits for. */
   requestIfUpdated(): void {
     if (this.options.partition.hasUpdate()) this.syncRequested.notify();
   }
 
-  /** A job ended. */
+  /** Forgets the progress of a job that has ended. */
   jobEnded(job: string): void {
     this.progressByJob.delete(job);
   }
@@ -109,7 +109,8 @@
       termNumber: term.number,
       member: self,
       incarnation: membership.incarnation,
-      // the proof by time (S3): an update that names some workers says nothing of the others
+      // the mark is the proof of expired leases (S3), so only a complete update includes it: an incomplete one says
+      // nothing of the workers that it omits
       leaderClockMark: partition.isUpdateComplete() ? this.leaderClockMark : UNKNOWN,
       progressVersion: this.progressVersion,
       reachesStateService: this.options.reachesStateService(),
@@ -121,7 +122,7 @@
     return hasElapsed(now(), this.leaderReachedAt, RELAY_AFTER);
   }
 
-  /** null: no answer came. */
+  /** The leader's response; null: there was none. */
   private send(term: TermRecord, request: SyncRequest): Effect.Effect<SyncResponse | null> {
     const { self, peers, localLeader } = this.options;
     if (term.leader === self) return Effect.succeed(localLeader()?.(request) ?? null);
@@ -137,7 +138,7 @@
     if (response !== null) this.leaderReachedAt = now();
     if (response?.accepted === true) {
       this.applyResponse(term.leader, response);
-      // what didn't fit into this message
+      // for what didn't fit into this message
       this.requestIfUpdated();
       return;
     }
@@ -161,7 +162,7 @@
     }
   }
 
-  /** Never ends; what fails is tried again. */
+  /** Never ends; failed updates are sent again. */
   readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
     yield* this.syncRequested.wait(SYNC_INTERVAL);
     yield* Effect.sleep(BATCHING_DELAY);
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -1,6 +1,6 @@
 /**
- * This process's lease and member key: takes them, renews the lease, and joins anew when either is lost. The key's
- * revision is the process's incarnation; a term names members by it, so no process is taken for an earlier one.
+ * This process's lease and member key: acquires them, renews the lease, and rejoins when either is lost. The key's
+ * revision is the process's incarnation. Terms include it, so that no process is mistaken for an earlier one.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -16,12 +16,12 @@
 import type { MembershipExtension } from "./membership-extension.js";
 import type { TermStore } from "./term-store.js";
 
-/** Also when a renewal is requested at once, the next one is sent no sooner, in milliseconds. */
+/** Minimum pause between two renewals, also when one is requested. */
 const MIN_RENEWAL_PAUSE_MS = 50;
-/** A renewal may take half the fencing window, and at least this, in milliseconds. */
+/** A renewal times out after half the fencing window, but not sooner than this. */
 const MIN_RENEWAL_TIMEOUT_MS = 500;
 
-/** What a lease keeper works with. */
+/** Settings and dependencies of `LeaseKeeper`. */
 export interface LeaseKeeperOptions {
   readonly self: string;
   readonly zone: string;
@@ -34,11 +34,11 @@
   readonly extension: MembershipExtension;
   /** Called when this process has joined. */
   readonly onJoined: () => void;
-  /** Called when its lease or its member key is lost, before it joins anew. */
+  /** Called when its lease or its member key is lost, before it rejoins. */
   readonly onLost: (reason: string) => void;
 }
 
-/** Keeps this process a member for as long as `run` runs. */
+/** Keeps this process a member while `run` runs. */
 export class LeaseKeeper {
   private currentLeaseId: number | null = null;
   private currentIncarnation = 0;
@@ -46,22 +46,22 @@
 
   constructor(private readonly options: LeaseKeeperOptions) {}
 
-  /** The lease that the member key is on; null: this process is no member. */
+  /** The lease that the member key is attached to; null: this process isn't a member. */
   get leaseId(): number | null {
     return this.currentLeaseId;
   }
 
-  /** The revision of this process's member key, also while its lease is lost; 0: it never joined. */
+  /** The revision of this process's last member key, kept when its lease is lost; 0: it has never joined. */
   get incarnation(): number {
     return this.currentIncarnation;
   }
 
-  /** Renews soon instead of at the next interval: a newer term may be there. */
+  /** Requests a renewal before the next interval, since there may be a newer term. */
   requestRenewal(): void {
     this.renewalRequested.notify();
   }
 
-  /** Ends the lease of this member's previous process, which is dead: nobody has to wait for its expiry. */
+  /** Revokes the lease of this member's previous process, which has ended, so that nobody waits for its expiry. */
   private readonly revokePreviousLease = Effect.gen(this, function* () {
     const { self, state } = this.options;
     const row = yield* state.get(keys.member(self));
@@ -73,7 +73,7 @@
     yield* this.revokePreviousLease;
     const leaseId = yield* state.grantLease(timings.memberLease);
     const record: MemberRecord = { zone, leaseId };
-    // a late copy of an earlier process's write finds this key there and changes nothing
+    // once this key exists, a delayed copy of an earlier process's write changes nothing
     const result = yield* state.commit(
       [{ key: keys.member(self), revision: 0 }],
       [{ put: keys.member(self), value: encodeMember(record), leaseId }, ...extension.changesOnJoin(leaseId)],
@@ -110,7 +110,7 @@
       return yield* this.join;
     }
     terms.recordRenewal(termRow, sentAt);
-    // the lease lives, but the key isn't this process's: nobody counts it as a member
+    // the lease is alive, but without its member key no other node counts this process as a member
     if (registry.hasLost(self, this.currentIncarnation)) {
       log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, joining anew");
       yield* state.revokeLease(leaseId);
@@ -119,7 +119,7 @@
     }
   });
 
-  /** Never ends; what fails is tried again at the next interval. */
+  /** Never ends; failed renewals are retried at the next interval. */
   readonly run: Effect.Effect<never> = Effect.gen(this, function* () {
     const { timings, log } = this.options;
     const startedAt = now();
--- a/src/service/members/member-registry.ts
+++ b/src/service/members/member-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The keys under `cluster/` as a watch shows them, a moment behind: the members' keys, the leader's key and the term.
- * It says who is there now; who counts is said by the term alone (S1).
+ * The keys under `cluster/` as a watch shows them, slightly delayed: the member keys, the leader key and the term. It
+ * shows which members are present; which ones count as members is determined by the term alone (S1).
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -9,14 +9,14 @@
 import { decodeLeader, decodeMember } from "../../io/record-codec.js";
 import type { StateClient } from "../../io/state-client.js";
 
-/** How long one request may wait for changes. */
+/** How long one watch request may wait for changes. */
 const WATCH_TIMEOUT = Duration.seconds(10);
-/** Pause between two requests of a watch. */
+/** Pause between two watch requests. */
 const WATCH_PAUSE = Duration.millis(20);
-/** Pause before the keys are listed anew after a watch ended. */
+/** Pause before the keys are listed again after a watch has ended. */
 const RELIST_PAUSE = Duration.millis(300);
 
-/** The members whose keys these rows are; other rows are passed over. */
+/** The members whose keys are among the rows; other rows are ignored. */
 export const membersOf = (rows: Iterable<Row>): TermMember[] => {
   const members: TermMember[] = [];
   for (const row of rows)
@@ -29,52 +29,52 @@
   return members;
 };
 
-/** The leader's key as it was last seen. */
+/** The leader key as last seen. */
 export interface LeaderKey {
   readonly revision: number;
   readonly record: LeaderRecord;
 }
 
-/** Watches the cluster's keys for as long as `run` runs. */
+/** Watches the cluster's keys while `run` runs. */
 export class MemberRegistry {
   private rows = new Map<string, Row>();
   private synced = false;
-  /** The revision up to which `rows` miss nothing. */
+  /** `rows` includes all changes up to this revision. */
   private watchedRevision = 0;
 
   constructor(
     private readonly state: StateClient,
-    /** Called after the keys were listed, and after each answer that held changes. */
+    /** Called after the keys were listed, and after each watch response that contains changes. */
     private readonly onChange: () => void,
   ) {}
 
-  /** Whether the keys are known: they were listed, and the watch that follows hasn't ended. */
+  /** Whether the keys are known: they were listed, and the watch that followed hasn't ended. */
   get isSynced(): boolean {
     return this.synced;
   }
 
-  /** The row of the term; null: none was written yet, or none is known. */
+  /** The row of the term; null: none is known. */
   get termRow(): Row | null {
     return this.rows.get(keys.term) ?? null;
   }
 
-  /** The leader's key; null: there is none, as far as is known. */
+  /** The leader key; null: none is known. */
   get leaderKey(): LeaderKey | null {
     const row = this.rows.get(keys.leader);
     return row === undefined ? null : { revision: row.revision, record: decodeLeader(row.value) };
   }
 
-  /** The revision of the leader's key; undefined: there is none, as far as is known. */
+  /** The revision of the leader key; undefined: none is known. */
   get leaderRevision(): number | undefined {
     return this.rows.get(keys.leader)?.revision;
   }
 
-  /** The members that hold keys now, by name. */
+  /** The members whose keys exist now, sorted by name. */
   presentMembers(): TermMember[] {
     return membersOf(this.rows.values()).sort((member, other) => (member.name < other.name ? -1 : 1));
   }
 
-  /** Whether the member's key certainly isn't the one written at this revision: it is gone, or another process's. */
+  /** Whether the member key of this incarnation certainly doesn't exist any more: it was deleted or replaced. */
   hasLost(member: string, incarnation: number): boolean {
     return (
       this.synced &&
@@ -83,7 +83,7 @@
     );
   }
 
-  /** The leader's key that this process wrote just now, which the watch will show later. */
+  /** Records the leader key that this process has just written, before the watch shows it. */
   recordLeaderKey(value: object, revision: number): void {
     this.rows.set(keys.leader, { key: keys.leader, value, revision });
   }
@@ -105,7 +105,7 @@
     }
   });
 
-  /** Never ends; what fails is tried again. */
+  /** Never ends; after a failure the keys are listed again. */
   readonly run: Effect.Effect<never> = this.watch.pipe(
     Effect.catchAll(() => Effect.sync(() => (this.synced = false))),
     Effect.zipRight(Effect.sleep(RELIST_PAUSE)),
--- a/src/service/members/member.ts
+++ b/src/service/members/member.ts
@@ -1,6 +1,6 @@
 /**
- * A member at work, as the rest of the controller sees it: takes workers' heartbeats, delivers the leader's commands,
- * stores finished tasks, and keeps the leader informed. Each of these is a module of its own.
+ * This process's work as a member, as seen by the rest of the controller: it accepts workers' heartbeats, delivers the
+ * leader's commands, stores finished tasks, and keeps the leader informed. Each of these tasks has its own module.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -22,31 +22,31 @@
 
 export { maxRangeRecordBytes } from "./finish-writer.js";
 
-/** A finish is safe on its machine; it is stored once others of its job had time to join it. */
+/** Delay before a finished task is stored, so that one record covers more of them; the worker keeps it meanwhile. */
 const FINISH_BATCHING_DELAY = Duration.seconds(4);
 
-/** Settings of a member. */
+/** Settings of `Member`. */
 export interface MemberOptions {
   readonly self: string;
-  /** Changes that one transaction of the state service may hold. */
+  /** Maximum number of changes in one transaction of the state service. */
   readonly txnOps: number;
-  /** Kilobytes that one of its values may hold. */
+  /** Maximum size of one value in the state service, in KiB. */
   readonly valueKb: number;
-  /** How long workers are remembered that don't come any more. */
+  /** How long a worker is remembered after it was last heard or answered. */
   readonly contactRetention: Duration.Duration;
 }
 
-/** One process's work as a member, for as long as `run` runs. */
+/** Does this process's work as a member while `run` runs. */
 export class Member {
-  /** The workers that this member answers, and what the leader hasn't heard of them yet. */
+  /** The workers that this member answers, and what the leader hasn't been told of them yet. */
   readonly partition: WorkerPartition;
-  /** Set while this process leads: the leader is then told without a message. */
+  /** Set while this process leads: updates are then passed to the leader by a direct call. */
   localLeader: ((request: SyncRequest) => SyncResponse) | null = null;
-  /** Called when the leader says that a job is done, its commit record being there (S8); set once, before `run`. */
+  /** Called when the leader reports that a job is done, so its commit record exists (S8); set once, before `run`. */
   onDone: (job: string, tasks: number) => void = () => undefined;
-  /** Whether a job is known to have its commit; set once, before `run`. */
+  /** Whether a job is known to have ended; set once, before `run`. */
   isEnded: (job: string) => boolean = () => false;
-  /** Whether a job is known and unfinished here; set once, before `run`. */
+  /** Whether this node knows a job as unfinished; set once, before `run`. */
   isUnfinished: (job: string) => boolean = () => true;
   private readonly sync: LeaderSync;
   private readonly deliverer: CommandDeliverer;
@@ -85,12 +85,12 @@
     this.run = Effect.all([sync.run, finishWriter.run], { concurrency: 2, discard: true });
   }
 
-  /** What other nodes said of themselves: when, and whether they reach the state service. */
+  /** By member, what each leader that answered last reported about reaching the state service. */
   get peerStatus(): ReadonlyMap<string, PeerStatus> {
     return this.sync.peerStatus;
   }
 
-  /** How far the unfinished jobs have come, by what the leader said. */
+  /** The progress of unfinished jobs, as last reported by the leader. */
   get progress(): ReadonlyMap<string, JobProgress> {
     return this.sync.progress;
   }
@@ -100,7 +100,7 @@
     return this.state.failingSince === null;
   }
 
-  /** Takes in a worker's own heartbeat and says what to answer. */
+  /** Processes a worker's own heartbeat and returns the answer to it. */
   handleHeartbeat(heartbeat: Heartbeat): HeartbeatAnswer {
     const answer = this.partition.handleHeartbeat(
       heartbeat,
@@ -113,15 +113,15 @@
     return answer;
   }
 
-  /** A newer term is known: the leader may be another. */
+  /** Requests a sync soon after a newer term was adopted, since the leader may have changed. */
   readonly termChanged = (): void => this.sync.request();
 
-  /** Delivers the leader's commands to workers, if this node may; answers whether it does. */
+  /** Starts to deliver the leader's commands to workers if this node may, and answers whether it did. */
   deliver(delivery: CommandDelivery): Effect.Effect<DeliveryReceipt> {
     return this.deliverer.deliver(delivery);
   }
 
-  /** A job ended, and needs nothing more here. */
+  /** Forgets the finished tasks and the progress of a job that has ended. */
   jobEnded(job: string): void {
     this.partition.finishes.forgetJob(job);
     this.sync.jobEnded(job);
--- a/src/service/members/membership.ts
+++ b/src/service/members/membership.ts
@@ -1,7 +1,7 @@
 /**
- * This process's membership in the cluster, as the rest of the controller sees it: whether it is a member, which term
- * is in force, whether it leads, and what it may do right now (S1, S9, S11). Brings together the lease keeper, the
- * registry of members, the election, and the terms.
+ * This process's membership in the cluster, as seen by the rest of the controller: whether it is a member, which term
+ * is in force, whether it leads, and what it may do right now (S1, S9, S11). Combines the lease keeper, the member
+ * registry, the election and the terms.
  */
 import * as Effect from "effect/Effect";
 import { hasFreshJobView, sameMembers, type LeaseTimings } from "../../core/leases/term.js";
@@ -22,19 +22,19 @@
 export type { Leadership } from "./election.js";
 export type { MembershipExtension } from "./membership-extension.js";
 
-/** One process's membership, for as long as `run` runs. */
+/** Maintains this process's membership while `run` runs. */
 export class Membership {
   private readonly terms: TermStore;
   private readonly registry: MemberRegistry;
   private readonly lease: LeaseKeeper;
   private readonly election: Election;
-  /** Notified when this process joined and when the cluster's keys changed. One loop waits for it: the leader's. */
+  /** Notified when this process has joined and when the cluster's keys have changed; only the leader's loop waits. */
   readonly clusterChanged = new Signal();
   /** Called with each newer term; set once, before `run`. */
   onTerm: (term: TermRecord) => void = () => undefined;
-  /** Called when this process has led and leads no more; set once, before `run`. */
+  /** Called when this process stops being the leader; set once, before `run`. */
   onLost: () => void = () => undefined;
-  /** Tries to become the leader when there is none; true: this process holds the leader's key since then. */
+  /** Tries to become the leader if there is none; true: this process has become the leader. */
   readonly campaign: Effect.Effect<boolean, StateError>;
   /** Writes the next term, if this process leads; true: it was written and is in force. */
   readonly writeTerm: Effect.Effect<boolean, StateError>;
@@ -49,7 +49,7 @@
     log: Log,
     otherMembers: readonly string[],
     askForConfirmation: (member: string, termNumber: number) => Effect.Effect<boolean>,
-    /** When the last request was sent whose answer showed every job that had ended by then; null: none was yet. */
+    /** When the last request was sent whose answer showed every job that had ended by then; null: none yet. */
     private readonly jobViewReadAt: () => Instant | null,
     extension: MembershipExtension = NO_EXTENSION,
   ) {
@@ -76,17 +76,17 @@
     });
   }
 
-  /** The lease that the member key is on; null: this process is no member now. */
+  /** The lease that the member key is attached to; null: this process isn't a member now. */
   get leaseId(): number | null {
     return this.lease.leaseId;
   }
 
-  /** The revision of this process's member key; 0: it never joined. */
+  /** The revision of this process's last member key; 0: it has never joined. */
   get incarnation(): number {
     return this.lease.incarnation;
   }
 
-  /** The newest term known; null: none yet. Whether it is in force is for `mayAct` to say. */
+  /** The newest term known; null: none yet. `mayAct` tells whether this node may act under it. */
   get term(): TermRecord | null {
     return this.terms.term;
   }
@@ -96,44 +96,44 @@
     return this.terms.revision;
   }
 
-  /** The leader's key, as long as this process holds it; null: it doesn't lead. */
+  /** The leader key while this process holds it; null: it doesn't lead. */
   get leadership(): Leadership | null {
     return this.election.leadership;
   }
 
   /**
-   * May this node answer workers (not: send commands) right now? Either a renewal of its own shows the term current, or
-   * the confirmation of all other nodes does: only nodes begin terms (S11). This keeps workers' leases through a long
-   * outage of the state service.
+   * Whether this node may answer workers now, which doesn't include sending commands. The term has to be shown to be
+   * current, either by a renewal of its own or by the confirmation of all other nodes, since only nodes start terms
+   * (S11). The latter keeps workers' leases alive through a long outage of the state service.
    */
   mayAnswerWorkers(): boolean {
     return this.mayAct() || (this.isInTerm() && this.hasFreshJobView() && this.terms.isConfirmedByPeers());
   }
 
   /**
-   * May this node send commands and act for the controllers right now (S1)? After an outage of the state service its
-   * lease has its full time again, but until it has read the jobs anew it may know too little of cancels (S9).
+   * Whether this node may send commands and act for the controllers now (S1). After an outage of the state service a
+   * renewed lease isn't enough: until the node has read the jobs again it may not know of recent cancellations (S9).
    */
   mayAct(): boolean {
     return this.terms.isConfirmedByRenewal() && this.hasFreshJobView() && this.isInTerm();
   }
 
-  /** May this node act as the leader right now (S1)? */
+  /** Whether this node may act as the leader now (S1). */
   isActingLeader(): boolean {
     return this.leadership !== null && this.term?.leader === this.self && this.mayAct();
   }
 
-  /** What this node answers another that asks whether its term is current: as far as is known or was begun here. */
+  /** Answers another node's question whether its term is current, as far as this node knows. */
   knowsNoNewerTerm(termNumber: number): boolean {
     return this.terms.knowsNoNewerThan(termNumber);
   }
 
-  /** A message named this term: if it is newer than the one known here, it is read soon. */
+  /** Handles a term number seen in a message: if it is newer than the known one, the term is read again soon. */
   observeTerm(termNumber: number): void {
     if (termNumber > this.terms.number) this.lease.requestRenewal();
   }
 
-  /** Whether the term names other members than those that are there, so that a new one is due. */
+  /** Whether a new term is due, because there is none or because other members are present than it names. */
   isTermOutdated(): boolean {
     const present = this.registry.presentMembers();
     return this.term === null || (present.length > 0 && !sameMembers(this.term.members, present));
@@ -147,7 +147,7 @@
     return this.terms.hasMember(this.self, this.incarnation);
   }
 
-  /** A new term closes the fencing window; the renewal that opens it again is sent at once. */
+  /** A new term closes the fencing window, so the renewal that opens it again is requested at once. */
   private onTermAdopted(term: TermRecord): void {
     this.onTerm(term);
     this.lease.requestRenewal();
--- a/src/service/members/peer-client.ts
+++ b/src/service/members/peer-client.ts
@@ -1,4 +1,4 @@
-/** Asks other controllers over Node's http, with Avro bodies. */
+/** Client for requests to other controllers: HTTP with Avro bodies. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { ReleaseRequest } from "#shards";
@@ -33,10 +33,9 @@
 } from "../../io/shard-codec.js";
 import { PEER_CONTENT_TYPE } from "./peer-server.js";
 
-/** Connections to each other controller at most. */
 const MAX_CONNECTIONS_PER_PEER = 8;
 
-/** One kind of request: its path, how it and its answer are encoded, and how long the answer may take. */
+/** One kind of request: its path, the codecs of the request and the answer, and the timeout. */
 interface Endpoint<Request, Answer> {
   readonly path: string;
   readonly request: Codec<Request>;
@@ -82,8 +81,8 @@
 };
 
 /**
- * The other controllers. An answer is null when the member isn't known or answers anything but 200; a request without
- * an answer in time fails.
+ * Sends requests to the other controllers. The result is null if the member is unknown or the status isn't 200; a
+ * request that times out fails.
  */
 export class Peers {
   private readonly agent = makeKeepAliveAgent(MAX_CONNECTIONS_PER_PEER);
@@ -109,12 +108,12 @@
     ).pipe(Effect.map((reply) => (reply.status === 200 ? answer.decode(reply.body) : null)));
   }
 
-  /** Tells the leader what this member learned. */
+  /** Sends this member's update to the leader. */
   sync(member: string, request: SyncRequest): Effect.Effect<SyncResponse | null, CallFailed> {
     return this.ask(member, SYNC, request);
   }
 
-  /** Whether that member knows of no newer term (S11); false also when there is no answer. */
+  /** Whether that member knows of no newer term (S11); false also if it doesn't answer. */
   confirmTerm(member: string, termNumber: number): Effect.Effect<boolean> {
     return this.ask(member, CONFIRM_TERM, { termNumber }).pipe(
       Effect.map((answer) => answer?.knowsNoNewerTerm ?? false),
@@ -122,7 +121,7 @@
     );
   }
 
-  /** Sends the leader's commands by the member that answers their workers. */
+  /** Sends the leader's commands through the member that answers the workers. */
   deliver(member: string, delivery: CommandDelivery): Effect.Effect<DeliveryReceipt | null, CallFailed> {
     return this.ask(member, DELIVER, delivery);
   }
@@ -137,7 +136,7 @@
     return this.ask(member, RELEASE_SHARD, request);
   }
 
-  /** Passes an operator's request on to the leader. */
+  /** Forwards an operator's request to the leader. */
   operate(member: string, request: OperatorRequest): Effect.Effect<OperatorAnswer | null, CallFailed> {
     return this.ask(member, OPERATE, request);
   }
--- a/src/service/members/peer-server.ts
+++ b/src/service/members/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers other controllers over Node's http, with Avro bodies. */
+/** Server for requests of other controllers: HTTP with Avro bodies. */
 import http from "node:http";
 import * as Effect from "effect/Effect";
 import type { ReleaseRequest } from "#shards";
@@ -36,32 +36,32 @@
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
 const MAX_CONNECTIONS = 256;
 
-/** What a controller answers others. */
+/** Handlers for requests of other controllers. */
 export interface PeerHandlers {
   /** A member's update for the leader. */
   sync(request: SyncRequest): SyncResponse;
-  /** Commands of the leader's for workers that this member answers. */
+  /** The leader's commands for workers that this member answers. */
   deliver(delivery: CommandDelivery): Effect.Effect<DeliveryReceipt>;
   /** Whether this node knows of no newer term than the one asked about (S11). */
   confirmTerm(request: TermConfirmationRequest): TermConfirmation;
-  /** null: shards aren't known here. */
+  /** null: shards are disabled. */
   readonly shards: ShardHandlers | null;
 }
 
-/** What a controller that knows shards answers (S15). */
+/** Handlers for requests that concern shards (S15). */
 export interface ShardHandlers {
   /** The leader offers this member a shard. */
   offer(offer: ShardOffer): Effect.Effect<RefusalText>;
   /** The leader asks this member to give up a shard. */
   release(request: ReleaseRequest): Effect.Effect<RefusalText>;
-  /** An operator's request that another controller passes on. */
+  /** An operator's request that another controller forwards. */
   operate(request: OperatorRequest): Effect.Effect<OperatorAnswer>;
 }
 
-/** An encoded answer, now or later. */
+/** An encoded answer, available now or later. */
 type Answer = Buffer | Effect.Effect<Buffer>;
 
-/** Throws when the body can't be decoded; null: there is no such path. */
+/** null: there is no such path. Throws if the body can't be decoded. */
 const answerShardRequest = (
   path: string | undefined,
   body: Buffer,
@@ -79,7 +79,7 @@
   }
 };
 
-/** Throws when the body can't be decoded; null: there is no such path. */
+/** null: there is no such path. Throws if the body can't be decoded. */
 const answerRequest = (path: string | undefined, body: Buffer, handlers: PeerHandlers): Answer | null => {
   switch (path) {
     case peerPaths.sync:
@@ -110,12 +110,12 @@
     else if (Buffer.isBuffer(answer)) send(answer);
     else Effect.runFork(Effect.map(answer, send));
   } catch {
-    // not our protocol, or a message cut short
+    // the body isn't a message of this protocol, or it is truncated
     response.writeHead(400).end();
   }
 };
 
-/** Listens at `bind` for other controllers; fails when the socket can't be bound. */
+/** Listens at `bind` for other controllers; fails if the socket can't be bound. */
 export const servePeers = (bind: string, handlers: PeerHandlers): Effect.Effect<http.Server, Error> => {
   const server = http.createServer((request, response) => {
     readBody(request, MAX_BODY_BYTES, (body) => {
--- a/src/service/members/peers.ts
+++ b/src/service/members/peers.ts
@@ -1,3 +1,3 @@
-/** Controllers talk to one another: `Peers` asks, `servePeers` answers. */
+/** Communication between controllers: `Peers` is the client, `servePeers` the server. */
 export { Peers } from "./peer-client.js";
 export { type PeerHandlers, servePeers, type ShardHandlers } from "./peer-server.js";
--- a/src/service/members/term-store.ts
+++ b/src/service/members/term-store.ts
@@ -1,7 +1,7 @@
 /**
- * The term that this process knows, and since when it is known to be the current one. Two things show that: a renewal
- * of this process's own that read the term (S1), or the confirmation of every other node that none of them knows of a
- * newer one (S11).
+ * The newest term that this process knows, and since when it is known to be current. Two things show that it is: a
+ * lease renewal of this process that read the term (S1), or the confirmation of all other nodes that they know of no
+ * newer term (S11).
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -13,32 +13,32 @@
 import type { Log } from "../../io/log.js";
 import { decodeTerm } from "../../io/record-codec.js";
 
-/** How often it is checked whether the other nodes have to be asked, in fencing windows. */
+/** Pause between two checks whether the other nodes have to be asked for confirmation. */
 const CHECK_INTERVAL_FENCING_WINDOWS = 0.25;
-/** They are asked once the last renewal that showed the term is this old, in fencing windows. */
+/** The other nodes are asked once the last renewal that showed the term is older than this. */
 const RENEWAL_OVERDUE_FENCING_WINDOWS = 0.5;
 
-/** What a term store works with. */
+/** Settings and dependencies of `TermStore`. */
 export interface TermStoreOptions {
   readonly timings: LeaseTimings;
   readonly log: Log;
-  /** All nodes but this one: each has to confirm the term. */
+  /** All nodes but this one; each has to confirm the term. */
   readonly otherMembers: readonly string[];
-  /** Whether that node knows of no newer term; false also when it doesn't answer. */
+  /** Whether that node knows of no newer term; false also if it doesn't answer. */
   readonly askForConfirmation: (member: string, termNumber: number) => Effect.Effect<boolean>;
   /** Called with each newer term. */
   readonly onTerm: (term: TermRecord) => void;
 }
 
-/** Holds the current term, and for how long that is certain. */
+/** Holds the newest term, and knows whether it is certainly the current one. */
 export class TermStore {
   private current: TermRecord | null = null;
   private currentRevision = 0;
-  /** When the last renewal that showed `current` as the current term was sent. */
+  /** When the last renewal that showed that `current` is the current term was sent; null: there was none. */
   private renewalSentAt: Instant | null = null;
-  /** By node: when the last question was sent whose answer was that it knows of no newer term. */
+  /** By node, when the last request was sent that it answered with a confirmation of `current`. */
   private readonly peerConfirmations = new Map<string, Instant>();
-  /** The highest term that this process has asked the state service to write, whatever became of it. */
+  /** The highest term number that this process tried to write, unless the write certainly wasn't carried out. */
   private attemptedTermNumber = 0;
 
   constructor(private readonly options: TermStoreOptions) {}
@@ -58,7 +58,7 @@
     return this.current?.number ?? 0;
   }
 
-  /** Takes in a term that was read or written, if it is newer than the one known. */
+  /** Takes over a term that was read or written if it is newer than the known one. */
   adopt(row: Row | null): void {
     if (row === null || row.revision <= this.currentRevision) return;
     this.currentRevision = row.revision;
@@ -74,13 +74,13 @@
     this.options.onTerm(term);
   }
 
-  /** A renewal succeeded that was sent then, and read this row of the term. */
+  /** Records a successful renewal that read this row of the term. */
   recordRenewal(row: Row | null, sentAt: Instant): void {
     this.adopt(row);
     if (row !== null && row.revision === this.currentRevision) this.renewalSentAt = sentAt;
   }
 
-  /** This process's lease is over: its renewals count no more. */
+  /** Discards the last renewal, because this process's lease has ended. */
   discardRenewal(): void {
     this.renewalSentAt = null;
   }
@@ -96,7 +96,7 @@
     return isConfirmedByPeers(timings, otherMembers, this.peerConfirmations, now());
   }
 
-  /** Whether the term names this process: the same member in the same incarnation. */
+  /** Whether the term names this member in this incarnation. */
   hasMember(name: string, incarnation: number): boolean {
     return (
       this.current?.members.some((member) => member.name === name && member.incarnation === incarnation) ??
@@ -104,14 +104,14 @@
     );
   }
 
-  /** What this node answers another that asks whether its term is current: as far as is known or was begun here. */
+  /** Whether this process knows of no term newer than that number, and hasn't tried to write one. */
   knowsNoNewerThan(termNumber: number): boolean {
     return Math.max(this.number, this.attemptedTermNumber) <= termNumber;
   }
 
   /**
-   * This process is about to ask for that term to be written. The result takes it back, for when it certainly wasn't
-   * written: what was no term must not keep this node from confirming the others' (S11).
+   * Records that this process is about to write a term. The returned function undoes that, if the term certainly wasn't
+   * written: a term that doesn't exist must not keep this node from confirming the terms of others (S11).
    */
   recordAttempt(termNumber: number): () => void {
     const before = this.attemptedTermNumber;
@@ -126,7 +126,7 @@
     return this.renewalSentAt === null || hasElapsed(now(), this.renewalSentAt, limit);
   }
 
-  /** The fencing window counts from before the question: what the node learns after its answer isn't in it. */
+  /** Asks one node. Its confirmation counts from the request: the node may learn of a newer term right after it. */
   private requestConfirmation(member: string, term: TermRecord): Effect.Effect<void> {
     const askedAt = now();
     return Effect.map(this.options.askForConfirmation(member, term.number), (confirmed) => {
@@ -134,7 +134,7 @@
     });
   }
 
-  /** While renewals fail, asks all other nodes for their confirmation. `isInTerm`: whether the term names this process. */
+  /** While renewals fail, asks all other nodes to confirm the term. `isInTerm`: whether the term names this process. */
   confirmByPeers(isInTerm: () => boolean): Effect.Effect<never> {
     const { timings, otherMembers } = this.options;
     return Effect.gen(this, function* () {
--- a/src/service/members/term-writer.ts
+++ b/src/service/members/term-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the next term: the leader's statement of who leads and who the members are, numbered without gaps (S1, S2). */
+/** Writes the next term: the leader's record of who leads and who the members are, numbered without gaps (S1, S2). */
 import * as Effect from "effect/Effect";
 import { keys, type TermMember, type TermRecord } from "../../core/records.js";
 import type { Row } from "../../io/codec.js";
@@ -11,7 +11,7 @@
 import type { MembershipExtension } from "./membership-extension.js";
 import type { TermStore } from "./term-store.js";
 
-/** What a term writer works with. */
+/** Settings and dependencies of `TermWriter`. */
 export interface TermWriterOptions {
   readonly self: string;
   readonly state: StateClient;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Writes the next term, of the members whose keys are there now. The conditions are that the leader's key and the term
-   * are still those that were read, so of two leaders at most one can succeed. true: it was written and is in force.
+   * Writes the next term, with the members whose keys exist now. It is conditional on an unchanged leader key and an
+   * unchanged stored term, so of two leaders at most one can succeed. true: it was written and is in force.
    */
   readonly write: Effect.Effect<boolean, StateError> = Effect.gen(this, function* () {
     const { state, terms, election, extension, rejections } = this.options;
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -1,6 +1,6 @@
 /**
- * The sending side of the relay: when and how much a member that can't reach the leader leaves for it in the state
- * service. It costs changes, so it is slow, and it sends less once that was too much.
+ * The sending side of the relay: decides when, and how much, a member that can't reach the leader writes for it to the
+ * state service. This uses up the rate of changes, so it is infrequent, and after a rejection it sends less.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -16,7 +16,7 @@
 const RELAY_INTERVAL = Duration.seconds(1);
 const MAX_RELAYED_HEARTBEATS = 60;
 
-/** What a relay sender works with. */
+/** Settings and dependencies of `UpdateRelaySender`. */
 export interface UpdateRelaySenderOptions {
   readonly self: string;
   readonly membership: Membership;
@@ -26,7 +26,7 @@
   readonly log: Log;
 }
 
-/** Leaves a member's updates in the state service. */
+/** Relays a member's updates to the leader through the state service. */
 export class UpdateRelaySender {
   private heartbeatLimit = MAX_RELAYED_HEARTBEATS;
   private pause = RELAY_INTERVAL;
@@ -34,12 +34,12 @@
 
   constructor(private readonly options: UpdateRelaySenderOptions) {}
 
-  /** How many heartbeats an update may hold that is to be relayed. */
+  /** Maximum number of heartbeats in an update that is to be relayed. */
   get maxHeartbeats(): number {
     return this.heartbeatLimit;
   }
 
-  /** Relays an update, if this node may act and it is time for another. true: the leader will find it. */
+  /** Relays an update if this node may act and the pause since the last one is over; true: it was stored. */
   relay(update: SyncRequest): Effect.Effect<boolean> {
     const { self, membership, state, limits } = this.options;
     const { leaseId } = membership;
--- a/src/service/members/update-relay.ts
+++ b/src/service/members/update-relay.ts
@@ -1,7 +1,7 @@
 /**
- * The way round when controllers can't reach one another: a store-and-forward channel through the state service. A
- * member puts an update for the leader there, on its lease, and the leader watches for it. It costs changes, so it is
- * used only after ordinary messages failed, and updates go the ordinary way again as soon as that works.
+ * Fallback for when controllers can't reach one another: a store-and-forward channel through the state service. A
+ * member writes an update for the leader there, attached to its lease, and the leader watches for it. This uses up the
+ * rate of changes, so it is used only while direct messages fail.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -12,36 +12,36 @@
 import { type SyncRequest, syncRequestCodec } from "../../io/peer-codec.js";
 import type { StateClient } from "../../io/state-client.js";
 
-/** Bytes of an update in one fragment at most. */
+/** Counted before base64 encoding. */
 const MAX_FRAGMENT_BYTES = 9000;
 const MAX_FRAGMENTS = 4;
 const WATCH_TIMEOUT = Duration.seconds(20);
 const WATCH_PAUSE = Duration.millis(100);
 const RETRY_PAUSE = Duration.millis(500);
 
-/** How much of an update fits into the state service's values and transactions. */
+/** The size limits of a relayed update. */
 export interface FragmentLimits {
-  /** Bytes of an update in one value, before they are written as text. */
+  /** Maximum number of an update's bytes in one value, before base64 encoding. */
   readonly maxBytes: number;
-  /** Values in one transaction. */
+  /** Maximum number of values in one transaction. */
   readonly maxFragments: number;
 }
 
-/** The limits that follow from the state service's: kB a value, and changes a transaction. */
+/** The limits, given those of the state service: KiB per value, and changes per transaction. */
 export const fragmentLimits = (valueKb: number, txnOps: number): FragmentLimits => {
   const textBytes = maxValueBytes(valueKb) - jsonBytes({ of: MAX_FRAGMENTS, data: "" });
-  // base64 writes three bytes as four characters
+  // base64 encodes three bytes as four characters
   return {
     maxBytes: Math.min(MAX_FRAGMENT_BYTES, Math.floor(textBytes / 4) * 3),
     maxFragments: Math.min(MAX_FRAGMENTS, txnOps),
   };
 };
 
-/** A part of an update as it is stored; other versions read and write it, so its names stay. */
+/** A part of an update as it is stored. Other versions read and write it, so its property names must not change. */
 export interface Fragment {
-  /** How many there are of the update. */
+  /** Number of fragments of the update. */
   readonly of: number;
-  /** Base64 of its bytes. */
+  /** The fragment's bytes, in base64. */
   readonly data: string;
 }
 
@@ -53,7 +53,7 @@
   "data" in value &&
   typeof value.data === "string";
 
-/** The transaction's values for this update; null: too much for one transaction. */
+/** Encodes an update as the values of one transaction; null: it is too large for one transaction. */
 export const toFragments = (update: SyncRequest, limits: FragmentLimits): Fragment[] | null => {
   const { maxBytes, maxFragments } = limits;
   const bytes = syncRequestCodec.encode(update);
@@ -65,7 +65,7 @@
   }));
 };
 
-/** Puts together the values that one transaction wrote; null: they are no update. */
+/** Decodes the values that one transaction wrote; null: they aren't a valid update. */
 export const fromFragments = (values: readonly unknown[]): SyncRequest | null => {
   const fragments = values.filter(isFragment);
   if (values.length === 0 || fragments.length < values.length) return null;
@@ -79,17 +79,17 @@
   }
 };
 
-/** What became of an update. After `too large` and `rejected` less might be taken. */
+/** The result of relaying an update. After `too large` and `rejected` a smaller one might be accepted. */
 export type RelayResult =
   | { readonly kind: "relayed" }
-  /** It wasn't written, or may be written yet. */
+  /** It wasn't written, or the outcome is unknown. */
   | { readonly kind: "failed" }
-  /** It doesn't fit into one transaction, by our own count. */
+  /** It wasn't sent, since it doesn't fit into one transaction. */
   | { readonly kind: "too large" }
-  /** The state service takes it as it is at no time. */
+  /** The state service rejected it, and would reject it again. */
   | { readonly kind: "rejected"; readonly reason: string };
 
-/** An update, and what it takes to leave it in the state service. */
+/** An update, and what is needed to write it to the state service. */
 export interface Relay {
   readonly state: StateClient;
   readonly member: string;
@@ -98,7 +98,7 @@
   readonly limits: FragmentLimits;
 }
 
-/** Leaves an update in the state service, on the member's lease. */
+/** Writes an update to the state service, attached to the member's lease. */
 export const relayUpdate = ({
   state,
   member,
@@ -118,7 +118,7 @@
   );
 };
 
-/** The values of each update: those that one member wrote in one transaction, in the order of the events. */
+/** Groups values by update, that is by member and transaction, in the order of the events. */
 const valuesByTransaction = (events: readonly WatchEvent[]): Iterable<unknown[]> => {
   const byTransaction = new Map<string, unknown[]>();
   for (const { key, revision, value } of events) {
@@ -131,14 +131,14 @@
   return byTransaction.values();
 };
 
-/** Reads the updates that members relay, for as long as it runs; what can't be read is logged and passed over. */
+/** Receives the updates that members relay. Never ends; malformed updates are logged and skipped. */
 export const receiveUpdates = (
   state: StateClient,
   log: Log,
   onUpdate: (update: SyncRequest) => void,
 ): Effect.Effect<never> =>
   Effect.gen(function* () {
-    // what was relayed before is outdated: the members tell a new leader everything
+    // earlier relayed updates are obsolete, since the members send a new leader everything
     let { revision } = yield* state.list(keys.memberUpdates);
     for (;;) {
       const answer = yield* state.watch(keys.memberUpdates, revision, WATCH_TIMEOUT);
