--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -70,7 +70,10 @@
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       if (jsonBytes(rows) > this.context.valueBytes) {
-        rejections.rejected("types", "more than a value may hold: every node asks the cloud for them");
+        rejections.rejected(
+          "types",
+          "larger than a value may be; each node fetches them from the cloud instead",
+        );
         return;
       }
       const result = yield* this.context.services.state.commit(
--- a/src/service/leader/command-dispatcher.ts
+++ b/src/service/leader/command-dispatcher.ts
@@ -71,7 +71,7 @@
     const { log } = this.context.services;
     if (!log.isLevelEnabled("debug")) return;
     const described = commands.map((command) => `${command.op} ${command.job}/${command.index}`);
-    log.debug({ fencingToken, machine, commands: described.join(", ") }, "commands");
+    log.debug({ fencingToken, machine, commands: described.join(", ") }, "sending commands");
   }
 
   /** Starts sending batches through a member, in as many messages as needed; `via` null: from this node. */
@@ -123,7 +123,10 @@
     const { machine, commands, fencingToken } = batch;
     scheduler.commandsAnswered(machine, commands, fencingToken, outcome, now(), answeredBy);
     if (outcome !== "done" && outcome !== "barred")
-      this.context.services.log.debug({ machine, outcome, count: commands.length }, "commands not answered");
+      this.context.services.log.debug(
+        { machine, outcome, count: commands.length },
+        "commands not confirmed as executed",
+      );
   }
 
   /** Reports batches that have been pending too long as `unknown`. */
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -120,7 +120,7 @@
     this.maxSweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
     if (first !== undefined && others.length + deletes.length === 0) {
       // it would be rejected again and, being the first in line, block all others
-      const pause = rejections.rejected("record of machines gone", error, first.key);
+      const pause = rejections.rejected("machine record rewrite", error, first.key);
       store.postpone(first.key, plus(now(), pause));
       return Effect.void;
     }
@@ -131,7 +131,7 @@
     const { options, rejections, staleKeys } = this.context;
     const { store } = this.recorder;
     rejections.accepted("sweep");
-    for (const { key } of rewrites) rejections.accepted("record of machines gone", key);
+    for (const { key } of rewrites) rejections.accepted("machine record rewrite", key);
     if (result.ok) {
       this.maxSweepOps = Math.min(options.txnOps, this.maxSweepOps + 1);
       for (const key of deletes) staleKeys.delete(key);
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -49,10 +49,10 @@
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       const { jobCache, log, member } = this.context.services;
-      if (result.ok === null) yield* Effect.sleep(rejections.rejected("commit of a job", result.error, id));
-      else rejections.accepted("commit of a job", id);
+      if (result.ok === null) yield* Effect.sleep(rejections.rejected("commit record", result.error, id));
+      else rejections.accepted("commit record", id);
       if (result.ok === true) {
-        log.info({ job: id, termNumber: this.context.termNumber }, "done");
+        log.info({ job: id, termNumber: this.context.termNumber }, "job done");
         this.progress.recordDone(id, tasks);
         member.onDone(id, tasks);
         return;
@@ -65,7 +65,7 @@
 
   private handleFailure(id: string, error: StateError): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      this.context.services.log.info({ job: id, reason: error.why }, "commit delayed");
+      this.context.services.log.info({ job: id, reason: error.why }, "commit of the job failed, retrying");
       yield* Effect.sleep(RETRY_PAUSE);
       this.context.schedulerLock?.with((scheduler) => scheduler.commitFailed(id));
       this.context.stepRequested.notify();
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -91,7 +91,9 @@
   }).pipe(
     Effect.catchAllCause((cause) =>
       Effect.zipRight(
-        Effect.sync(() => this.log.error({ cause: cause.toString() }, "releasing blocked jobs failed")),
+        Effect.sync(() =>
+          this.log.error({ cause: cause.toString() }, "unexpected error while releasing blocked jobs"),
+        ),
         Effect.sleep(CHECK_INTERVAL),
       ),
     ),
@@ -112,7 +114,7 @@
       Effect.catchAll((error) =>
         Effect.sync(() => {
           this.failedChecks.add(id);
-          this.log.debug({ job: id, reason: error.why }, "join delayed");
+          this.log.debug({ job: id, reason: error.why }, "check of a blocked job failed, retrying");
         }),
       ),
     );
@@ -131,7 +133,7 @@
           return;
         case "cancel":
           yield* this.status.cancelBlocked(id, tasks);
-          this.log.info({ job: id }, "cancelled with a job that it depends on");
+          this.log.info({ job: id }, "job cancelled because a job it depends on was cancelled");
           return;
         case "join":
           // a set that is missing or has already released its job is not written
@@ -212,7 +214,7 @@
         this.jobCache.putFanin(id, fanin, result.revision);
         if (!fanin.released) return;
         this.jobCache.put(keys.job(id), released, result.revision);
-        this.log.info({ job: id }, "released");
+        this.log.info({ job: id }, "blocked job released");
         return;
       }
       // another write came first, perhaps a delayed one of an earlier leader: the next check uses its result
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -144,12 +144,14 @@
     return this.watchOnce.pipe(
       Effect.catchAll((error) =>
         Effect.zipRight(
-          Effect.sync(() => log.info({ reason: error.why }, "leading delayed")),
+          Effect.sync(() =>
+            log.info({ reason: error.why }, "leader loop: state service request failed, retrying"),
+          ),
           Effect.sleep(RETRY_PAUSE),
         ),
       ),
       Effect.catchAllCause((cause) =>
-        Effect.sync(() => log.error({ cause: cause.toString() }, "leading failed")),
+        Effect.sync(() => log.error({ cause: cause.toString() }, "unexpected error in the leader loop")),
       ),
       Effect.forever,
     );
@@ -170,7 +172,7 @@
     return Effect.gen(this, function* () {
       const { log, membership } = this.context.services;
       if (this.context.schedulerLock === null) return;
-      log.info({ reason }, "new term");
+      log.info({ reason }, "starting a new term");
       yield* membership.writeTerm;
       yield* Effect.sleep(NEW_TERM_PAUSE);
     });
@@ -195,7 +197,7 @@
     const machines = scheduler.cluster.machines.size;
     log.info(
       { termNumber: term.number, jobs: jobs.length, machines, requests: rentals.length },
-      "leading began",
+      "took over as leader",
     );
   }
 
--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -85,7 +85,7 @@
       const heardAt = minus(receivedAt, Duration.millis(ageMs));
       scheduler.heartbeatReceived(heartbeat, request.member, receivedAt, heardAt);
       if (log.isLevelEnabled("debug"))
-        log.debug({ machine: heartbeat.machine, tasks: describeTasks(heartbeat) }, "heartbeat");
+        log.debug({ machine: heartbeat.machine, tasks: describeTasks(heartbeat) }, "heartbeat received");
     }
   }
 
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -73,7 +73,7 @@
           const machines = answer.right ?? [];
           log.info(
             { request: name, received: machines.length, refused: answer.right === null },
-            "scale-out answered",
+            "scale-out request answered",
           );
           this.handleOutcome(name, record, machines);
           return;
--- a/src/service/leader/step-loop.ts
+++ b/src/service/leader/step-loop.ts
@@ -54,7 +54,9 @@
 
   /** Makes and executes all decisions but those on the fleet's size, while this node leads. */
   readonly run: Effect.Effect<never> = this.stepOnce.pipe(
-    Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "step failed")),
+    Effect.catchAllCause((cause) =>
+      this.logFailure(cause.toString(), "unexpected error in a scheduler step"),
+    ),
     Effect.forever,
   );
 
@@ -97,7 +99,9 @@
 
   /** Makes and executes the decisions on the fleet's size, while this node leads. */
   readonly autoscale: Effect.Effect<never> = this.autoscaleOnce.pipe(
-    Effect.catchAllCause((cause) => this.logFailure(cause.toString(), "autoscaler failed")),
+    Effect.catchAllCause((cause) =>
+      this.logFailure(cause.toString(), "unexpected error in an autoscaler step"),
+    ),
     Effect.forever,
   );
 
--- a/src/service/members/election.ts
+++ b/src/service/members/election.ts
@@ -89,7 +89,10 @@
       // all, and nobody else can become the leader while its lease is alive
       if (existing.record.leaseId !== leaseId) return false;
       this.current = { revision: existing.revision, leaseId };
-      log.info({ revision: existing.revision, leaseId }, "elected leader by an earlier write of the key");
+      log.info(
+        { revision: existing.revision, leaseId },
+        "elected leader: an unanswered write of the leader key was carried out",
+      );
       return true;
     }
     const record: LeaderRecord = { member: self, leaseId };
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -82,7 +82,7 @@
   private adaptSize(result: TransactionResult, puts: number): Effect.Effect<void> {
     const { rejections, txnOps, log } = this.options;
     if (result.kind === "unanswered") {
-      log.debug({ reason: result.reason }, "finishes not stored yet");
+      log.debug({ reason: result.reason }, "write of finished tasks failed or unanswered, retrying");
       return Effect.void;
     }
     if (result.kind !== "rejected") {
@@ -133,7 +133,9 @@
     }
   }).pipe(
     Effect.catchAllCause((cause) =>
-      Effect.sync(() => this.options.log.error({ reason: cause.toString() }, "storing finishes failed")),
+      Effect.sync(() =>
+        this.options.log.error({ reason: cause.toString() }, "unexpected error while storing finished tasks"),
+      ),
     ),
     Effect.forever,
   );
--- a/src/service/members/leader-sync.ts
+++ b/src/service/members/leader-sync.ts
@@ -172,7 +172,9 @@
     this.options.partition.prune(now(), this.options.contactRetention);
   }).pipe(
     Effect.catchAllCause((cause) =>
-      Effect.sync(() => this.options.log.error({ reason: cause.toString() }, "sync with the leader failed")),
+      Effect.sync(() =>
+        this.options.log.error({ reason: cause.toString() }, "unexpected error in the sync with the leader"),
+      ),
     ),
     Effect.forever,
   );
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -112,7 +112,7 @@
     terms.recordRenewal(termRow, sentAt);
     // the lease is alive, but without its member key no other node counts this process as a member
     if (registry.hasLost(self, this.currentIncarnation)) {
-      log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, joining anew");
+      log.info({ incarnation: this.currentIncarnation, leaseId }, "member key lost, rejoining the cluster");
       yield* state.revokeLease(leaseId);
       this.handleLoss("member key lost");
       return yield* this.join;
--- a/src/service/members/term-store.ts
+++ b/src/service/members/term-store.ts
@@ -69,7 +69,7 @@
     this.peerConfirmations.clear();
     this.options.log.info(
       { termNumber: term.number, leader: term.leader, members: term.members.map((member) => member.name) },
-      "new term",
+      "adopted a new term",
     );
     this.options.onTerm(term);
   }
--- a/src/service/members/term-writer.ts
+++ b/src/service/members/term-writer.ts
@@ -76,7 +76,7 @@
       terms.adopt({ key: keys.term, value, revision: result.revision });
       return true;
     }
-    if (result.ok === false && result.failed.includes(keys.leader)) election.stepDown("another leader");
+    if (result.ok === false && result.failed.includes(keys.leader)) election.stepDown("leader key changed");
     return false;
   });
 }
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -51,7 +51,7 @@
       this.adapt(result);
       this.options.log.info(
         { result: result.kind, heartbeats: update.heartbeats.length },
-        "tried to relay an update to the leader",
+        "attempted to relay an update through the state service",
       );
       return result.kind === "relayed";
     });
--- a/src/service/members/update-relay.ts
+++ b/src/service/members/update-relay.ts
@@ -145,7 +145,7 @@
       revision = answer.revision;
       for (const values of valuesByTransaction(answer.events)) {
         const update = fromFragments(values);
-        if (update === null) log.info({ revision }, "ignored a relayed update that can't be read");
+        if (update === null) log.info({ revision }, "ignored a malformed relayed update");
         else onUpdate(update);
       }
       yield* Effect.sleep(WATCH_PAUSE);
