--- a/src/service/leader/member-sync.ts
+++ b/src/service/leader/member-sync.ts
@@ -1,4 +1,4 @@
-/** Members' updates: heartbeats, stored finishes, acknowledged leases and command outcomes reach the scheduler here. */
+/** Passes members' updates to the scheduler: heartbeats, stored finishes, lease acknowledgements, command outcomes. */
 import * as Duration from "effect/Duration";
 import type { Heartbeat } from "../../core/records.js";
 import type { Scheduler } from "../../core/scheduler/scheduler.js";
@@ -9,7 +9,7 @@
 import type { LeaderContext } from "./leader-context.js";
 import type { ProgressReporter } from "./progress-reporter.js";
 
-/** Every node asks the state service for something more often than this, so it notices an outage within it. */
+/** Every node sends requests to the state service more often than this, so it notices an outage within this time. */
 const OUTAGE_DETECTION_TIME = Duration.millis(1200);
 
 const describeTasks = (heartbeat: Heartbeat): string =>
@@ -20,9 +20,12 @@
     )
     .join(", ");
 
-/** Answers members, and remembers which of them reach the state service. */
+/** Answers members' updates, and remembers which members reach the state service. */
 export class MemberSync {
-  private readonly memberStatus = new Map<string, { readonly at: Instant; readonly ok: boolean }>();
+  private readonly memberStatus = new Map<
+    string,
+    { readonly reportedAt: Instant; readonly reachesStateService: boolean }
+  >();
 
   constructor(
     private readonly context: LeaderContext,
@@ -30,10 +33,13 @@
     private readonly progress: ProgressReporter,
   ) {}
 
-  /** A member's update; refused unless this node leads in the term that the member names, which counts the member in. */
+  /** Handles a member's update. Refused unless this node leads the request's term and that term names the member. */
   readonly sync = (request: SyncRequest): SyncResponse => {
     const { member, membership } = this.context.services;
-    this.memberStatus.set(request.member, { at: now(), ok: request.reachesStateService });
+    this.memberStatus.set(request.member, {
+      reportedAt: now(),
+      reachesStateService: request.reachesStateService,
+    });
     const base = {
       termNumber: membership.term?.number ?? 0,
       leaderClockMark: now(),
@@ -79,29 +85,26 @@
       const heardAt = minus(receivedAt, Duration.millis(ageMs));
       scheduler.heartbeatReceived(heartbeat, request.member, receivedAt, heardAt);
       if (log.isLevelEnabled("debug"))
-        log.debug({ machine: heartbeat.machine, tasks: describeTasks(heartbeat) }, "heartbeat");
+        log.debug({ machine: heartbeat.machine, tasks: describeTasks(heartbeat) }, "heartbeat received");
     }
   }
 
-  /** Signs of life, and the evidence for the expiry of leases (S3). An age below zero: there was none. */
+  /** Reports when workers were last heard and last answered, the latter for lease expiry (S3). Negative ages: never. */
   private applyContacts(scheduler: Scheduler, request: SyncRequest, receivedAt: Instant): void {
-    const answered = [];
+    const renewals = [];
     for (const { machine, answerAgeMs, heartbeatAgeMs } of request.contacts) {
       if (heartbeatAgeMs >= 0)
         scheduler.contactReported(machine, minus(receivedAt, Duration.millis(heartbeatAgeMs)));
-      if (answerAgeMs >= 0) answered.push({ machine, at: minus(receivedAt, Duration.millis(answerAgeMs)) });
+      if (answerAgeMs >= 0) renewals.push({ machine, at: minus(receivedAt, Duration.millis(answerAgeMs)) });
     }
     const { member, incarnation, termNumber, leaderClockMark } = request;
     const completeUpTo = leaderClockMark < 0 ? null : instant(leaderClockMark);
-    scheduler.leaseRenewalsReported(
-      { member, incarnation, termNumber, completeUpTo, renewals: answered },
-      receivedAt,
-    );
+    scheduler.leaseRenewalsReported({ member, incarnation, termNumber, completeUpTo, renewals }, receivedAt);
   }
 
   /**
-   * Whether this node alone can't reach the state service: another one said that it does, so long after this one's
-   * requests began to fail that it would have noticed an outage of all.
+   * Whether this node can't reach the state service although another node can: that node said so long enough after the
+   * requests of this one began to fail that it would have noticed a general outage.
    */
   isStateOutageLocal(): boolean {
     const { member, state } = this.context.services;
@@ -109,7 +112,9 @@
     if (since === null) return false;
     return [...this.memberStatus, ...member.peerStatus].some(
       ([name, status]) =>
-        name !== this.context.options.me && status.ok && hasElapsed(status.at, since, OUTAGE_DETECTION_TIME),
+        name !== this.context.options.self &&
+        status.reachesStateService &&
+        hasElapsed(status.reportedAt, since, OUTAGE_DETECTION_TIME),
     );
   }
 }
--- a/src/service/members/term-writer.ts
+++ b/src/service/members/term-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the next term: the leader's statement of who leads and who the members are, numbered without gaps (S1, S2). */
+/** Writes the next term: the leader's record of who leads and who the members are, numbered without gaps (S1, S2). */
 import * as Effect from "effect/Effect";
 import { keys, type TermMember, type TermRecord } from "../../core/records.js";
 import type { Row } from "../../io/codec.js";
@@ -11,9 +11,9 @@
 import type { MembershipExtension } from "./membership-extension.js";
 import type { TermStore } from "./term-store.js";
 
-/** What a term writer works with. */
+/** Settings and dependencies of `TermWriter`. */
 export interface TermWriterOptions {
-  readonly me: string;
+  readonly self: string;
   readonly state: StateClient;
   readonly terms: TermStore;
   readonly lease: LeaseKeeper;
@@ -32,20 +32,20 @@
     members: readonly TermMember[],
     leadership: Leadership,
   ): TermRecord | null {
-    const { me, lease } = this.options;
-    if (!members.some((member) => member.name === me && member.incarnation === lease.incarnation))
+    const { self, lease } = this.options;
+    if (!members.some((member) => member.name === self && member.incarnation === lease.incarnation))
       return null;
     return {
       number: (storedTerm === null ? 0 : decodeTerm(storedTerm.value).number) + 1,
       leaderRevision: leadership.revision,
-      leader: me,
+      leader: self,
       members,
     };
   }
 
   /**
-   * Writes the next term, of the members whose keys are there now. The conditions are that the leader's key and the term
-   * are still those that were read, so of two leaders at most one can succeed. true: it was written and is in force.
+   * Writes the next term, with the members whose keys exist now. It is conditional on an unchanged leader key and an
+   * unchanged stored term, so of two leaders at most one can succeed. true: it was written and is in force.
    */
   readonly write: Effect.Effect<boolean, StateError> = Effect.gen(this, function* () {
     const { state, terms, election, extension, rejections } = this.options;
@@ -76,7 +76,7 @@
       terms.adopt({ key: keys.term, value, revision: result.revision });
       return true;
     }
-    if (result.ok === false && result.failed.includes(keys.leader)) election.stepDown("another leader");
+    if (result.ok === false && result.failed.includes(keys.leader)) election.stepDown("leader key changed");
     return false;
   });
 }
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -1,6 +1,6 @@
 /**
- * The sending side of the relay: when and how much a member that can't reach the leader leaves for it in the state
- * service. It costs changes, so it is slow, and it sends less once that was too much.
+ * The sending side of the relay: decides when, and how much, a member that can't reach the leader writes for it to the
+ * state service. This uses up the rate of changes, so it is infrequent, and after a rejection it sends less.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -14,11 +14,11 @@
 import { type FragmentLimits, type RelayResult, relayUpdate } from "./update-relay.js";
 
 const RELAY_INTERVAL = Duration.seconds(1);
-const MAX_HEARTBEATS = 60;
+const MAX_RELAYED_HEARTBEATS = 60;
 
-/** What a relay sender works with. */
+/** Settings and dependencies of `UpdateRelaySender`. */
 export interface UpdateRelaySenderOptions {
-  readonly me: string;
+  readonly self: string;
   readonly membership: Membership;
   readonly state: StateClient;
   readonly rejections: RejectionBackoff;
@@ -26,32 +26,32 @@
   readonly log: Log;
 }
 
-/** Leaves a member's updates in the state service. */
+/** Relays a member's updates to the leader through the state service. */
 export class UpdateRelaySender {
-  private heartbeatLimit = MAX_HEARTBEATS;
+  private heartbeatLimit = MAX_RELAYED_HEARTBEATS;
   private pause = RELAY_INTERVAL;
   private lastRelayedAt: Instant | null = null;
 
   constructor(private readonly options: UpdateRelaySenderOptions) {}
 
-  /** How many heartbeats an update may hold that is to be relayed. */
+  /** Maximum number of heartbeats in an update that is to be relayed. */
   get maxHeartbeats(): number {
     return this.heartbeatLimit;
   }
 
-  /** Relays an update, if this node may act and it is time for another. true: the leader will find it. */
+  /** Relays an update if this node may act and the pause since the last one is over; true: it was stored. */
   relay(update: SyncRequest): Effect.Effect<boolean> {
-    const { me, membership, state, limits } = this.options;
+    const { self, membership, state, limits } = this.options;
     const { leaseId } = membership;
     if (leaseId === null || !membership.mayAct()) return Effect.succeed(false);
     if (this.lastRelayedAt !== null && !hasElapsed(now(), this.lastRelayedAt, this.pause))
       return Effect.succeed(false);
     this.lastRelayedAt = now();
-    return Effect.map(relayUpdate({ state, member: me, leaseId, update, limits }), (result) => {
+    return Effect.map(relayUpdate({ state, member: self, leaseId, update, limits }), (result) => {
       this.adapt(result);
       this.options.log.info(
         { result: result.kind, heartbeats: update.heartbeats.length },
-        "tried to relay an update to the leader",
+        "attempted to relay an update through the state service",
       );
       return result.kind === "relayed";
     });
@@ -62,7 +62,7 @@
     const isTooMuch = result.kind === "rejected" || result.kind === "too large";
     this.heartbeatLimit = isTooMuch
       ? Math.max(1, Math.floor(this.heartbeatLimit / 2))
-      : Math.min(MAX_HEARTBEATS, this.heartbeatLimit + 1);
+      : Math.min(MAX_RELAYED_HEARTBEATS, this.heartbeatLimit + 1);
     this.pause =
       result.kind === "rejected"
         ? Duration.max(RELAY_INTERVAL, rejections.rejected("member update", result.reason))
