--- a/src/service/api/cancel-propagation.ts
+++ b/src/service/api/cancel-propagation.ts
@@ -46,10 +46,10 @@
         ],
       );
       if (result.ok === null) {
-        this.retryNotBefore.set(id, plus(now(), this.rejections.rejected(WRITE_KIND, result.error, id)));
+        this.retryNotBefore.set(id, plus(now(), this.rejections.noteRejection(WRITE_KIND, result.error, id)));
         return yield* new Unavailable({ why: result.error });
       }
-      this.rejections.accepted(WRITE_KIND, id);
+      this.rejections.reset(WRITE_KIND, id);
       this.retryNotBefore.delete(id);
       this.outcomes.remember(id, commit);
       this.jobCache.remove(id);
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -146,9 +146,9 @@
     const commit = this.reader.outcome(id);
     if (commit !== undefined) return { id, state: commit.outcome };
     if (stale) return null;
-    const job = this.jobCache.released.get(id);
+    const job = this.jobCache.releasedJobs.get(id);
     if (job !== undefined) return openParent(id, keys.job(id), job.revision, []);
-    const blocked = this.jobCache.blocked.get(id);
+    const blocked = this.jobCache.blockedJobs.get(id);
     const ancestorCommitKeys = blocked === undefined ? null : this.reader.ancestorCommitKeys(id);
     return blocked === undefined || ancestorCommitKeys === null
       ? null
@@ -165,7 +165,7 @@
         this.jobCache.remove(id);
         return answer(201, jobAnswer(id, "cancelled"));
       case "released":
-        this.jobCache.put(keys.job(id), acceptance.record, revision);
+        this.jobCache.putReleased(keys.job(id), acceptance.record, revision);
         return answer(201, jobAnswer(id, "queued"));
       case "blocked":
         this.jobCache.putFanin(id, acceptance.fanin, revision);
--- a/src/service/api/health.ts
+++ b/src/service/api/health.ts
@@ -5,10 +5,10 @@
 
 /** Not ready while this node alone can't reach the state service: other nodes then serve users better. */
 export const answerHealth = (
-  jobCache: Pick<JobCache, "ready">,
+  jobCache: Pick<JobCache, "isReady">,
   leader: Pick<Leader, "isStateOutageLocal">,
 ): Answer => {
-  if (!jobCache.ready) return retryLater("starting");
+  if (!jobCache.isReady) return retryLater("starting");
   if (leader.isStateOutageLocal()) return retryLater("no state service");
   return answer(200, '{"ok":true}');
 };
--- a/src/service/api/job-ancestors.ts
+++ b/src/service/api/job-ancestors.ts
@@ -16,7 +16,7 @@
 
   /** All jobs before a blocked one that aren't known to be done. A released job has none: all before it are done. */
   ancestorsNotDone(id: string): string[] {
-    if (!this.jobCache.blocked.has(id)) return [];
+    if (!this.jobCache.blockedJobs.has(id)) return [];
     return this.jobCache.dependencies.ancestorsOf(
       id,
       (parent) => this.outcomes.get(parent)?.outcome === "done",
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -49,7 +49,7 @@
       }
       const row = yield* this.get(keys.job(id), pacing);
       if (row !== null) {
-        const seen = this.jobCache.put(row.key, row.value, row.revision);
+        const seen = this.jobCache.putReleased(row.key, row.value, row.revision);
         // it is there, so it is no 404, whatever is wrong with it
         if (seen === "malformed") return yield* unreadable(id);
         if (seen !== "over")
@@ -74,7 +74,7 @@
       const wasOverWhenRead = new Map<string, boolean>();
       for (;;) {
         // released or over in the meantime: what comes before it isn't known here any more
-        if (!this.jobCache.blocked.has(id)) return yield* this.read(id, pacing.maxWait);
+        if (!this.jobCache.blockedJobs.has(id)) return yield* this.read(id, pacing.maxWait);
         // outcomes pass on the other way round: where one was heard of since, the path from there is lost
         const ancestor = this.ancestors
           .ancestorsNotDone(id)
@@ -102,7 +102,7 @@
       if (row === null) return yield* this.readOutcome(id, pacing);
       const seen =
         blockedRow === null
-          ? this.jobCache.put(row.key, row.value, row.revision)
+          ? this.jobCache.putReleased(row.key, row.value, row.revision)
           : this.jobCache.putBlocked(row.key, row.value, row.revision);
       if (seen === "malformed") return yield* unreadable(id);
       return seen === "over" ? yield* this.readOutcome(id, pacing) : null;
--- a/src/service/api/status-query-batcher.ts
+++ b/src/service/api/status-query-batcher.ts
@@ -177,8 +177,8 @@
   private answerFromCache(question: StatusQuery): Effect.Effect<boolean> {
     const { id } = question;
     if (!question.isUnfinished) return this.succeed(question, { kind: "absent" });
-    const released = this.jobCache.released.get(id);
-    const blocked = this.jobCache.blocked.get(id);
+    const released = this.jobCache.releasedJobs.get(id);
+    const blocked = this.jobCache.blockedJobs.get(id);
     // it ended in the meantime, more was heard of what it depends on, or something before it was not heard of yet
     const isUnchecked = (ancestor: string): boolean =>
       !question.absentKeys.includes(keys.commit(ancestor)) || !this.jobCache.isUnfinished(ancestor);
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -63,7 +63,7 @@
       if (result.ok === null)
         return yield* this.statusQueries.refuseUnlessAccepted(id, recordRejectedAnswer(result.error));
       if (!result.ok) return yield* this.statusQueries.answerRepeatedSubmission(id);
-      this.jobCache.put(keys.job(id), record, result.revision);
+      this.jobCache.putReleased(keys.job(id), record, result.revision);
       logAccepted(this.log, spec);
       return answer(201, jobAnswer(id, "queued"));
     });
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -215,7 +215,7 @@
     leader.termChanged(term);
     member.termChanged();
   };
-  member.isUnfinished = (job) => jobCache.released.has(job);
+  member.isUnfinished = (job) => jobCache.releasedJobs.has(job);
   member.isEnded = (job) => jobCache.isOver(job);
   member.onDone = (job, tasks) => {
     status.remember(job, { outcome: "done", tasks });
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -27,8 +27,8 @@
   /** The revision of its record. */
   readonly revision: number;
   /** About when it was accepted, and when the last job that it needs was done, on this node's steady clock. */
-  readonly accepted: Instant;
-  readonly released: Instant;
+  readonly acceptedAt: Instant;
+  readonly releasedAt: Instant;
 }
 
 /** A job that waits for others; its record becomes that of the released job. */
@@ -37,7 +37,7 @@
   /** The revision of its record. */
   readonly revision: number;
   /** About when it was accepted, on this node's steady clock. */
-  readonly accepted: Instant;
+  readonly acceptedAt: Instant;
   readonly record: object;
 }
 
@@ -61,7 +61,7 @@
 const TYPES_INTERVAL = Duration.seconds(30);
 
 /** A record that doesn't say when it was accepted counts as accepted now. */
-const acceptedAt = (record: unknown): Instant => {
+const acceptanceInstantOf = (record: unknown): Instant => {
   const date = acceptanceTimeOf(record);
   return date === null ? now() : instantOfDate(date);
 };
@@ -69,9 +69,9 @@
 /** Watches the jobs for as long as `run` runs, and takes in what this process reads and writes in between. */
 export class JobCache {
   /** Released jobs, by id. */
-  readonly released = new Map<string, ReleasedJob>();
+  readonly releasedJobs = new Map<string, ReleasedJob>();
   /** Jobs that wait for others, by id. */
-  readonly blocked = new Map<string, BlockedJob>();
+  readonly blockedJobs = new Map<string, BlockedJob>();
   /** The fan-in sets of waiting jobs and of those released since, by id. */
   readonly fanins = new Map<string, Fanin>();
   /** Which waiting jobs wait for which. */
@@ -81,7 +81,7 @@
   /** The machine types; empty: not known yet. */
   types: readonly MachineType[] = [];
   /** Whether all unfinished jobs were read once. */
-  ready = false;
+  isReady = false;
   /** When the last request was sent whose answer showed every job that had ended by then; null: none yet (S9). */
   currentAsOf: Instant | null = null;
   /** Whether this process leads: then changes are read sooner. Set once, before `run`, as are the listeners. */
@@ -92,7 +92,7 @@
   onEnded: (id: string) => void = () => undefined;
   /** A job that waits for others was first seen. */
   onBlocked: (job: BlockedJob) => void = () => undefined;
-  /** It waits no longer: it was released, and then is among `released`, or cancelled. */
+  /** It waits no longer: it was released, and then is among `releasedJobs`, or cancelled. */
   onUnblocked: (id: string) => void = () => undefined;
   /** The machine types were read. */
   onTypes: (types: readonly MachineType[]) => void = () => undefined;
@@ -116,9 +116,9 @@
   }
 
   /** A job record that was read. */
-  put(key: string, value: unknown, revision: number): ReleasedJob | UnusableRecord {
+  putReleased(key: string, value: unknown, revision: number): ReleasedJob | UnusableRecord {
     const id = key.slice(keys.jobs.length);
-    const known = this.released.get(id);
+    const known = this.releasedJobs.get(id);
     if (known !== undefined) return known;
     if (this.ended.has(id)) return "over";
     const spec = decodeJobRecord(id, value);
@@ -126,11 +126,11 @@
       this.log.error({ job: id }, "job record can't be read");
       return "malformed";
     }
-    const accepted = acceptedAt(value);
+    const acceptedAt = acceptanceInstantOf(value);
     const releaseDate = releaseTimeOf(value);
-    const released = releaseDate === null ? accepted : instantOfDate(releaseDate);
-    const job = { spec, revision, accepted, released };
-    this.released.set(id, job);
+    const releasedAt = releaseDate === null ? acceptedAt : instantOfDate(releaseDate);
+    const job = { spec, revision, acceptedAt, releasedAt };
+    this.releasedJobs.set(id, job);
     this.onReleased(job);
     this.dropBlocked(id);
     return job;
@@ -139,7 +139,7 @@
   /** A waiting job's record that was read. */
   putBlocked(key: string, value: unknown, revision: number): BlockedJob | ReleasedJob | UnusableRecord {
     const id = key.slice(keys.blockedJobs.length);
-    const known = this.blocked.get(id) ?? this.released.get(id);
+    const known = this.blockedJobs.get(id) ?? this.releasedJobs.get(id);
     if (known !== undefined) return known;
     if (this.ended.has(id)) return "over";
     const spec = decodeJobRecord(id, value);
@@ -147,8 +147,8 @@
       this.log.error({ job: id }, "waiting job's record can't be read");
       return "malformed";
     }
-    const job = { spec, revision, accepted: acceptedAt(value), record: value as object };
-    this.blocked.set(id, job);
+    const job = { spec, revision, acceptedAt: acceptanceInstantOf(value), record: value as object };
+    this.blockedJobs.set(id, job);
     this.dependencies.add(id, spec.dependsOn);
     this.onBlocked(job);
     return job;
@@ -164,11 +164,11 @@
 
   /** Released or waiting: it has no commit yet, as far as is known here. */
   isUnfinished(id: string): boolean {
-    return this.released.has(id) || this.blocked.has(id);
+    return this.releasedJobs.has(id) || this.blockedJobs.has(id);
   }
 
   private dropBlocked(id: string): void {
-    if (!this.blocked.delete(id)) return;
+    if (!this.blockedJobs.delete(id)) return;
     this.dependencies.remove(id);
     this.onUnblocked(id);
   }
@@ -180,14 +180,14 @@
       const [oldest] = this.ended;
       if (oldest !== undefined) this.ended.delete(oldest);
     }
-    const wasBlocked = this.blocked.has(id);
+    const wasBlocked = this.blockedJobs.has(id);
     this.dropBlocked(id);
-    if (this.released.delete(id) || wasBlocked) this.onEnded(id);
+    if (this.releasedJobs.delete(id) || wasBlocked) this.onEnded(id);
   }
 
   /** A row of whatever concerns unfinished jobs. */
   private putRow({ key, value, revision }: Row): void {
-    if (key.startsWith(keys.jobs)) this.put(key, value, revision);
+    if (key.startsWith(keys.jobs)) this.putReleased(key, value, revision);
     else if (key.startsWith(keys.blockedJobs)) this.putBlocked(key, value, revision);
     else if (key.startsWith(keys.fanins)) this.putFanin(key.slice(keys.fanins.length), value, revision);
   }
@@ -198,7 +198,7 @@
     else if (key.startsWith(keys.blockedJobs)) {
       const id = key.slice(keys.blockedJobs.length);
       // a release writes the job's record in the same change; without one the job was cancelled
-      if (this.blocked.has(id)) this.remove(id);
+      if (this.blockedJobs.has(id)) this.remove(id);
     }
   }
 
@@ -207,8 +207,9 @@
     const present = new Set(rows.map((row) => row.key));
     for (const row of rows) this.putRow(row);
     const isGone = (key: string, revision: number): boolean => !present.has(key) && revision <= listRevision;
-    for (const [id, job] of [...this.released]) if (isGone(keys.job(id), job.revision)) this.remove(id);
-    for (const [id, job] of [...this.blocked]) if (isGone(keys.blockedJob(id), job.revision)) this.remove(id);
+    for (const [id, job] of [...this.releasedJobs]) if (isGone(keys.job(id), job.revision)) this.remove(id);
+    for (const [id, job] of [...this.blockedJobs])
+      if (isGone(keys.blockedJob(id), job.revision)) this.remove(id);
     for (const [id, fanin] of [...this.fanins])
       if (isGone(keys.fanin(id), fanin.revision)) this.fanins.delete(id);
   }
@@ -224,7 +225,7 @@
     const listedAt = now();
     const list = yield* this.state.list(keys.unfinished);
     this.replaceAll(list.rows, list.revision);
-    this.ready = true;
+    this.isReady = true;
     this.currentAsOf = listedAt;
     let { revision } = list;
     for (;;) {
--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -70,14 +70,14 @@
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       if (jsonBytes(rows) > this.context.valueBytes) {
-        rejections.rejected("types", "more than a value may hold: every node asks the cloud for them");
+        rejections.noteRejection("types", "more than a value may hold: every node asks the cloud for them");
         return;
       }
       const result = yield* this.context.services.state.commit(
         [{ key: keys.leader, revision: leadership.revision }],
         [{ put: keys.types, value: rows }],
       );
-      if (result.ok === null) rejections.rejected("types", result.error);
+      if (result.ok === null) rejections.noteRejection("types", result.error);
       else this.hasUnwrittenTypes = false;
     }).pipe(Effect.ignore);
   }
--- a/src/service/leader/command-dispatcher.ts
+++ b/src/service/leader/command-dispatcher.ts
@@ -61,7 +61,7 @@
     const id = (this.context.termNumber ?? 0) * BATCHES_PER_TERM + this.context.nextSequence();
     this.pendingBatches.set(id, { machine, commands, fencingToken, sentAt: now() });
     if (commands.length > 0) {
-      shards?.commandsSent(machine, zone);
+      shards?.countCommandBatch(machine, zone);
       this.logCommands(decision);
     }
     return { id, machine, addr, workerEpoch, fencingToken, commands };
--- a/src/service/leader/failover-recovery.ts
+++ b/src/service/leader/failover-recovery.ts
@@ -95,8 +95,9 @@
 
   private restoreJobs(scheduler: Scheduler, { jobs }: LoadedState): void {
     for (const row of jobs) {
-      const job = this.context.services.jobCache.put(row.key, row.value, row.revision);
-      if (typeof job !== "string") scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released);
+      const job = this.context.services.jobCache.putReleased(row.key, row.value, row.revision);
+      if (typeof job !== "string")
+        scheduler.jobReleased(job.spec, job.revision, job.acceptedAt, job.releasedAt);
     }
   }
 
@@ -111,11 +112,11 @@
   /** The job cache may have heard of later jobs, and later ends, while the records were read. */
   private catchUp(scheduler: Scheduler, { jobsRevision }: LoadedState): void {
     const { jobCache } = this.context.services;
-    for (const job of jobCache.released.values())
+    for (const job of jobCache.releasedJobs.values())
       if (job.revision > jobsRevision)
-        scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released);
-    for (const job of jobCache.blocked.values()) scheduler.jobBlocked(job.spec, job.accepted);
+        scheduler.jobReleased(job.spec, job.revision, job.acceptedAt, job.releasedAt);
+    for (const job of jobCache.blockedJobs.values()) scheduler.jobBlocked(job.spec, job.acceptedAt);
     for (const id of [...scheduler.cluster.jobs.keys()])
-      if (!jobCache.released.has(id)) scheduler.jobEnded(id);
+      if (!jobCache.releasedJobs.has(id)) scheduler.jobEnded(id);
   }
 }
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -120,18 +120,18 @@
     this.maxSweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
     if (first !== undefined && others.length + deletes.length === 0) {
       // the same would be refused again, and as the first in line it would hold up all others
-      const pause = rejections.rejected("record of machines gone", error, first.key);
+      const pause = rejections.noteRejection("record of machines gone", error, first.key);
       store.postpone(first.key, plus(now(), pause));
       return Effect.void;
     }
-    return Effect.sleep(rejections.rejected("sweep", error));
+    return Effect.sleep(rejections.noteRejection("sweep", error));
   }
 
   private handleResult({ deletes, rewrites }: Sweep, result: Exclude<CommitResult, { ok: null }>): void {
     const { options, rejections, staleKeys } = this.context;
     const { store } = this.recorder;
-    rejections.accepted("sweep");
-    for (const { key } of rewrites) rejections.accepted("record of machines gone", key);
+    rejections.reset("sweep");
+    for (const { key } of rewrites) rejections.reset("record of machines gone", key);
     if (result.ok) {
       this.maxSweepOps = Math.min(options.txnOps, this.maxSweepOps + 1);
       for (const key of deletes) staleKeys.delete(key);
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -49,8 +49,9 @@
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       const { jobCache, log, member } = this.context.services;
-      if (result.ok === null) yield* Effect.sleep(rejections.rejected("commit of a job", result.error, id));
-      else rejections.accepted("commit of a job", id);
+      if (result.ok === null)
+        yield* Effect.sleep(rejections.noteRejection("commit of a job", result.error, id));
+      else rejections.reset("commit of a job", id);
       if (result.ok === true) {
         log.info({ job: id, termNumber: this.context.termNumber }, "done");
         this.progress.finished(id, tasks);
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -76,7 +76,7 @@
   private readonly checkRound = Effect.gen(this, function* () {
     if (this.lastFullCheckAt === null || hasElapsed(now(), this.lastFullCheckAt, FULL_CHECK_INTERVAL)) {
       this.lastFullCheckAt = now();
-      for (const id of this.jobCache.blocked.keys()) this.pendingChecks.add(id);
+      for (const id of this.jobCache.blockedJobs.keys()) this.pendingChecks.add(id);
     }
     const batch = [...this.pendingChecks];
     this.pendingChecks.clear();
@@ -100,7 +100,7 @@
   /** Checks one job; a write that isn't taken is tried again after a moment. */
   private check(id: string): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      const job = this.jobCache.blocked.get(id);
+      const job = this.jobCache.blockedJobs.get(id);
       if (job === undefined) {
         this.rejectedUntil.delete(id);
         return;
@@ -203,15 +203,15 @@
     return Effect.gen(this, function* () {
       if (result.ok === null) {
         // the same add would be refused again: ever longer pauses
-        this.rejectedUntil.set(id, plus(now(), this.rejections.rejected("fan-in", result.error, id)));
+        this.rejectedUntil.set(id, plus(now(), this.rejections.noteRejection("fan-in", result.error, id)));
         return;
       }
-      this.rejections.accepted("fan-in", id);
+      this.rejections.reset("fan-in", id);
       this.rejectedUntil.delete(id);
       if (result.ok) {
         this.jobCache.putFanin(id, fanin, result.revision);
         if (!fanin.released) return;
-        this.jobCache.put(keys.job(id), released, result.revision);
+        this.jobCache.putReleased(keys.job(id), released, result.revision);
         this.log.info({ job: id }, "released");
         return;
       }
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -101,13 +101,13 @@
   private onReleasedJob(job: ReleasedJob): void {
     if (this.context.schedulerLock === null || job.revision <= this.loadedRevision) return;
     this.withScheduler((scheduler) =>
-      scheduler.jobReleased(job.spec, job.revision, job.accepted, job.released),
+      scheduler.jobReleased(job.spec, job.revision, job.acceptedAt, job.releasedAt),
     );
     this.context.stepRequested.notify();
   }
 
   private onBlockedJob(job: BlockedJob): void {
-    this.withScheduler((scheduler) => scheduler.jobBlocked(job.spec, job.accepted));
+    this.withScheduler((scheduler) => scheduler.jobBlocked(job.spec, job.acceptedAt));
     this.context.services.jobReleaser.requestCheck(job.spec.id);
   }
 
--- a/src/service/leader/machine-recorder.ts
+++ b/src/service/leader/machine-recorder.ts
@@ -112,11 +112,11 @@
   private pauseAfter(result: CommitResult | null): Effect.Effect<void> {
     const { rejections } = this.context;
     if (result?.ok === true) {
-      rejections.accepted("record of machines");
+      rejections.reset("record of machines");
       return Effect.void;
     }
     if (result?.ok !== null) return Effect.sleep(RETRY_PAUSE);
     this.maxRecordBytes = Math.max(MIN_RECORD_BYTES, Math.floor(this.maxRecordBytes / 2));
-    return Effect.sleep(rejections.rejected("record of machines", result.error));
+    return Effect.sleep(rejections.noteRejection("record of machines", result.error));
   }
 }
--- a/src/service/leader/scale-out.ts
+++ b/src/service/leader/scale-out.ts
@@ -55,8 +55,8 @@
           [{ put: keys.rental(name), value: record }],
         )
         .pipe(Effect.orElseSucceed(() => null));
-      if (result?.ok === true) rejections.accepted("rental");
-      else if (result?.ok === null) yield* Effect.sleep(rejections.rejected("rental", result.error));
+      if (result?.ok === true) rejections.reset("rental");
+      else if (result?.ok === null) yield* Effect.sleep(rejections.noteRejection("rental", result.error));
       return result?.ok === true;
     });
   }
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -87,13 +87,13 @@
       return Effect.void;
     }
     if (result.kind !== "rejected") {
-      rejections.accepted("finishes");
+      rejections.reset("finishes");
       this.maxPuts = Math.min(txnOps, this.maxPuts + 1);
       return Effect.void;
     }
     // half of what was sent, which may be less than could have been: that soon shows which one is too large
     this.maxPuts = Math.max(1, Math.floor(puts / 2));
-    const pause = rejections.rejected("finishes", result.reason);
+    const pause = rejections.noteRejection("finishes", result.reason);
     // one by itself is put off by the finish store; others needn't wait for that
     return puts <= 1 ? Effect.void : Effect.sleep(pause);
   }
--- a/src/service/members/update-relay-sender.ts
+++ b/src/service/members/update-relay-sender.ts
@@ -65,8 +65,8 @@
       : Math.min(MAX_HEARTBEATS, this.heartbeatLimit + 1);
     this.pause =
       result.kind === "rejected"
-        ? Duration.max(RELAY_INTERVAL, rejections.rejected("member update", result.reason))
+        ? Duration.max(RELAY_INTERVAL, rejections.noteRejection("member update", result.reason))
         : RELAY_INTERVAL;
-    if (result.kind === "relayed") rejections.accepted("member update");
+    if (result.kind === "relayed") rejections.reset("member update");
   }
 }
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -24,7 +24,7 @@
    * A record was rejected. Logs it, and says how long to wait before the next attempt. `id`: one of many records of
    * that kind, with pauses of its own.
    */
-  rejected(kind: string, error: string, id = ""): Duration.Duration {
+  noteRejection(kind: string, error: string, id = ""): Duration.Duration {
     const last = this.loggedAt.get(kind);
     if (last === undefined || hasElapsed(now(), last, LOG_INTERVAL)) {
       this.loggedAt.set(kind, now());
@@ -37,14 +37,14 @@
   }
 
   /** A record was accepted: its next rejection counts as the first. */
-  accepted(kind: string, id = ""): void {
+  reset(kind: string, id = ""): void {
     this.backoffs.delete(`${kind} ${id}`);
   }
 
   /** Waits after a rejection, and not at all after any other answer. For loops that would send the record again. */
   sleepIfRejected(kind: string, result: CommitResult): Effect.Effect<void> {
-    if (result.ok === null) return Effect.sleep(this.rejected(kind, result.error));
-    this.accepted(kind);
+    if (result.ok === null) return Effect.sleep(this.noteRejection(kind, result.error));
+    this.reset(kind);
     return Effect.void;
   }
 }
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -136,7 +136,7 @@
   }
 
   /** A batch of commands was sent to a machine. */
-  commandsSent(machine: string, zone: string): void {
+  countCommandBatch(machine: string, zone: string): void {
     this.loads.commandsSent(this.view.shardOf(machine, zone));
   }
 
--- a/src/service/shards/shard-writer.ts
+++ b/src/service/shards/shard-writer.ts
@@ -35,8 +35,8 @@
     return this.state.commit(conditions, changes).pipe(
       Effect.flatMap((result): Effect.Effect<WriteOutcome> => {
         if (result.ok === null)
-          return Effect.as(Effect.sleep(this.rejections.rejected("shards", result.error)), "unknown");
-        this.rejections.accepted("shards");
+          return Effect.as(Effect.sleep(this.rejections.noteRejection("shards", result.error)), "unknown");
+        this.rejections.reset("shards");
         if (!result.ok) return Effect.succeed("failed");
         for (const { shard, state } of writes)
           this.view.recordWritten(shard, { revision: result.revision, state });
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -145,10 +145,10 @@
   const stored = (key: string) =>
     mirrors
       .map((m) =>
-        key.startsWith(keys.blockedJobs) ? m.blocked.get(key.slice(keys.blockedJobs.length)) : undefined,
+        key.startsWith(keys.blockedJobs) ? m.blockedJobs.get(key.slice(keys.blockedJobs.length)) : undefined,
       )
       .find((job) => job !== undefined)?.record;
-  mirror.put(keys.job("req-1"), record("req-1", []), 1);
+  mirror.putReleased(keys.job("req-1"), record("req-1", []), 1);
   // chain 2 <- 3 <- 4, and one that needs none of them
   for (const [id, awaits] of [
     ["req-2", ["req-1"]],
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -155,7 +155,7 @@
 
 test("health", async () => {
   assert.equal(await ask("GET", "/up"), '503 {"error":"starting"} retry-after 1');
-  jobCache.ready = true;
+  jobCache.isReady = true;
   assert.equal(await ask("GET", "/up"), '200 {"ok":true}');
   alone = true;
   assert.equal(await ask("GET", "/up"), '503 {"error":"no state service"} retry-after 1');
