--- a/src/cli/shards.ts
+++ b/src/cli/shards.ts
@@ -1,4 +1,4 @@
-/** `indigowick shards`: shows and moves shards through a controller's operators' socket. */
+/** The command `indigowick shards`: shows and moves shards through the operators' socket of a controller. */
 import http from "node:http";
 import { Command, InvalidArgumentError } from "commander";
 import type { MoveOutcome } from "../service/shards/move-log.js";
@@ -22,7 +22,7 @@
   readonly value: unknown;
 }
 
-/** The socket isn't there, or what answered is no controller. */
+/** The socket can't be reached, or whatever answered is not a controller. */
 class ControllerUnreachable extends Error {}
 
 const callController = (at: string, method: string, path: string, body?: object): Promise<Reply> =>
@@ -65,7 +65,7 @@
   return typeof reason === "string" ? reason : "refused without a reason";
 };
 
-/** Shows an answer and says which code the command ends with. */
+/** Prints the reply and gives the exit code; `text` formats a successful reply. */
 const reportReply = (options: CommonOptions, reply: Reply, text: () => string): number => {
   const isDone = reply.status === 200;
   if (options.json === true) print(JSON.stringify(reply.value));
@@ -133,7 +133,7 @@
   return reportReply(options, reply, () => formatListing(reply.value as ShardListing));
 };
 
-/** Polls until a move has ended; the last answer where it doesn't in time. */
+/** Polls until a move has ended or `waitMs` is over, and gives the last reply. */
 const pollOutcome = async (at: string, move: string, waitMs: number): Promise<Reply> => {
   for (let left = waitMs; ; left -= POLL_MS) {
     const reply = await callController(at, "GET", `/shards/moves/${encodeURIComponent(move)}`);
@@ -200,7 +200,7 @@
   return text;
 };
 
-/** Runs a command; the code is 1 when it is refused or the controller isn't reached. */
+/** Sets the process's exit code to the command's: 1 if it was refused or the controller wasn't reached. */
 const setExitCode = (code: Promise<number>): Promise<void> =>
   code.then(
     (value) => void (process.exitCode = value),
@@ -211,7 +211,7 @@
     },
   );
 
-/** The commands on shards. */
+/** The command `shards` with its subcommands. */
 export const shardsCommand = (): Command => {
   const command = new Command("shards").description("shows and moves the shards that machines fall into");
   const addCommand = (name: string, description: string): Command =>
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,7 @@
 #!/usr/bin/env node
-/** The command line. Exit codes: 2 for bad settings or options, 1 where a controller can't run. */
+/**
+ * The command line. Exit codes: 2 for bad settings or options, 1 if a controller can't run or a command is refused.
+ */
 import { readFileSync } from "node:fs";
 import { Command, CommanderError } from "commander";
 import * as Effect from "effect/Effect";
@@ -43,7 +45,7 @@
     const settings = loadOrExit(options);
     const log = makeLog(process.env["LOG_LEVEL"] ?? "info", settings.member);
     const exit = await Effect.runPromiseExit(runController(settings, log));
-    if (Exit.isFailure(exit)) log.error({ reason: Cause.pretty(exit.cause) }, "can't run");
+    if (Exit.isFailure(exit)) log.error({ reason: Cause.pretty(exit.cause) }, "controller failed");
     process.exit(EXIT_FAILED);
   });
 
@@ -66,7 +68,9 @@
 
 program.addCommand(shardsCommand());
 
-/** Every command and those below it end with this program's own codes. */
+/**
+ * Makes a command and its subcommands throw on bad options instead of exiting, so that the exit code is set below.
+ */
 const overrideExit = (command: Command): void => {
   command.exitOverride();
   command.commands.forEach(overrideExit);
--- a/src/service/api/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server for users, workers and health checks. What it answers is up to the handlers beside it. */
+/** The HTTP server for users, workers and health checks. Requests are handled by the other modules of this folder. */
 import http from "node:http";
 import * as Effect from "effect/Effect";
 import { apiPaths } from "../../io/codec.js";
@@ -19,29 +19,30 @@
 import { SubmissionHandler } from "./submissions.js";
 import { isUserPath, MAX_USER_BODY_BYTES, UserRequestRouter } from "./user-requests.js";
 
-/** Users' requests under way at once; more are told to come back. */
+/** Requests of users beyond this many at a time are answered 503. */
 const MAX_CONCURRENT_USER_REQUESTS = 400;
 const RETRY_AFTER_SECONDS = 1;
 /**
- * From this share of the connections on each answer ends its connection: workers of nodes that are down come here as
- * well, and one that can't connect sends its heartbeats nowhere. They connect anew for each one, and take turns.
+ * Above this share of the maximum number of connections, every answer closes its connection. Workers of failed nodes
+ * connect here as well, and a worker that can't connect can't send its heartbeats. With a new connection for each
+ * heartbeat, more workers than connections can take turns.
  */
 const CLOSE_ABOVE_CONNECTION_SHARE = 0.9;
 
-/** Where the server listens, how many connections it takes, and what holds of submissions. */
+/** The address to listen on, the maximum number of connections, and the limits of submissions. */
 export interface ApiServerOptions extends SubmissionLimits {
   readonly bind: string;
   readonly maxConnections: number;
 }
 
-/** Serves the API; every request gets an answer, 503 where nothing could be decided. */
+/** Serves the API. A request about which nothing could be decided is answered 503. */
 export class ApiServer {
-  /** Connections of users, workers and health checks. */
+  /** Open connections of users, workers and health checks. */
   openConnections = 0;
   private openUserRequests = 0;
   private readonly userRequests: UserRequestRouter;
 
-  /** Doesn't listen before `serve`. */
+  /** The server starts listening only when `serve` is run. */
   constructor(
     private readonly options: ApiServerOptions,
     state: StateClient,
@@ -67,7 +68,7 @@
     );
   }
 
-  /** Listens until the server that it gives is closed; fails when the address can't be bound. */
+  /** Starts listening and yields the server; fails if the address can't be bound. */
   serve(): Effect.Effect<http.Server, Error> {
     const server = http.createServer((request, response) => {
       const url = request.url ?? "";
@@ -99,7 +100,7 @@
         Effect.catchAll((error) => Effect.succeed(retryLater(error.why))),
         Effect.catchAllCause((cause) =>
           Effect.sync(() => {
-            this.log.error({ cause: cause.toString() }, "request failed");
+            this.log.error({ cause: cause.toString() }, "user request failed with an unexpected error");
             return retryLater("internal error");
           }),
         ),
@@ -116,7 +117,7 @@
     };
     if (answer.status === 503) {
       headers["retry-after"] = String(RETRY_AFTER_SECONDS);
-      // a new connection may lead to a node that reaches the state service
+      // on a new connection the load balancer may pick a node that can reach the state service
       if (!this.member.reachesStateService()) headers.connection = "close";
     }
     if (this.openConnections > this.options.maxConnections * CLOSE_ABOVE_CONNECTION_SHARE)
--- a/src/service/api/cancel-propagation.ts
+++ b/src/service/api/cancel-propagation.ts
@@ -1,4 +1,4 @@
-/** Cancels of blocked jobs because a job that they depend on was cancelled. */
+/** Cancels blocked jobs when a job that they depend on has been cancelled. */
 import * as Effect from "effect/Effect";
 import { type CommitRecord, keys } from "../../core/records.js";
 import { type Instant, plus } from "../../core/time.js";
@@ -9,15 +9,15 @@
 import { RejectionBackoff } from "../rejection-backoff.js";
 import type { KnownOutcomes } from "./known-outcomes.js";
 
-const WRITE_KIND = "passed-on cancel";
+const WRITE_KIND = "propagated cancel";
 
-/** Writes these cancels; one that the state service refuses is repeated ever more rarely. */
+/** Writes the cancels, and retries with growing pauses those that the state service rejects. */
 export class CancelPropagation {
-  /** Blocked jobs whose cancel the state service refused, and until when it isn't tried again. */
+  /** Blocked jobs whose cancel the state service rejected, and the time before which it isn't retried. */
   private readonly retryNotBefore = new Map<string, Instant>();
   private readonly rejections: RejectionBackoff;
 
-  /** Commits that it writes go to `outcomes` and leave the `jobCache`. */
+  /** A job whose commit is written here is added to `outcomes` and removed from `jobCache`. */
   constructor(
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
@@ -28,13 +28,13 @@
   }
 
   /**
-   * Passes a parent's outcome on: this blocked job is cancelled as well. It can't have been released, since all parents
-   * have to be done for that, so the only commit that it may have already says the same.
+   * Cancels a blocked job because one of its ancestors was cancelled. The job can't have been released, since that
+   * requires all parents to be done; so if it already has a commit, that commit is a cancel too.
    */
   cancelBlocked(id: string, tasks: number): Effect.Effect<CommitRecord, StateError> {
     return Effect.gen(this, function* () {
       const commit: CommitRecord = { outcome: "cancelled", tasks };
-      // the same write would be refused again: neither the leader's rounds nor each question of a user may repeat it
+      // the same write would be rejected again: neither the leader's steps nor users' queries may repeat it early
       if (now() < (this.retryNotBefore.get(id) ?? 0))
         return yield* new Unavailable({ why: "its cancel was refused a moment ago" });
       const result = yield* this.state.commit(
--- a/src/service/api/cancels.ts
+++ b/src/service/api/cancels.ts
@@ -1,4 +1,4 @@
-/** Cancels: attempts to create the commit record as cancelled. The first commit wins for ever. */
+/** Cancels of jobs by users. A cancel creates the job's commit record; the first commit is final. */
 import * as Effect from "effect/Effect";
 import { type CommitRecord, keys } from "../../core/records.js";
 import { type Change, jobAnswer } from "../../io/codec.js";
@@ -10,14 +10,14 @@
 import type { JobStatus } from "./status-types.js";
 import { commitForUser } from "./user-writes.js";
 
-/** A job may be released or end while its cancel is written: it is then read again. */
+/** A job may be released or end while its cancel is being written; its status is then read again. */
 const MAX_TRIES = 3;
 
 type OpenStatus = Extract<JobStatus, { kind: "open" }>;
 
-/** Handles users' cancels. */
+/** Handles users' cancel requests. */
 export class CancelHandler {
-  /** Commits that it writes go to `reader` and leave the `jobCache`. */
+  /** A job whose commit is written here is remembered by `reader` and removed from `jobCache`. */
   constructor(
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
@@ -25,7 +25,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Cancels a job that isn't over, and tells its outcome; 404: it was never accepted. */
+  /** Cancels a job unless it has ended, and answers with its outcome; 404 if it was never accepted. */
   cancel(id: string): Effect.Effect<Answer, StateError> {
     return Effect.gen(this, function* () {
       for (let tries = 0; tries < MAX_TRIES; tries++) {
@@ -37,11 +37,11 @@
         if (result.ok === true) {
           this.reader.remember(id, commit);
           this.jobCache.remove(id);
-          this.log.info({ job: id }, "cancelled");
+          this.log.info({ job: id }, "job cancelled by a user");
           return answer(200, jobAnswer(id, "cancelled"));
         }
         if (result.ok === null) {
-          this.log.warn({ job: id, reason: result.error }, "a cancel was refused by the state service");
+          this.log.warn({ job: id, reason: result.error }, "cancel rejected by the state service");
           break;
         }
       }
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -1,7 +1,8 @@
 /**
- * Submissions of jobs that depend on others. A job's record and its fan-in set are written in one transaction that rests
- * on its parents as they were read. With more parents than a transaction compares, a commit that comes in between is found
- * by whoever looks after blocked jobs, as after any join that was lost.
+ * Submissions of jobs that depend on other jobs, their parents. A job's record and its fan-in set are written in one
+ * transaction, on condition that the parents are unchanged since they were read. If there are more parents than a
+ * transaction can have conditions, the commit of an unchecked parent may be missed here; the leader then finds it
+ * when it looks through the blocked jobs, as it does after any lost addition to a fan-in set.
  */
 import * as Effect from "effect/Effect";
 import { type CommitRecord, type FaninRecord, type JobSpec, keys, type Outcome } from "../../core/records.js";
@@ -29,14 +30,14 @@
 } from "./job-acceptance.js";
 import { commitForUser } from "./user-writes.js";
 
-/** Parents may be released or end while their child is accepted: it is tried again with what was read anew. */
+/** Parents may be released or end while their child is being accepted; they are then read again. */
 const MAX_TRIES = 4;
-/** Parents read at a time. */
 const CONCURRENT_PARENT_READS = 4;
 
 /**
- * A job that another one depends on: over, or unfinished and as it was read as long as `condition` holds. If it is blocked
- * itself, that holds no longer than none of its ancestors has one of the commits `ancestorCommitKeys`.
+ * A job that the submitted one depends on. It has ended with an outcome, or it is open (unfinished), which is true
+ * for as long as `condition` holds. If it is blocked itself, none of the keys `ancestorCommitKeys` may exist either,
+ * since the cancel of an ancestor cancels it too.
  */
 type Parent =
   | { readonly id: string; readonly state: Outcome }
@@ -47,17 +48,17 @@
       readonly ancestorCommitKeys: readonly string[];
     };
 
-/** What the accepting write makes of the job. */
+/** The state in which the job is accepted. */
 type Acceptance =
-  /** It can never be released, since a parent was cancelled. */
+  /** A parent was cancelled, so the job can never be released. */
   | { readonly kind: "cancelled"; readonly commit: CommitRecord }
-  /** All parents are done: the accepting write is the filling add. */
+  /** All parents are done, so the job is released as it is accepted. */
   | { readonly kind: "released"; readonly record: object }
   | { readonly kind: "blocked"; readonly record: object; readonly fanin: FaninRecord };
 
 /** Handles submissions that have passed all checks and depend on other jobs. */
 export class DependentSubmissionHandler {
-  /** Jobs that it accepts are put in the `jobCache` at once. */
+  /** Accepted jobs are added to `jobCache` at once. */
   constructor(
     private readonly limits: SubmissionLimits,
     private readonly state: StateClient,
@@ -67,13 +68,13 @@
     private readonly log: Log,
   ) {}
 
-  /** Accepts the job, unless it is known already or depends on one that was never accepted. */
+  /** Accepts the job, unless it was accepted before or depends on a job that was never accepted. */
   accept(submission: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.catchAll(this.tryToAccept(submission), (error) => {
       const retryAnswer = retryLater(error.why);
-      // over the rate, the question for its status would only keep the user from coming again
+      // if the state service's rate is exceeded, a status query would only delay the answer
       if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(retryAnswer);
-      // a repeat of an accepted job gets its answer also when a parent's record can't be read
+      // a repeated submission of an accepted job gets its answer even if a parent's record can't be read
       return this.statusQueries.refuseUnlessAccepted(submission.spec.id, retryAnswer);
     });
   }
@@ -107,14 +108,14 @@
         if (result.ok) return this.accepted(spec, acceptance, result.revision);
         if (result.failed.some((key) => ownConditions.some((condition) => condition.key === key)))
           return yield* this.statusQueries.answerRepeatedSubmission(id);
-        // some parent was released or ended: what is cached of them is behind
+        // a parent was released or ended, so the cache is out of date
         for (const parent of dependsOn) stale.add(parent);
       }
       return retryLater("not decided");
     });
   }
 
-  /** Whether a record of the job would be too large at any time of its life. */
+  /** Whether one of the job's records would be too large at some point of its life cycle. */
   private mayGrowTooLarge(record: object, dependsOn: readonly string[]): boolean {
     const largestFanin: FaninRecord = { joined: dependsOn, released: true };
     return [withReleaseTime(record, new Date()), largestFanin].some((value) =>
@@ -122,7 +123,7 @@
     );
   }
 
-  /** A parent as it is now; null: it was never accepted. `stale`: what is cached of it is behind. */
+  /** The present state of a parent; null if it was never accepted. `stale`: the cache is out of date for it. */
   private parent(id: string, stale: boolean): Effect.Effect<Parent | null, StateError> {
     return Effect.gen(this, function* () {
       const known = this.cachedParent(id, stale);
@@ -141,7 +142,7 @@
     });
   }
 
-  /** A parent as it is known here without a request; null: it has to be read. */
+  /** The state of a parent as far as it is cached; null if it has to be read. */
   private cachedParent(id: string, stale: boolean): Parent | null {
     const commit = this.reader.outcome(id);
     if (commit !== undefined) return { id, state: commit.outcome };
@@ -155,7 +156,7 @@
       : openParent(id, keys.blockedJob(id), blocked.revision, ancestorCommitKeys);
   }
 
-  /** After the accepting write: what was written is known here at once. */
+  /** Adds what the accepting write wrote to the caches, and answers the submission. */
   private accepted(job: JobSpec, acceptance: Acceptance, revision: number): Answer {
     const { id } = job;
     logAccepted(this.log, job);
@@ -191,10 +192,10 @@
   return { kind: "blocked", record, fanin: { joined, released: false } };
 };
 
-/** That the open parents are as they were read, as far as one transaction compares. */
+/** Conditions that the open parents are unchanged since they were read; at most `limit` of them. */
 const parentConditions = (parents: readonly Parent[], limit: number): Condition[] => {
   const open = parents.filter((parent) => parent.state === "open");
-  // an ancestor's cancel counts although it hasn't been passed on to the parent yet
+  // an ancestor's cancel counts even before it has been propagated to the parent
   const ancestorCommitKeys = new Set(open.flatMap((parent) => parent.ancestorCommitKeys));
   const all = [
     ...open.map((parent) => parent.condition),
--- a/src/service/api/health.ts
+++ b/src/service/api/health.ts
@@ -1,9 +1,9 @@
-/** Health: whether the load balancer is to send users to this node. */
+/** The health check, by which the load balancer decides whether to send users to this node. */
 import type { JobCache } from "../job-cache.js";
 import type { Leader } from "../leader/leader.js";
 import { type Answer, answer, retryLater } from "./answers.js";
 
-/** Not ready while this node alone can't reach the state service: other nodes then serve users better. */
+/** 503 until the jobs have been read, and while this node can't reach the state service but other nodes can. */
 export const answerHealth = (
   jobCache: Pick<JobCache, "isReady">,
   leader: Pick<Leader, "isStateOutageLocal">,
--- a/src/service/api/heartbeats.ts
+++ b/src/service/api/heartbeats.ts
@@ -1,9 +1,9 @@
-/** Heartbeats of workers: this node takes them, sends the worker to another node, or may not act. */
+/** Heartbeats of workers. */
 import { heartbeatAnswer, parseHeartbeat, redirectAnswer } from "../../io/codec.js";
 import type { Member } from "../members/member.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 
-/** A machine may have many tasks, all of which its heartbeat names. */
+/** Large, since a heartbeat lists all tasks of its machine. */
 export const MAX_HEARTBEAT_BYTES = 8 * 1024 * 1024;
 
 const parseHeartbeatBody = (body: Buffer | null) => {
@@ -14,7 +14,10 @@
   }
 };
 
-/** The answer to a heartbeat; a body of null was too large. A node that isn't entitled to act answers 421 or 503. */
+/**
+ * The answer to a heartbeat; `body` is null if it was too large. 421 redirects the worker to the member that owns its
+ * machine; 503 means that this node may not act at present.
+ */
 export const answerHeartbeat = (member: Pick<Member, "handleHeartbeat">, body: Buffer | null): Answer => {
   const heartbeat = parseHeartbeatBody(body);
   if (heartbeat === null) return refusal(400, "not a report");
--- a/src/service/api/job-ancestors.ts
+++ b/src/service/api/job-ancestors.ts
@@ -1,20 +1,20 @@
 /**
- * The jobs before a blocked one, which its status rests on as well: when one is cancelled, so is the job, however long it
- * takes to write that down.
+ * The ancestors of a blocked job: its parents, their parents, and so on. The job's status depends on them: once an
+ * ancestor is cancelled the job counts as cancelled, even before its own commit record is written.
  */
 import { keys } from "../../core/records.js";
 import type { JobCache } from "../job-cache.js";
 import type { KnownOutcomes } from "./known-outcomes.js";
 
-/** Ancestors as far as they were heard of here. */
+/** Looks up ancestors in the cache of jobs, which may not have all of them yet. */
 export class JobAncestors {
-  /** Both are only read. */
+  /** Reads from `jobCache` and `outcomes`, and changes neither. */
   constructor(
     private readonly jobCache: JobCache,
     private readonly outcomes: KnownOutcomes,
   ) {}
 
-  /** All jobs before a blocked one that aren't known to be done. A released job has none: all before it are done. */
+  /** The ancestors that aren't known to be done. A released job has none, since all its ancestors are done. */
   ancestorsNotDone(id: string): string[] {
     if (!this.jobCache.blockedJobs.has(id)) return [];
     return this.jobCache.dependencies.ancestorsOf(
@@ -23,7 +23,7 @@
     );
   }
 
-  /** The keys of the commits that a blocked job's end may come from; null: not all before it was heard of yet. */
+  /** The keys of the commits that could cancel a blocked job; null if not all of its ancestors are known yet. */
   commitKeys(id: string): string[] | null {
     const ancestors = this.ancestorsNotDone(id);
     return ancestors.every((ancestor) => this.jobCache.isUnfinished(ancestor))
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -1,4 +1,4 @@
-/** Reads one job's status, record by record. */
+/** Reads the status of a single job from its records. */
 import type * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { type CommitRecord, keys, type Outcome } from "../../core/records.js";
@@ -10,7 +10,7 @@
 import type { KnownOutcomes } from "./known-outcomes.js";
 import type { JobStatus } from "./status-types.js";
 
-/** How a read keeps to this node's share of requests: with a `maxWait` it waits for the share, no longer than that. */
+/** How a read is paced: with `maxWait` set, it waits up to that long for this node's share of the request rate. */
 interface RequestPacing {
   readonly urgency: Urgency;
   readonly maxWait: Duration.Duration | undefined;
@@ -18,9 +18,9 @@
 
 const unreadable = (id: string): Unavailable => new Unavailable({ why: `the record of ${id} can't be read` });
 
-/** Reads that keep what they find in the cache of jobs and among the known outcomes. */
+/** Reads job records, and caches what it finds. */
 export class JobRecordReader {
-  /** What is read goes to the `jobCache` and to `outcomes`. */
+  /** Records that are read are added to `jobCache` and `outcomes`. */
   constructor(
     private readonly state: StateClient,
     private readonly jobCache: JobCache,
@@ -30,9 +30,10 @@
   ) {}
 
   /**
-   * The commit first: it is final. Then what a job is in the course of its life, in this order: a blocked job's record is
-   * replaced by the released one's in one transaction, and that by the commit. So a job of which nothing was found was
-   * not accepted when the question came. Without `maxWait` the reads don't wait for this node's share of requests.
+   * Reads the commit first, since it is final, and then the records in the order of a job's life cycle: the blocked
+   * job's record, the released job's, and the commit again. Each is replaced by the next in one transaction; so a job
+   * of which none is found had not been accepted when the read began. Without `maxWait` the reads don't wait for
+   * this node's share of the request rate.
    */
   read(id: string, maxWait?: Duration.Duration): Effect.Effect<JobStatus, StateError> {
     const pacing: RequestPacing = { urgency: maxWait === undefined ? "first" : "later", maxWait: maxWait };
@@ -50,7 +51,7 @@
       const row = yield* this.get(keys.job(id), pacing);
       if (row !== null) {
         const seen = this.jobCache.putReleased(row.key, row.value, row.revision);
-        // it is there, so it is no 404, whatever is wrong with it
+        // the record exists, so the job was accepted and the answer can't be 404
         if (seen === "malformed") return yield* unreadable(id);
         if (seen !== "over")
           return { kind: "open", revision: row.revision, tasks: seen.spec.tasks, blocked: false } as const;
@@ -62,7 +63,7 @@
     });
   }
 
-  /** A blocked job is what its record says, unless one that it needs was cancelled: then it is cancelled as well. */
+  /** The status of a blocked job. If one of its ancestors was cancelled, the job is cancelled now. */
   private readBlocked(
     id: string,
     revision: number,
@@ -70,12 +71,12 @@
     pacing: RequestPacing,
   ): Effect.Effect<JobStatus, StateError> {
     return Effect.gen(this, function* () {
-      // by whether their end was heard of when they were asked about
+      // the ancestors read so far, and whether the cache had seen their end by then
       const wasOverWhenRead = new Map<string, boolean>();
       for (;;) {
-        // released or over in the meantime: what comes before it isn't known here any more
+        // the job was released or ended meanwhile, so its ancestors are no longer known here
         if (!this.jobCache.blockedJobs.has(id)) return yield* this.read(id, pacing.maxWait);
-        // outcomes pass on the other way round: where one was heard of since, the path from there is lost
+        // an ancestor whose end the cache has seen since is read again: its own ancestors are no longer known here
         const ancestor = this.ancestors
           .ancestorsNotDone(id)
           .find((candidate) => wasOverWhenRead.get(candidate) !== this.jobCache.isOver(candidate));
@@ -89,8 +90,8 @@
   }
 
   /**
-   * The outcome of a job before a blocked one, if it has one. One that wasn't heard of here yet is read, so that what it
-   * depends on itself is known afterwards.
+   * The outcome of an ancestor; null if it hasn't ended. The record of an ancestor that isn't cached is read as well,
+   * so that its own ancestors are known afterwards.
    */
   private ancestorOutcome(id: string, pacing: RequestPacing): Effect.Effect<Outcome | null, StateError> {
     return Effect.gen(this, function* () {
@@ -98,7 +99,7 @@
       if (outcome !== null || this.jobCache.isUnfinished(id)) return outcome;
       const blockedRow = yield* this.get(keys.blockedJob(id), pacing);
       const row = blockedRow ?? (yield* this.get(keys.job(id), pacing));
-      // it ended in between
+      // it ended between the reads
       if (row === null) return yield* this.readOutcome(id, pacing);
       const seen =
         blockedRow === null
--- a/src/service/api/job-status.ts
+++ b/src/service/api/job-status.ts
@@ -1,6 +1,6 @@
 /**
- * What users are told about a job. Before anything that isn't final, or a 404, the commit record is checked in the state
- * service, since another node may have told a user of the job's end already.
+ * The status of jobs as users see it. Before a status that isn't final, or a 404, is given out, the state service is
+ * asked for the commit record, since another node may already have told a user that the job has ended.
  */
 import type * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -15,7 +15,7 @@
 import { StatusQueryBatcher } from "./status-query-batcher.js";
 import type { JobStatus, TooManyQueries } from "./status-types.js";
 
-/** The status of jobs for the API, and their outcomes for whoever passes them on. */
+/** Gives the status of jobs, and their outcomes where these are known. */
 export class JobStatusReader {
   private readonly outcomes = new KnownOutcomes();
   private readonly ancestors: JobAncestors;
@@ -23,7 +23,7 @@
   private readonly records: JobRecordReader;
   private readonly batcher: StatusQueryBatcher;
 
-  /** `maxConditions`: how many one transaction compares. */
+  /** `maxConditions`: the most conditions that one transaction can have. */
   constructor(state: StateClient, jobCache: JobCache, maxConditions: number, log: Log) {
     this.ancestors = new JobAncestors(jobCache, this.outcomes);
     this.cancels = new CancelPropagation(state, jobCache, this.outcomes, log);
@@ -36,17 +36,17 @@
     );
   }
 
-  /** A job's commit, if it is known here. */
+  /** A job's commit; undefined if it isn't known here. */
   outcome(id: string): CommitRecord | undefined {
     return this.outcomes.get(id);
   }
 
-  /** Keeps a commit that is in the state service. */
+  /** Remembers a commit that was read or written. */
   remember(id: string, commit: CommitRecord): void {
     this.outcomes.remember(id, commit);
   }
 
-  /** The status of a job as of a moment after the call. Questions that come together are one request. */
+  /** The status of a job at some moment after the call. Concurrent queries are batched into one request. */
   statusOf(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.suspend((): Effect.Effect<JobStatus, StateError | TooManyQueries> => {
       const commit = this.outcomes.get(id);
@@ -54,17 +54,17 @@
     });
   }
 
-  /** The status of a job read at once, on its own; with a `maxWait`, only if this node's share of requests allows. */
+  /** Reads the status of one job without batching; `maxWait` as in `JobRecordReader.read`. */
   read(id: string, maxWait?: Duration.Duration): Effect.Effect<JobStatus, StateError> {
     return this.records.read(id, maxWait);
   }
 
-  /** The keys of the commits that a blocked job's end may come from; null: not all before it was heard of yet. */
+  /** The keys of the commits that could cancel a blocked job; null if not all of its ancestors are known yet. */
   ancestorCommitKeys(id: string): string[] | null {
     return this.ancestors.commitKeys(id);
   }
 
-  /** Cancels a blocked job because one that it depends on was cancelled. */
+  /** Cancels a blocked job because one of its ancestors was cancelled. */
   cancelBlocked(id: string, tasks: number): Effect.Effect<CommitRecord, StateError> {
     return this.cancels.cancelBlocked(id, tasks);
   }
--- a/src/service/api/status-queries.ts
+++ b/src/service/api/status-queries.ts
@@ -1,4 +1,4 @@
-/** What users are told of the jobs that they ask about, submit again, or submit in vain. */
+/** Answers that state a job's status: to status queries, repeated submissions and refused submissions. */
 import * as Effect from "effect/Effect";
 import { jobAnswer, jobStatusAnswer, type UserJobState } from "../../io/codec.js";
 import type { StateError } from "../../io/state-client.js";
@@ -6,26 +6,26 @@
 import type { JobStatusReader } from "./job-status.js";
 import type { JobStatus, TooManyQueries } from "./status-types.js";
 
-/** How many tasks of an unfinished job are done and running. For display: it may lag. */
+/** How many tasks of an unfinished job are done and running. For display only, since it may lag behind. */
 export interface TaskCounts {
   readonly done: number;
   readonly running: number;
 }
 
-/** Why a question got no answer; the user asks again. */
+/** Why a status query failed; the user should send it again. */
 export type StatusQueryFailure = StateError | TooManyQueries;
 
 type AcceptedStatus = Exclude<JobStatus, { kind: "absent" }>;
 
-/** Answers that rest on a job's status as the state service has it after the request came. */
+/** Answers from a job's status in the state service at some moment after the request came in. */
 export class StatusQueries {
-  /** `taskCounts`: what the leader last said of an unfinished job's tasks. */
+  /** `taskCounts` gives the counts that the leader last reported for an unfinished job. */
   constructor(
     private readonly reader: JobStatusReader,
     private readonly taskCounts: (id: string) => TaskCounts,
   ) {}
 
-  /** The answer to a user's question for a job; 404: it was never accepted. */
+  /** The answer to a user's status query; 404 if the job was never accepted. */
   answerQuery(id: string): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.map(this.reader.statusOf(id), (status) => {
       if (status.kind === "absent") return refusal(404, "no such run");
@@ -34,12 +34,15 @@
     });
   }
 
-  /** The answer to a submission of a job that seems to be known already. */
+  /** The answer to a submission of a job that seems to have been accepted before. */
   answerRepeatedSubmission(id: string): Effect.Effect<Answer, StatusQueryFailure> {
     return this.refuseUnlessAccepted(id, retryLater("not decided"));
   }
 
-  /** Refuses a submission. A repeat of an accepted job is never refused: it gets the job's state, whatever it says now. */
+  /**
+   * Answers a submission with `refused`, unless the job was accepted before: a repeated submission is never refused,
+   * even if its content has changed, and gets the job's state.
+   */
   refuseUnlessAccepted(id: string, refused: Answer): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.map(this.reader.statusOf(id), (status) =>
       status.kind === "absent" ? refused : answer(200, jobAnswer(id, this.userStateOf(id, status))),
--- a/src/service/api/status-query-batcher.ts
+++ b/src/service/api/status-query-batcher.ts
@@ -1,4 +1,4 @@
-/** Users' questions that come together are one request to the state service. */
+/** Batches concurrent status queries of users into few requests to the state service. */
 import * as Deferred from "effect/Deferred";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -12,40 +12,39 @@
 
 interface StatusQuery {
   readonly id: string;
-  /** The keys that must not exist for a non-final answer, or for 404. */
+  /** The keys that must be absent for a status other than `final`. */
   readonly absentKeys: readonly string[];
-  /** Whether the job is unfinished as far as is known here. */
+  /** Whether the cache has the job as unfinished; if not, it is expected to be absent. */
   readonly isUnfinished: boolean;
   readonly answer: Deferred.Deferred<JobStatus, StateError>;
 }
 
-/** Users wait 2 s for an answer, so a moment's gathering costs them nothing and saves a request each. */
+/** How long queries are collected for a batch. Clients wait 2 s for an answer, so this delay costs them nothing. */
 const BATCHING_DELAY = Duration.millis(250);
-/** A question that this node's share of requests can't serve within this is answered 503 at once. */
+/** A query that has waited this long for this node's share of the request rate is answered 503. */
 const MAX_PACING_WAIT = Duration.millis(800);
 const MAX_QUEUED = 2000;
 const MAX_DEFERRED = 5000;
-/** Transactions for one batch, each without those that failed before; whoever is left is read on its own. */
+/** Checks of one batch, each without the queries that failed the one before; those left over are read singly. */
 const MAX_CHECKS_PER_BATCH = 3;
-/** Batches checked, and jobs read, at a time. */
 const CONCURRENT_BATCHES = 2;
 const CONCURRENT_READS = 8;
 
-/** What the batcher asks the state service with: transactions that only compare, with so many conditions at most. */
+/** The state service, and the most conditions that one of its transactions can have. */
 export interface BatcherOptions {
   readonly state: Pick<StateClient, "commit">;
   readonly maxConditions: number;
 }
 
-/** Gathers questions for a moment, then answers each. */
+/** Collects queries for a short time, and answers them together. */
 export class StatusQueryBatcher {
   private queued: StatusQuery[] = [];
   private flushScheduled = false;
-  /** Questions that got no answer, the oldest first: they go before others, so that no job's are deferred for ever. */
+  /** Jobs whose queries failed, ranked from the oldest failure. They go first, so that no job waits for ever. */
   private readonly deferred = new Map<string, number>();
   private lastDeferredRank = 0;
 
-  /** Questions that a batch can't answer go to `reader`. */
+  /** Jobs whose status a batch can't show are read with `reader`. */
   constructor(
     private readonly options: BatcherOptions,
     private readonly jobCache: JobCache,
@@ -53,7 +52,7 @@
     private readonly reader: JobRecordReader,
   ) {}
 
-  /** The status of a job, whose outcome isn't known here, as of a moment after the call. */
+  /** The status, at some moment after the call, of a job whose outcome isn't known here. */
   ask(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.gen(this, function* () {
       if (this.queued.length >= MAX_QUEUED) return yield* new TooManyQueries({ why: "busy" });
@@ -73,7 +72,7 @@
     });
   }
 
-  /** An unfinished job rests on its own commit and on those of all before it that aren't known to be done. */
+  /** For an unfinished job, its own commit and those of its ancestors that aren't known to be done. */
   private absentKeysOf(id: string, isUnfinished: boolean): string[] {
     if (!isUnfinished) return [keys.commit(id), keys.job(id), keys.blockedJob(id)];
     return [id, ...this.ancestors.ancestorsNotDone(id)].map(keys.commit);
@@ -98,7 +97,7 @@
     return ranked.map(({ question }) => question);
   }
 
-  /** Batches that one transaction compares each, unless a single question has more keys than that. */
+  /** Batches that fit into one transaction each, except where a single query has too many keys for one. */
   private toBatches(questions: readonly StatusQuery[]): StatusQuery[][] {
     const batches: StatusQuery[][] = [];
     let batch: StatusQuery[] = [];
@@ -115,7 +114,7 @@
     return batches;
   }
 
-  /** One comparing transaction shows for all that no commit exists; whoever fails it is read. */
+  /** Checks all absent keys of a batch in one transaction; jobs of which a key exists are read singly. */
   private answerBatch(batch: readonly StatusQuery[]): Effect.Effect<void> {
     const readAll = (questions: readonly StatusQuery[]): Effect.Effect<void> =>
       Effect.forEach(questions, (question) => this.answerByReading(question), {
@@ -152,8 +151,8 @@
   }
 
   /**
-   * Which of these keys exist; null: some do, and the state service doesn't say which. Commits stay for ever, so more
-   * keys than one transaction compares are asked for one transaction after the other.
+   * Which of these keys exist; null if some do and the state service doesn't say which. Commits are never deleted, so
+   * if there are more keys than one transaction can check, several transactions in a row give a valid result.
    */
   private existing(keysToCheck: readonly string[]): Effect.Effect<Set<string> | null, StateError> {
     return Effect.gen(this, function* () {
@@ -163,7 +162,7 @@
         const when = keysToCheck
           .slice(at, at + maxConditions)
           .map((key): Condition => ({ key, revision: 0 }));
-        // users' questions wait for this node's share, so that renewals and commits never do
+        // users' queries wait for this node's share of the request rate, so that lease renewals and commits needn't
         const result = yield* state.commit(when, [], "later", MAX_PACING_WAIT);
         if (result.ok === true) continue;
         if (result.ok === null || result.failed.length === 0) return null;
@@ -173,13 +172,13 @@
     });
   }
 
-  /** None of its keys exists: what is known here holds, unless something was heard of it since the question came. */
+  /** None of the absent keys exists: answers from the cache, unless it has changed since the query came in. */
   private answerFromCache(question: StatusQuery): Effect.Effect<boolean> {
     const { id } = question;
     if (!question.isUnfinished) return this.succeed(question, { kind: "absent" });
     const released = this.jobCache.releasedJobs.get(id);
     const blocked = this.jobCache.blockedJobs.get(id);
-    // it ended in the meantime, more was heard of what it depends on, or something before it was not heard of yet
+    // the ancestor's commit wasn't checked, or the ancestor isn't cached as unfinished (it ended, or isn't known yet)
     const isUnchecked = (ancestor: string): boolean =>
       !question.absentKeys.includes(keys.commit(ancestor)) || !this.jobCache.isUnfinished(ancestor);
     if (released === undefined && this.ancestors.ancestorsNotDone(id).some(isUnchecked))
--- a/src/service/api/submissions.ts
+++ b/src/service/api/submissions.ts
@@ -1,4 +1,4 @@
-/** Submissions: checks, and the write that accepts a job which depends on no other. */
+/** Submissions: checks them, and accepts the jobs that depend on no other. */
 import * as Effect from "effect/Effect";
 import { unschedulableReason } from "../../core/placement/admission.js";
 import { keys } from "../../core/records.js";
@@ -19,9 +19,9 @@
 import type { StatusQueryFailure, StatusQueries } from "./status-queries.js";
 import { commitForUser } from "./user-writes.js";
 
-/** Handles users' submissions, which are repeated until they get a final answer. */
+/** Handles submissions. Users repeat a submission until it gets a final answer. */
 export class SubmissionHandler {
-  /** Jobs that depend on others are passed on to `dependentSubmissions` once they are checked. */
+  /** Jobs that depend on others are handed to `dependentSubmissions` after the checks. */
   constructor(
     private readonly limits: SubmissionLimits,
     private readonly state: StateClient,
@@ -31,7 +31,7 @@
     private readonly log: Log,
   ) {}
 
-  /** Accepts a job, tells the state of one that is known, or refuses one that can never run. */
+  /** Accepts a new job, answers with the state of a known one, or refuses one that can never run. */
   submit(body: string): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const parsed = parseSubmission(body);
@@ -51,7 +51,7 @@
     });
   }
 
-  /** The accepting write, which also releases the job. */
+  /** Writes the job's record, which accepts and releases the job. */
   private accept({ wire, spec }: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.gen(this, function* () {
       const { id } = spec;
@@ -59,7 +59,7 @@
       const result = yield* commitForUser(this.state, newJobConditions(id), [
         { put: keys.job(id), value: record },
       ]);
-      // the state service refuses before it compares: this may be a repeat of an accepted job all the same
+      // a rejection comes before the conditions are compared, so the job may have been accepted before
       if (result.ok === null)
         return yield* this.statusQueries.refuseUnlessAccepted(id, recordRejectedAnswer(result.error));
       if (!result.ok) return yield* this.statusQueries.answerRepeatedSubmission(id);
--- a/src/service/api/user-writes.ts
+++ b/src/service/api/user-writes.ts
@@ -1,7 +1,8 @@
 /**
- * Writes that a user waits for: submissions and cancels. They keep to no pace, so one that meets a burst of other changes
- * is refused by the state service for its rate. The rate mostly allows its one to three changes within some hundred
- * milliseconds, while a user who is refused comes back only after a second or more; so it is sent again a few times.
+ * Writes that a user waits for: submissions and cancels. They aren't paced, so during a burst of other changes the
+ * state service may refuse one for exceeding its rate. Usually it has room for the one to three changes of such a
+ * write within a few hundred milliseconds, while a refused user retries only after a second or more; so the write is
+ * retried here.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -15,10 +16,13 @@
 } from "../../io/state-client.js";
 
 const RETRY_INTERVAL = Duration.millis(150);
-/** How often a write is sent again after its first attempt. */
+/** Attempts after the first one. */
 export const MAX_RETRIES = 4;
 
-/** A compare-and-swap for a user. Only what was certainly not carried out, and only for its rate, is sent again; any other failure is told at once. */
+/**
+ * A transaction on behalf of a user. It is retried only if the state service refused it for its rate, and so
+ * certainly didn't carry it out; any other failure is returned at once.
+ */
 export const commitForUser = (
   state: StateClient,
   when: readonly Condition[],
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -1,4 +1,4 @@
-/** One controller: builds its parts, wires them together, and serves users, workers, peers and operators. */
+/** Builds the parts of a controller, wires them together, and serves users, workers, peers and operators. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { leaseTimingsOf, type LeaseTimings } from "../core/leases/term.js";
@@ -21,25 +21,25 @@
 import { shardExtension, Shards } from "./shards/shards.js";
 
 /**
- * Shares of the platform's limit of sockets. When other nodes are down all workers and users come to this one, so what
- * is kept open to workers gives way to them.
+ * Shares of the platform's limit of open sockets. If other nodes are down, all users and workers connect to this one,
+ * so idle connections to workers are closed to make room for them.
  */
 const API_CONNECTION_SHARE = 0.85;
 const WORKER_CALL_CONNECTION_SHARE = 0.06;
 const IDLE_WORKER_CONNECTION_SHARE = 0.3;
-/** The state service, the cloud and the other nodes. */
+/** For the state service, the cloud and the other nodes. */
 const OTHER_CONNECTION_SHARE = 0.05;
 
-/** A watch of the jobs is answered within this share of the time for which a view of them counts as fresh. */
+/** The timeout of a watch of the jobs, as a share of the time for which a view of them counts as fresh. */
 const WATCH_TIMEOUT_PER_VIEW_AGE = 0.2;
 const MAX_WATCH_TIMEOUT = Duration.seconds(2);
-/** Conditions in one transaction for each change that it may hold. */
+/** A transaction may have this many conditions for each change that it may have. */
 const CONDITIONS_PER_CHANGE = 4;
-/** A machine's last contact is kept for this long after its expiry. */
+/** How long after its expiry a machine's last contact is still remembered. */
 const CONTACT_RETENTION_AFTER_EXPIRY = Duration.seconds(20);
 const MIN_LIST_INTERVAL_S = 2;
 
-/** What the parts are built from. */
+/** What all other parts are built on. */
 interface BaseServices {
   readonly settings: Settings;
   readonly log: Log;
@@ -48,16 +48,16 @@
   readonly state: StateClient;
   readonly cloud: CloudClient;
   readonly peers: Peers;
-  /** Open connections of users and workers: none until the API server, which is built last, counts them. */
+  /** Counts the open connections of users and workers; 0 until the API server is built, which comes last. */
   readonly apiConnections: { count: () => number };
 }
 
-/** How this node takes part in the cluster, whether it leads or not. */
+/** The parts by which this node takes part in the cluster, whether or not it leads. */
 interface Cluster {
   readonly jobCache: JobCache;
   readonly membership: Membership;
   readonly member: Member;
-  /** null: shards are off. */
+  /** null if the settings turn shards off. */
   readonly shards: Shards | null;
 }
 
@@ -199,7 +199,7 @@
   return new ApiServer(options, state, jobCache, status, member, leader, log);
 };
 
-/** Whoever changes the term, the jobs or their outcomes tells the parts that rest on them. */
+/** Connects the parts that change the term, jobs or outcomes to those that have to know of the changes. */
 const wireListeners = ({
   jobCache,
   membership,
@@ -237,14 +237,14 @@
   return { ...base, ...cluster, status, leader, apiServer };
 };
 
-/** What operators are told where the settings don't turn shards on. */
+/** The answer to operators if the settings don't turn shards on. */
 const answerShardsOff = (): Effect.Effect<OperatorAnswer> =>
   Effect.succeed({
     status: 409,
     body: JSON.stringify({ reason: "shards are off in this controller's settings" }),
   });
 
-/** Scheduling goes on without the operators' socket: an operator can ask another controller. */
+/** A failure to open the operators' socket is only logged: operators can use another controller's. */
 const serveOperatorsIfConfigured = ({ settings, shards, log }: Controller): Effect.Effect<void> => {
   const { operatorsSocket } = settings.operator;
   if (operatorsSocket === null) return Effect.void;
@@ -253,7 +253,9 @@
     shards === null ? answerShardsOff : (request) => shards.operator.answerOrForward(request),
   ).pipe(
     Effect.catchAll((error) =>
-      Effect.sync(() => log.error({ reason: error.message, operatorsSocket }, "no operators' socket")),
+      Effect.sync(() =>
+        log.error({ reason: error.message, operatorsSocket }, "can't open the operators' socket"),
+      ),
     ),
   );
 };
@@ -272,7 +274,7 @@
     log.info({ front: settings.apiBind, peers: settings.peerBind }, "listening");
   });
 
-/** Runs until the process is killed; fails only when a socket can't be bound. */
+/** Runs a controller until the process is killed; fails only if a socket can't be bound. */
 export const runController = (settings: Settings, log: Log): Effect.Effect<void, Error> =>
   Effect.gen(function* () {
     const controller = buildController(settings, log);
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -1,6 +1,6 @@
 /**
- * The unfinished jobs and the machine types, as the state service has them, a moment behind. How far behind bounds what
- * this node may do (S9): see `currentAsOf`.
+ * A cache of the unfinished jobs and the machine types in the state service. It lags a little behind, and how far it
+ * lags limits what this node may do (S9); see `currentAsOf`.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -21,23 +21,24 @@
 import type { Log } from "../io/log.js";
 import type { StateClient } from "../io/state-client.js";
 
-/** A released job, as its record says. */
+/** A released job. */
 export interface ReleasedJob {
   readonly spec: JobSpec;
   /** The revision of its record. */
   readonly revision: number;
-  /** About when it was accepted, and when the last job that it needs was done, on this node's steady clock. */
+  /** About when it was accepted, and when the last of its parents was done, on this node's monotonic clock. */
   readonly acceptedAt: Instant;
   readonly releasedAt: Instant;
 }
 
-/** A job that waits for others; its record becomes that of the released job. */
+/** A job that waits for its parents, the jobs that it depends on. */
 export interface BlockedJob {
   readonly spec: JobSpec;
   /** The revision of its record. */
   readonly revision: number;
-  /** About when it was accepted, on this node's steady clock. */
+  /** About when it was accepted, on this node's monotonic clock. */
   readonly acceptedAt: Instant;
+  /** Its record as it was read, from which the record of the released job is made. */
   readonly record: object;
 }
 
@@ -46,17 +47,21 @@
   readonly revision: number;
 }
 
-/** Why a job's record isn't in the cache: the job's end was seen before, or the record can't be read. */
+/**
+ * Why a job's record isn't cached: `over`: the job's end was seen before; `malformed`: the record can't be parsed.
+ */
 export type UnusableRecord = "over" | "malformed";
 
-/** How many ended jobs are remembered. */
 const MAX_ENDED_JOBS = 20_000;
-/** A little patience: one answer then holds several changes. Only the leader starts what comes; others can wait. */
+/**
+ * The pause between two watches, so that one answer has several changes. The leader's is shorter, since it starts the
+ * jobs that come in.
+ */
 const BATCHING_DELAY = Duration.millis(500);
 const LEADER_BATCHING_DELAY = Duration.millis(150);
 const RELIST_PAUSE = Duration.millis(300);
 const RETRY_PAUSE = Duration.millis(500);
-/** How often the machine types are read: while none are known, and from then on. */
+/** How often the machine types are read: while none are known, and afterwards. */
 const TYPES_INTERVAL_UNTIL_KNOWN = Duration.seconds(0.3);
 const TYPES_INTERVAL = Duration.seconds(30);
 
@@ -66,33 +71,36 @@
   return date === null ? now() : instantOfDate(date);
 };
 
-/** Watches the jobs for as long as `run` runs, and takes in what this process reads and writes in between. */
+/** Follows the jobs by a watch while `run` runs, and also takes in records that this process reads or writes. */
 export class JobCache {
   /** Released jobs, by id. */
   readonly releasedJobs = new Map<string, ReleasedJob>();
-  /** Jobs that wait for others, by id. */
+  /** Blocked jobs, by id. */
   readonly blockedJobs = new Map<string, BlockedJob>();
-  /** The fan-in sets of waiting jobs and of those released since, by id. */
+  /** The fan-in sets of blocked jobs, and of jobs that were blocked and have been released, by id. */
   readonly fanins = new Map<string, Fanin>();
-  /** Which waiting jobs wait for which. */
+  /** Which jobs the blocked jobs depend on. */
   readonly dependencies = new BlockedJobs();
-  /** Jobs whose end was seen: a late answer that still has their record must not bring them back. */
+  /** Jobs whose end was seen, the oldest first: a late answer that still has their record must not restore them. */
   private readonly ended = new Set<string>();
-  /** The machine types; empty: not known yet. */
+  /** The machine types; empty if they aren't known yet. */
   types: readonly MachineType[] = [];
-  /** Whether all unfinished jobs were read once. */
+  /** Whether all unfinished jobs have been read once. */
   isReady = false;
-  /** When the last request was sent whose answer showed every job that had ended by then; null: none yet (S9). */
+  /**
+   * Every job that had ended by this time is known here to have ended. It is the time at which the latest answered
+   * list or watch was sent; null before the first answer (S9).
+   */
   currentAsOf: Instant | null = null;
-  /** Whether this process leads: then changes are read sooner. Set once, before `run`, as are the listeners. */
+  /** Whether this node leads; changes are then read more often. Set once before `run`, like the listeners below. */
   isLeading: () => boolean = () => false;
-  /** A job was released, or was first seen so. */
+  /** A released job was first seen. */
   onReleased: (job: ReleasedJob) => void = () => undefined;
   /** An unfinished job ended. */
   onEnded: (id: string) => void = () => undefined;
-  /** A job that waits for others was first seen. */
+  /** A blocked job was first seen. */
   onBlocked: (job: BlockedJob) => void = () => undefined;
-  /** It waits no longer: it was released, and then is among `releasedJobs`, or cancelled. */
+  /** A job is no longer blocked: it was released, and is then among `releasedJobs`, or cancelled. */
   onUnblocked: (id: string) => void = () => undefined;
   /** The machine types were read. */
   onTypes: (types: readonly MachineType[]) => void = () => undefined;
@@ -100,11 +108,11 @@
   constructor(
     private readonly state: StateClient,
     private readonly log: Log,
-    /** How long a watch may wait for changes: until it is answered, nobody knows that there were none. */
+    /** How long a watch waits for changes. Until it is answered, `currentAsOf` stays behind. */
     private readonly watchTimeout = Duration.seconds(2),
   ) {}
 
-  /** The machine types, as they were read from the state service or the cloud. */
+  /** Sets the machine types, as read from the state service or the cloud. */
   setTypes(rows: readonly WireMachineType[]): void {
     this.types = toMachineTypes(rows);
     this.onTypes(this.types);
@@ -115,7 +123,7 @@
     return this.ended.has(id);
   }
 
-  /** A job record that was read. */
+  /** Adds a released job's record that was read or written. */
   putReleased(key: string, value: unknown, revision: number): ReleasedJob | UnusableRecord {
     const id = key.slice(keys.jobs.length);
     const known = this.releasedJobs.get(id);
@@ -123,7 +131,7 @@
     if (this.ended.has(id)) return "over";
     const spec = decodeJobRecord(id, value);
     if (spec === null) {
-      this.log.error({ job: id }, "job record can't be read");
+      this.log.error({ job: id }, "can't parse a job record");
       return "malformed";
     }
     const acceptedAt = acceptanceInstantOf(value);
@@ -136,7 +144,7 @@
     return job;
   }
 
-  /** A waiting job's record that was read. */
+  /** Adds a blocked job's record that was read or written. */
   putBlocked(key: string, value: unknown, revision: number): BlockedJob | ReleasedJob | UnusableRecord {
     const id = key.slice(keys.blockedJobs.length);
     const known = this.blockedJobs.get(id) ?? this.releasedJobs.get(id);
@@ -144,7 +152,7 @@
     if (this.ended.has(id)) return "over";
     const spec = decodeJobRecord(id, value);
     if (spec === null) {
-      this.log.error({ job: id }, "waiting job's record can't be read");
+      this.log.error({ job: id }, "can't parse a blocked job's record");
       return "malformed";
     }
     const job = { spec, revision, acceptedAt: acceptanceInstantOf(value), record: value as object };
@@ -154,7 +162,7 @@
     return job;
   }
 
-  /** A fan-in set that was read or written; an older one than the known changes nothing. */
+  /** Adds a fan-in set that was read or written, unless a newer one is cached. */
   putFanin(id: string, value: unknown, revision: number): void {
     const record = decodeFanin(value);
     const known = this.fanins.get(id);
@@ -162,7 +170,7 @@
     this.fanins.set(id, { ...record, revision });
   }
 
-  /** Released or waiting: it has no commit yet, as far as is known here. */
+  /** Whether the job is cached as released or blocked, and so has no commit yet as far as is known here. */
   isUnfinished(id: string): boolean {
     return this.releasedJobs.has(id) || this.blockedJobs.has(id);
   }
@@ -173,7 +181,7 @@
     this.onUnblocked(id);
   }
 
-  /** The job ended: its commit was seen, or its record is gone. */
+  /** Removes a job that has ended: its commit was seen, or its record was deleted. */
   remove(id: string): void {
     this.ended.add(id);
     if (this.ended.size > MAX_ENDED_JOBS) {
@@ -185,7 +193,7 @@
     if (this.releasedJobs.delete(id) || wasBlocked) this.onEnded(id);
   }
 
-  /** A row of whatever concerns unfinished jobs. */
+  /** Adds a record of any kind that unfinished jobs have. */
   private putRow({ key, value, revision }: Row): void {
     if (key.startsWith(keys.jobs)) this.putReleased(key, value, revision);
     else if (key.startsWith(keys.blockedJobs)) this.putBlocked(key, value, revision);
@@ -197,12 +205,14 @@
     else if (key.startsWith(keys.fanins)) this.fanins.delete(key.slice(keys.fanins.length));
     else if (key.startsWith(keys.blockedJobs)) {
       const id = key.slice(keys.blockedJobs.length);
-      // a release writes the job's record in the same change; without one the job was cancelled
+      // a release writes the released job's record in the same transaction; without that, the job was cancelled
       if (this.blockedJobs.has(id)) this.remove(id);
     }
   }
 
-  /** Takes in a list of all that concerns unfinished jobs. What it doesn't hold, and isn't newer, is gone. */
+  /**
+   * Takes in a list of all records of unfinished jobs. Cached ones that aren't in it, and aren't newer, are removed.
+   */
   private replaceAll(rows: readonly Row[], listRevision: number): void {
     const present = new Set(rows.map((row) => row.key));
     for (const row of rows) this.putRow(row);
@@ -215,7 +225,7 @@
   }
 
   private applyEvents(events: readonly WatchEvent[]): void {
-    // what was written first: a release deletes the waiting job's record in the change that writes the job's
+    // writes before deletes: a release writes the released job's record and deletes the blocked job's at once
     for (const { key, value, revision } of events)
       if (value !== undefined) this.putRow({ key, value, revision });
     for (const { key, value } of events) if (value === undefined) this.removeRow(key);
@@ -230,7 +240,7 @@
     let { revision } = list;
     for (;;) {
       const askedAt = now();
-      // an answer that was long on its way says little about now: the next one is asked for at once
+      // if the last answer was slow, the view is old: a watch with no timeout is answered at once
       const isLate = hasElapsed(askedAt, this.currentAsOf, Duration.times(this.watchTimeout, 2));
       const answer = yield* this.state.watch(
         keys.unfinished,
@@ -243,7 +253,9 @@
       yield* Effect.sleep(this.isLeading() ? LEADER_BATCHING_DELAY : BATCHING_DELAY);
     }
   }).pipe(
-    Effect.catchAll((error) => Effect.sync(() => this.log.debug({ reason: error._tag }, "job watch ended"))),
+    Effect.catchAll((error) =>
+      Effect.sync(() => this.log.debug({ reason: error._tag }, "watch of jobs failed; listing them again")),
+    ),
     Effect.zipRight(Effect.sleep(RELIST_PAUSE)),
     Effect.forever,
   );
@@ -257,6 +269,6 @@
     Effect.forever,
   );
 
-  /** Never ends; what fails is tried again. */
+  /** Follows the jobs and the machine types for ever; failures are retried. */
   readonly run = Effect.all([this.jobLoop, this.typeLoop], { concurrency: 2, discard: true });
 }
--- a/src/service/operators-server.ts
+++ b/src/service/operators-server.ts
@@ -1,4 +1,4 @@
-/** The operators' socket: JSON over HTTP on a loopback address, for the command line on the same machine. */
+/** The operators' socket: JSON over HTTP on a loopback address, used by the command line on the same machine. */
 import http from "node:http";
 import * as Effect from "effect/Effect";
 import { listen, readBody } from "../io/server.js";
@@ -14,7 +14,7 @@
 
 const stringOrEmpty = (value: unknown): string => (typeof value === "string" ? value : "");
 
-/** The request of a path and its body, or the answer to one that there isn't. Throws where the body is no JSON. */
+/** The parsed request, or the answer to one that doesn't exist. Throws if the body isn't JSON. */
 const parseRequest = (method: string, path: string, body: Buffer): OperatorRequest | OperatorAnswer => {
   const request = (verb: OperatorRequest["verb"], name = "", target = "", epoch = -1): OperatorRequest => ({
     verb,
@@ -37,7 +37,7 @@
   return refusal(404, "no such command");
 };
 
-/** Listens for operators; each request is answered by `handle`. Fails when the address can't be bound. */
+/** Starts the operators' socket, whose requests `handle` answers. Fails if the address can't be bound. */
 export const serveOperators = (
   bind: string,
   handle: (request: OperatorRequest) => Effect.Effect<OperatorAnswer>,
--- a/src/service/rejection-backoff.ts
+++ b/src/service/rejection-backoff.ts
@@ -1,6 +1,6 @@
 /**
- * Records that the state service rejects as they are (400: too large, for instance). The same record gets the same
- * answer, so it is tried again ever more rarely, and logged now and then.
+ * Backoff for writes that the state service rejects with 400, for instance because a record is too large. The same
+ * write would be rejected again, so it is retried with growing pauses, and logged at a limited rate.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -10,10 +10,10 @@
 import type { Log } from "../io/log.js";
 import type { CommitResult } from "../io/state-client.js";
 
-/** Rejections of one kind of record are logged this often at most. */
+/** The shortest time between two log lines about one kind of write. */
 const LOG_INTERVAL = Duration.seconds(10);
 
-/** Growing pauses by kind of record, and by id where one kind has many records. */
+/** Keeps a backoff for each kind of write, and for each id where one kind writes many records. */
 export class RejectionBackoff {
   private readonly backoffs = new Map<string, Backoff>();
   private readonly loggedAt = new Map<string, Instant>();
@@ -21,14 +21,14 @@
   constructor(private readonly log: Log) {}
 
   /**
-   * A record was rejected. Logs it, and says how long to wait before the next attempt. `id`: one of many records of
-   * that kind, with pauses of its own.
+   * Notes a rejection, logs it, and gives the time to wait before the next attempt. With `id`, the record has a
+   * backoff of its own among those of its kind.
    */
   noteRejection(kind: string, error: string, id = ""): Duration.Duration {
     const last = this.loggedAt.get(kind);
     if (last === undefined || hasElapsed(now(), last, LOG_INTERVAL)) {
       this.loggedAt.set(kind, now());
-      this.log.warn({ kind, id, reason: error }, "record rejected by the state service");
+      this.log.warn({ kind, id, reason: error }, "write rejected by the state service");
     }
     const key = `${kind} ${id}`;
     let backoff = this.backoffs.get(key);
@@ -36,12 +36,12 @@
     return backoff.refused();
   }
 
-  /** A record was accepted: its next rejection counts as the first. */
+  /** Resets the backoff of a write, after it was accepted. */
   reset(kind: string, id = ""): void {
     this.backoffs.delete(`${kind} ${id}`);
   }
 
-  /** Waits after a rejection, and not at all after any other answer. For loops that would send the record again. */
+  /** Waits if the result is a rejection, for loops that would otherwise send the same write again at once. */
   sleepIfRejected(kind: string, result: CommitResult): Effect.Effect<void> {
     if (result.ok === null) return Effect.sleep(this.noteRejection(kind, result.error));
     this.reset(kind);
--- a/src/service/shards/handoff-requests.ts
+++ b/src/service/shards/handoff-requests.ts
@@ -1,14 +1,16 @@
-/** What the leader asks other controllers in a handoff: the target whether it takes a shard, the owner to release it. */
+/**
+ * The leader's requests to other controllers in a handoff: an offer to the target, a release request to the owner.
+ */
 import * as Effect from "effect/Effect";
 import type { Refusal, ReleaseRequest } from "#shards";
 import { decodeRefusal, type RefusalText, type ShardOffer } from "../../io/shard-codec.js";
 import type { Peers } from "../members/peers.js";
 import type { ShardMember } from "./shard-member.js";
 
-/** The answer to a request: a refusal; null, the controller agrees; undefined, no answer came. */
+/** The answer to a request: a refusal, null if the controller agrees, or undefined if there was no answer. */
 export type HandoffAnswer = Refusal | null | undefined;
 
-/** Sends each request to the controller that it is for, which may be this one. */
+/** Sends each request to its controller, which may be this one. */
 export class HandoffRequests {
   constructor(
     private readonly me: string,
@@ -16,7 +18,7 @@
     private readonly peers: Peers,
   ) {}
 
-  /** Asks the target of a handoff whether it could serve the shard. */
+  /** Asks the target of a handoff whether it can take the shard. */
   offer(target: string, offer: ShardOffer): Effect.Effect<HandoffAnswer> {
     return this.send(
       target,
@@ -34,7 +36,9 @@
     );
   }
 
-  /** This process answers itself directly; one that isn't reached, or knows no shards, has given no answer. */
+  /**
+   * This controller answers within the process. One that can't be reached, or has shards turned off, gives undefined.
+   */
   private send<Failure>(
     controller: string,
     askSelf: () => Effect.Effect<Refusal | null>,
--- a/src/service/shards/machines-of-shards.ts
+++ b/src/service/shards/machines-of-shards.ts
@@ -1,4 +1,4 @@
-/** The machines of each shard, as the leader's scheduler knows them. */
+/** The machines of each shard, from the leader's scheduler. */
 import type { ShardId } from "#shards";
 import type { Machine } from "../../core/cluster/cluster.js";
 import { fencingTokenOf } from "../../core/leases/term.js";
@@ -7,17 +7,17 @@
 import type { Locked } from "../leader/locked.js";
 import type { ShardView } from "./shard-view.js";
 
-/** Workers that the target of a handoff is to ask. */
+/** How many workers the target of a handoff probes. */
 const MAX_SAMPLES = 3;
 
-/** Looks machines up by shard. Each look goes through all machines of the cluster. */
+/** Looks up machines by shard. Each lookup scans all machines of the cluster. */
 export class MachinesOfShards {
   constructor(
     private readonly scheduler: Locked<Scheduler>,
     private readonly view: ShardView,
   ) {}
 
-  /** The machines of every shard that has one. */
+  /** The machines of every shard; shards without machines are left out. */
   byShard(): ReadonlyMap<ShardId, readonly Machine[]> {
     const byShard = new Map<ShardId, Machine[]>();
     this.scheduler.with((scheduler) => {
@@ -40,12 +40,15 @@
     );
   }
 
-  /** Some of a shard's workers that answer at present, with the fencing tokens of this term, for the target to ask. */
+  /**
+   * Some of a shard's workers that answer at present, with their fencing tokens in this term, for the target to
+   * probe.
+   */
   sampleWorkers(shard: ShardId, term: number): readonly SampleWorker[] {
     const samples: SampleWorker[] = [];
     for (const machine of this.of(shard)) {
       const { addr, workerEpoch, fencingTokenStep, confirmed, lastHeartbeatAt, unansweredBatches } = machine;
-      // one that is still booting, or silent, says nothing about the target
+      // a worker that is booting or silent says nothing about whether the target can reach workers
       const isAnswering = confirmed && lastHeartbeatAt !== null && unansweredBatches === 0;
       if (addr === null || !isAnswering) continue;
       samples.push({
--- a/src/service/shards/move-log.ts
+++ b/src/service/shards/move-log.ts
@@ -1,17 +1,16 @@
-/** How recent moves ended, and for how long a shard isn't tried again after a refusal. */
+/** The outcomes of recent moves, and the backoff of each shard after refused moves. */
 import * as Duration from "effect/Duration";
 import { describeRefusal, type EndedAttempt, type MoveReason, type RequestedBy, type ShardId } from "#shards";
 import { type Instant, instant, hasElapsed, plus } from "../../core/time.js";
 
-/** Moves of which the outcome is known; the oldest is forgotten first. */
 const MAX_REMEMBERED = 200;
-/** The pause after the first refusal of a shard; each further one doubles it. */
+/** The backoff of a shard after its first refusal; each further refusal doubles it. */
 const MIN_BACKOFF = Duration.seconds(2);
 const MAX_BACKOFF = Duration.seconds(60);
-/** A shard that moved stays where it is for so long, unless its owner is to be emptied. */
+/** How long a shard that has moved isn't moved again just to balance the load. */
 const MIN_STAY_AFTER_MOVE = Duration.seconds(30);
 
-/** What became of a move, for operators. */
+/** The state or result of a move, as operators see it. */
 export interface MoveOutcome {
   readonly move: string;
   readonly shard: ShardId;
@@ -19,7 +18,7 @@
   readonly target: string;
   readonly by: RequestedBy;
   readonly outcome: "running" | "done" | "refused";
-  /** Why it was refused; empty otherwise. */
+  /** Why it was refused; empty if it wasn't. */
   readonly reason: string;
   readonly tookMs: number;
 }
@@ -29,13 +28,13 @@
   readonly until: Instant;
 }
 
-/** The memory of one leader. */
+/** The moves of one leader; kept in memory only. */
 export class MoveLog {
   private readonly outcomes = new Map<string, MoveOutcome>();
   private readonly backoffs = new Map<ShardId, RefusalBackoff>();
   private readonly movedAt = new Map<ShardId, Instant>();
 
-  /** A move began. */
+  /** Records a move, or replaces its record; the oldest moves are dropped. */
   record(outcome: MoveOutcome): void {
     this.outcomes.set(outcome.move, outcome);
     if (this.outcomes.size <= MAX_REMEMBERED) return;
@@ -43,7 +42,7 @@
     if (oldest !== undefined) this.outcomes.delete(oldest);
   }
 
-  /** A move ended. Each refusal of a shard doubles the pause before it is proposed again. */
+  /** Records the end of a move; a refusal doubles the shard's backoff. */
   recordEnd(attempt: EndedAttempt, now: Instant): MoveOutcome {
     const { request, refusal } = attempt;
     const outcome: MoveOutcome = {
@@ -64,21 +63,21 @@
     return outcome;
   }
 
-  /** A move was refused before it began, or on its way. */
+  /** Records a refusal, whether before a move began or later: doubles the shard's backoff. */
   recordRefusal(shard: ShardId, now: Instant): void {
     const refusals = (this.backoffs.get(shard)?.refusals ?? 0) + 1;
     const backoff = Duration.min(MAX_BACKOFF, Duration.times(MIN_BACKOFF, 2 ** Math.min(refusals - 1, 10)));
     this.backoffs.set(shard, { refusals, until: plus(now, backoff) });
   }
 
-  /** Whether the rebalancer leaves the shard alone for now. */
+  /** Whether the rebalancer may not propose the shard now, because of a refusal or a recent move. */
   isBlocked(shard: ShardId, reason: MoveReason, now: Instant): boolean {
     if (now < (this.backoffs.get(shard)?.until ?? instant(-Infinity))) return true;
     const movedAt = this.movedAt.get(shard);
     return reason === "balance" && movedAt !== undefined && !hasElapsed(now, movedAt, MIN_STAY_AFTER_MOVE);
   }
 
-  /** One move; undefined: this leader doesn't know it. */
+  /** One move; undefined if this leader doesn't know it. */
   outcomeOf(move: string): MoveOutcome | undefined {
     return this.outcomes.get(move);
   }
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -1,4 +1,4 @@
-/** The leader's part in handoffs: brings the coordinator, the rebalancer and the core's facts together while it leads. */
+/** The leader's part in handoffs: runs the coordinator and the rebalancer on what the scheduler knows of machines. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import {
@@ -33,47 +33,51 @@
 
 const STEP_INTERVAL = Duration.millis(100);
 const PLAN_INTERVAL = Duration.seconds(1);
-/** A process that is back within this needs no records: its machines hardly moved. */
+/** Repairs wait this long after a term began: if a process is back by then, its shards need no new records. */
 const REPAIR_DELAY_AFTER_TERM = Duration.seconds(1);
-/** Moves by themselves wait until workers have found their controllers again after a change of term. */
+/** The rebalancer waits this long after a change of term, until workers have found their controllers again. */
 const PLAN_DELAY_AFTER_TERM = Duration.seconds(5);
-/** What a controller's settings say of its part as leader. */
+
+/** Settings for a controller's part as leader. */
 export interface ShardLeaderOptions {
   readonly me: string;
   readonly maxConcurrentMoves: number;
-  /** How far the busiest controller may be above the least busy, as a share of their mean. */
+  /**
+   * How much the busiest controller's load may exceed the least busy one's before shards move, as a share of the
+   * mean.
+   */
   readonly hysteresis: number;
   /** The time between two heartbeats of a worker. */
   readonly heartbeatInterval: Duration.Duration;
-  /** Conditions and changes that the state service takes in one transaction. */
+  /** The most conditions and changes that the state service takes in one transaction. */
   readonly txnOps: number;
   readonly fencingWindow: Duration.Duration;
 }
 
-/** What the leader's side of handoffs works with. */
+/** The services that `ShardLeader` uses. */
 export interface ShardLeaderDependencies {
   readonly view: ShardView;
   readonly writer: ShardWriter;
   readonly requests: HandoffRequests;
   readonly membership: Membership;
   readonly state: StateClient;
-  /** Moves for trials; null: none. */
+  /** Makes test moves; null if the settings don't ask for any. */
   readonly exerciser: ShardMoveExerciser | null;
   readonly log: Log;
 }
 
-/** What exists only while this node leads. */
+/** State that exists only while this node leads. */
 interface LeadershipState {
   readonly scheduler: Locked<Scheduler>;
   readonly machines: MachinesOfShards;
   readonly coordinator: Coordinator;
   readonly moves: MoveLog;
-  /** The shards whose machines got no commands at the last look. */
+  /** The shards that were paused at the last step: no commands were sent to their machines. */
   paused: ReadonlySet<ShardId>;
   plannedAt: Instant | null;
 }
 
-/** The leader's side of handoffs. */
+/** The leader's part in handoffs. */
 export class ShardLeader implements MoveRequester {
   private leading: LeadershipState | null = null;
   private readonly loads: ShardLoads;
@@ -101,7 +105,7 @@
     this.loads = new ShardLoads(options.heartbeatInterval);
   }
 
-  /** This node leads from now on. */
+  /** Called when this node becomes the leader. */
   startLeading(scheduler: Locked<Scheduler>): void {
     this.leading = {
       scheduler,
@@ -113,36 +117,36 @@
     };
   }
 
-  /** This node doesn't lead any more. */
+  /** Called when this node stops being the leader. */
   stopLeading(): void {
     this.leading = null;
   }
 
-  /** Whether this node leads and may act. */
+  /** Whether this node leads and may act as the leader at present. */
   get isLeading(): boolean {
     return this.leading !== null && this.membership.isActingLeader();
   }
 
-  /** Whether no commands may be sent to a machine now. */
+  /** Whether no commands may be sent to a machine at present, because its shard is being handed over. */
   isPaused(machine: string, zone: string): boolean {
     const { leading, view } = this;
     if (leading === null || !this.isAnyPaused(leading)) return false;
     return leading.coordinator.isPaused(view.assignment, view.shardOf(machine, zone));
   }
 
-  /** In quiet times no shard is, and then no hash is looked up. */
+  /** Whether any shard may be paused. Mostly none is, and then `isPaused` needn't compute the machine's shard. */
   private isAnyPaused(leading: LeadershipState): boolean {
     return leading.coordinator.moveCount > 0 || leading.paused.size > 0 || this.view.assignment.hasHandoffs;
   }
 
-  /** A batch of commands was sent to a machine. */
+  /** Counts a batch of commands that was sent to a machine. */
   countCommandBatch(machine: string, zone: string): void {
     this.loads.commandsSent(this.view.shardOf(machine, zone));
   }
 
   // --- moves -----------------------------------------------------------------------------------------------
 
-  /** Tries a move; the refusal, or the name under which its outcome is known. */
+  /** Starts a move. Gives its id, for `outcomeOf`, or the refusal. */
   requestMove(shard: ShardId, target: string, by: MoveRequest["by"]): Refusal | string {
     const { leading } = this;
     if (leading === null || !this.membership.isActingLeader())
@@ -162,7 +166,7 @@
     return id;
   }
 
-  /** Gives up a move of a shard. */
+  /** Cancels the move of a shard; gives the refusal, or null. */
   cancelMove(shard: ShardId): Refusal | null {
     const { leading } = this;
     if (leading === null) return Refusal.NotLeader({ member: this.options.me });
@@ -172,7 +176,7 @@
     return null;
   }
 
-  /** What became of a move; undefined: this leader doesn't know it. */
+  /** The state or result of a move; undefined if this leader doesn't know it. */
   outcomeOf(move: string): MoveOutcome | undefined {
     return this.leading?.moves.outcomeOf(move);
   }
@@ -182,14 +186,14 @@
     return this.leading?.moves.latest(limit) ?? [];
   }
 
-  /** Whether a controller's present process is to be emptied. */
+  /** Whether a controller is being drained. A drain applies to one process of a controller, not to later ones. */
   isDraining(member: string): boolean {
     const incarnation = this.view.drains.get(member);
     const members = this.view.assignment.term?.members ?? [];
     return members.some((candidate) => candidate.name === member && candidate.incarnation === incarnation);
   }
 
-  /** The machines of each shard, as this leader knows them. */
+  /** The machines of each shard; empty if this node doesn't lead. */
   machinesByShard(): ReadonlyMap<ShardId, readonly Machine[]> {
     return this.leading?.machines.byShard() ?? new Map<ShardId, readonly Machine[]>();
   }
@@ -226,13 +230,13 @@
       }
       case "ended": {
         const outcome = leading.moves.recordEnd(action.attempt, now());
-        this.log.info({ ...outcome }, "a move of a shard ended");
+        this.log.info({ ...outcome }, "shard move ended");
         return;
       }
     }
   }
 
-  /** Tells the coordinator, unless this node has stopped leading meanwhile. */
+  /** Passes an answer to the coordinator, unless this leadership has ended meanwhile. */
   private applyAnswer(
     leading: LeadershipState,
     answer: (input: CoordinatorInput) => readonly CoordinatorAction[],
@@ -277,7 +281,7 @@
 
   // --- the loop --------------------------------------------------------------------------------------------
 
-  /** Shards whose machines may be given commands again. */
+  /** Sends commands again to the machines of shards that are no longer paused. */
   private resumeCommands(leading: LeadershipState): void {
     const { assignment } = this.view;
     const handoffs = assignment.recordedShards().map(([shard]) => shard);
@@ -319,7 +323,7 @@
       this.plan(leading, this.loads.loadsOf(counts));
   }).pipe(
     Effect.catchAllCause((cause) =>
-      Effect.sync(() => this.log.error({ cause: cause.toString() }, "a step of the shards failed")),
+      Effect.sync(() => this.log.error({ cause: cause.toString() }, "shard leader step failed")),
     ),
   );
 
@@ -330,11 +334,11 @@
     const writes = repairsOf(this.view.assignment, counts, isMoving, maxWrites);
     if (writes.length === 0) return Effect.void;
     return Effect.map(this.writer.write(writes), (outcome) => {
-      this.log.info({ shards: writes.map((write) => write.shard), outcome }, "writes down owners of shards");
+      this.log.info({ shards: writes.map((write) => write.shard), outcome }, "shard repair writes finished");
     });
   }
 
-  /** A drain ends with the process that it was for. */
+  /** Deletes the drains of processes that have been replaced by a new one. */
   private readonly deleteEndedDrains = Effect.suspend(() => {
     const members = this.view.assignment.term?.members ?? [];
     const ended = [...this.view.drains]
@@ -361,7 +365,7 @@
     for (const { shard, target, reason } of moves) this.requestMove(shard, target, reason);
   }
 
-  /** The weight of each controller's shards. */
+  /** The load of each controller, in messages a second. */
   weights(): ReadonlyMap<string, number> {
     const counts = new Map([...this.machinesByShard()].map(([shard, machines]) => [shard, machines.length]));
     const weights = new Map<string, number>();
@@ -372,6 +376,6 @@
     return weights;
   }
 
-  /** Goes on with moves, repairs and plans for ever; does nothing while this node doesn't lead. */
+  /** Advances moves, repairs records and plans new moves, for ever; idle while this node doesn't lead. */
   readonly run = Effect.forever(this.step);
 }
--- a/src/service/shards/shard-loads.ts
+++ b/src/service/shards/shard-loads.ts
@@ -1,28 +1,28 @@
-/** What each shard costs its owner, by what the leader sees. */
+/** The load that each shard puts on its owner, as measured by the leader. */
 import * as Duration from "effect/Duration";
 import type { ShardId, ShardLoad } from "#shards";
 
-/** The share of the newest second in the smoothed rate of commands. */
+/** The weight of the latest second in the exponentially smoothed rate of command batches. */
 const SMOOTHING = 0.1;
-/** Batches a second below which a rate is forgotten. */
+/** Rates below this many batches a second are dropped. */
 const NEGLIGIBLE_RATE = 1e-3;
 
-/** Counts commands by shard; the rest follows from the machines. */
+/** Counts batches of commands by shard; the load of heartbeats follows from the number of machines. */
 export class ShardLoads {
   /** Batches of commands since the last call of `updateRates`. */
   private readonly batchesSinceUpdate = new Map<ShardId, number>();
-  /** Smoothed batches a second; shards without commands have no entry. */
+  /** Smoothed rates in batches a second; shards without commands have no entry. */
   private readonly rates = new Map<ShardId, number>();
 
   /** `heartbeatInterval`: the time between two heartbeats of a worker. */
   constructor(private readonly heartbeatInterval: Duration.Duration) {}
 
-  /** A batch of commands to a machine of the shard. */
+  /** Counts a batch of commands to a machine of the shard. */
   commandsSent(shard: ShardId): void {
     this.batchesSinceUpdate.set(shard, (this.batchesSinceUpdate.get(shard) ?? 0) + 1);
   }
 
-  /** Another second is over. */
+  /** Updates the smoothed rates; called once a second. */
   updateRates(): void {
     for (const shard of new Set([...this.batchesSinceUpdate.keys(), ...this.rates.keys()])) {
       const before = this.rates.get(shard) ?? 0;
@@ -33,7 +33,7 @@
     this.batchesSinceUpdate.clear();
   }
 
-  /** The loads of shards with so many machines each. */
+  /** The loads of shards, given the number of machines of each. */
   loadsOf(machines: ReadonlyMap<ShardId, number>): ReadonlyMap<ShardId, ShardLoad> {
     const seconds = Duration.toSeconds(this.heartbeatInterval);
     return new Map(
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -1,4 +1,4 @@
-/** A controller's own part in handoffs: answers offers, releases what it is asked to, takes what it was given. */
+/** A member's part in handoffs: answers offers, releases shards on request, and takes shards released to it. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { type Refusal, type ReleaseRequest, type ShardId, type ShardWrite } from "#shards";
@@ -9,10 +9,10 @@
 import type { ShardView } from "./shard-view.js";
 import type { ShardWriter } from "./shard-writer.js";
 
-/** How often what was released is looked for, beside each change that is read. */
+/** Shards to take are looked for at least this often, and after every change of the records. */
 const TAKE_INTERVAL = Duration.millis(500);
 
-/** The member's side of handoffs. */
+/** The member's part in handoffs. */
 export class ShardMember {
   private readonly taking = new Set<ShardId>();
 
@@ -21,12 +21,12 @@
     private readonly writer: ShardWriter,
     private readonly membership: Membership,
     private readonly workers: WorkerClient,
-    /** How many more connections this node has room for. */
+    /** How many more connections this node can take. */
     private readonly freeConnections: () => number,
     private readonly log: Log,
   ) {}
 
-  /** The leader offers a shard: whether this node could serve it. */
+  /** Answers the leader's offer of a shard: null if this node can take it, else the refusal. */
   answerOffer(offer: ShardOffer): Effect.Effect<Refusal | null> {
     return Effect.map(this.reachesAnyWorker(offer.workers), (reachesWorkers) =>
       this.view.ownerView.answerOffer(offer, {
@@ -37,7 +37,7 @@
     );
   }
 
-  /** A question without commands, such as the leader puts too, shows whether a worker is in reach. */
+  /** Whether any of the workers answers an empty batch of commands, which the leader also uses to probe workers. */
   private reachesAnyWorker(workers: readonly SampleWorker[]): Effect.Effect<boolean> {
     if (workers.length === 0) return Effect.succeed(true);
     const probes = workers.map(({ addr, session: workerEpoch, token }) =>
@@ -51,7 +51,7 @@
     );
   }
 
-  /** The leader asks to release a drained shard. From the moment of sending it isn't counted here any more. */
+  /** Answers the leader's request to release a drained shard. The shard counts as released once the write is sent. */
   answerRelease(request: ReleaseRequest): Effect.Effect<Refusal | null> {
     return Effect.sync(() => {
       const step = this.view.ownerView.answerRelease(request);
@@ -64,7 +64,10 @@
 
   private release(write: ShardWrite): Effect.Effect<void> {
     return Effect.map(this.writer.write([write]), (outcome) => {
-      this.log.info({ shard: write.shard, epoch: write.state.epoch, outcome }, "releases a shard");
+      this.log.info(
+        { shard: write.shard, epoch: write.state.epoch, outcome },
+        "shard release write finished",
+      );
     });
   }
 
@@ -74,14 +77,14 @@
     this.taking.add(shard);
     return this.writer.write([write]).pipe(
       Effect.tap((outcome) =>
-        Effect.sync(() => this.log.info({ shard, epoch: state.epoch, outcome }, "takes a shard")),
+        Effect.sync(() => this.log.info({ shard, epoch: state.epoch, outcome }, "shard take write finished")),
       ),
       Effect.ensuring(Effect.sync(() => this.taking.delete(shard))),
       Effect.asVoid,
     );
   }
 
-  /** Takes whatever was released to this node. */
+  /** Takes the shards that are released to this node, for ever. */
   readonly run = Effect.gen(this, function* () {
     yield* this.view.changed.wait(TAKE_INTERVAL);
     if (!this.membership.mayAct()) return;
@@ -91,7 +94,7 @@
     });
   }).pipe(
     Effect.catchAllCause((cause) =>
-      Effect.sync(() => this.log.error({ cause: cause.toString() }, "taking shards failed")),
+      Effect.sync(() => this.log.error({ cause: cause.toString() }, "taking released shards failed")),
     ),
     Effect.forever,
   );
--- a/src/service/shards/shard-move-exerciser.ts
+++ b/src/service/shards/shard-move-exerciser.ts
@@ -1,6 +1,6 @@
 /**
- * Moves for trials: the leader moves one shard after the other, and empties a controller now and then, so that a day on the
- * bench has handoffs in it that no operator asked for. The setting `shards.rehearsal_s` turns it on.
+ * Test moves, turned on by the setting `shards.rehearsal_s`: the leader moves one shard after another and drains a
+ * controller now and then, so that load tests exercise handoffs without an operator's requests.
  */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -9,18 +9,17 @@
 import { type Instant, hasElapsed } from "../../core/time.js";
 import type { StateClient } from "../../io/state-client.js";
 
-/** After so many moves comes a drain. */
 const MOVE_TURNS_BEFORE_DRAIN = 8;
-/** How many moves a drain lasts. */
+/** A drain lasts this many turns, in which no single moves are started. */
 const DRAIN_TURNS = 4;
 
-/** Whoever carries out moves: the leader's side of handoffs. */
+/** Starts moves. Implemented by `ShardLeader`. */
 export interface MoveRequester {
-  /** Tries a move; the refusal, or the name under which its outcome is known. */
+  /** Starts a move. Gives its id or the refusal. */
   requestMove(shard: ShardId, target: string, by: MoveRequest["by"]): Refusal | string;
 }
 
-/** Takes turns between moves, the beginning of a drain and its end. */
+/** Cycles through a number of single moves and one drain. */
 export class ShardMoveExerciser {
   private lastMoveAt: Instant | null = null;
   private turn = 0;
@@ -33,7 +32,7 @@
     private readonly state: StateClient,
   ) {}
 
-  /** Moves, drains or ends a drain, if it is time. Refusals are left to the log of moves: the next turn tries another shard. */
+  /** Takes the next turn if the interval has passed. After a refusal the next turn simply tries another shard. */
   step(
     requester: MoveRequester,
     assignment: Assignment,
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -1,4 +1,4 @@
-/** What operators ask about shards: answered by the leader, which other controllers pass the question on to. */
+/** Operators' requests about shards. The leader answers them; other controllers forward them to the leader. */
 import * as Effect from "effect/Effect";
 import { describeRefusal, parseShardId, Refusal, type ShardId, type ShardState } from "#shards";
 import { shardKeys } from "../../core/shards/shard-keys.js";
@@ -10,12 +10,12 @@
 import type { ShardLeader } from "./shard-leader.js";
 import type { ShardView } from "./shard-view.js";
 
-/** Statuses of HTTP. */
+/** HTTP status codes. */
 const OK = 200;
 const NOT_FOUND = 404;
 const REFUSED = 409;
 const UNAVAILABLE = 503;
-/** Moves that a listing shows. */
+/** How many moves a listing shows. */
 const LATEST_MOVES = 20;
 
 /** One shard as operators see it. */
@@ -34,7 +34,7 @@
   readonly zone: string;
   readonly shards: number;
   readonly machines: number;
-  /** Messages a second. */
+  /** The load of its shards, in messages a second. */
   readonly weight: number;
   readonly draining: boolean;
 }
@@ -67,7 +67,7 @@
   }
 };
 
-/** Answers operators' questions and carries out their commands. */
+/** Answers operators' queries and carries out their commands. */
 export class ShardOperator {
   constructor(
     private readonly me: string,
@@ -78,7 +78,7 @@
     private readonly peers: Peers,
   ) {}
 
-  /** A request that came to this controller's operators' socket. */
+  /** Answers a request from this controller's operators' socket, through the leader if that is another controller. */
   answerOrForward(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
     if (this.leader.isLeading) return this.answerLocally(request);
     const leader = this.membership.term?.leader;
@@ -88,16 +88,16 @@
         : Effect.orElseSucceed(this.peers.operate(leader, request), () => null);
     return Effect.flatMap(forwarded, (leaderAnswer) => {
       if (leaderAnswer !== null) return Effect.succeed(leaderAnswer);
-      // what this node has read is better than nothing
+      // without a leader, a listing of what this node has read is still useful
       if (request.verb === "list") return this.answerLocally(request);
       const reason = describeRefusal(Refusal.NotLeader({ member: this.me }));
       return Effect.succeed(answer(UNAVAILABLE, { refusal: "NotLeader", reason }));
     });
   }
 
-  /** A request that this node is to answer itself. */
+  /** Answers a request on this node. */
   answerLocally(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
-    // one that has stopped leading meanwhile knows no machines, and must not take a shard for unknown
+    // without the leader's view of the machines, a shard without a record would look unknown
     if (request.verb !== "list" && !this.leader.isLeading)
       return Effect.succeed(refused(Refusal.NotLeader({ member: this.me })));
     switch (request.verb) {
@@ -172,7 +172,7 @@
     return typeof move === "string" ? answer(OK, { move, shard, target }) : refused(move);
   }
 
-  /** A shard of a zone that the cluster has. */
+  /** A shard that has a record or machines; null if there is none of that name. */
   private knownShard(name: string): ShardId | null {
     const shard = parseShardId(name);
     if (shard === null) return null;
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -1,4 +1,4 @@
-/** What this process has read of shards: follows `shards/` in the state service, and the terms. */
+/** This process's view of the shards: follows the keys under `shards/` in the state service, and the term. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import {
@@ -20,34 +20,36 @@
 import type { StateClient } from "../../io/state-client.js";
 import { Signal } from "../signal.js";
 
-/** How long one watch stays open without a change. */
+/** How long a watch without changes stays open. */
 const WATCH_TIMEOUT = Duration.seconds(10);
-/** Between two watches, so that a burst of changes is read at once. */
+/** The pause between two watches, so that a burst of changes is read in one batch. */
 const WATCH_INTERVAL = Duration.millis(20);
-/** After a failed reading, before everything is read anew. */
+/** The pause after a failure, before all records are listed again. */
 const RETRY_DELAY = Duration.millis(300);
-/** For so long after a change of owner commands go by the new one, whoever passed on the machine's last heartbeat. */
+/**
+ * How long after a change of owner commands go through the new owner, whoever relayed the machine's last heartbeat.
+ */
 const NEW_OWNER_PERIOD = Duration.seconds(10);
-/** Machines whose shard is remembered: the hash is made once for each. */
+/** The size of the cache of machines' shards, which saves computing the hash again. */
 const MAX_CACHED_MACHINES = 20_000;
 
-/** A change under `shards/`; `value` undefined: the key was deleted. */
+/** A change of a key under `shards/`; `value` is undefined if the key was deleted. */
 interface KeyChange {
   readonly key: string;
   readonly revision: number;
   readonly value?: unknown;
 }
 
-/** The shards, drains and the verdict of the leader, as far as this process has read. */
+/** The owners of shards, the drains, and the last term with shards enabled, as far as this process has read them. */
 export class ShardView {
   private current: OwnerView;
   private learnedAt: Instant = now();
-  /** Controllers that are to be emptied, and which of their processes. */
+  /** Controllers that are being drained, with the incarnation of the process that the drain applies to. */
   readonly drains = new Map<string, number>();
   private enabledTerm = 0;
   private readonly ownerChangedAt = new Map<ShardId, Instant>();
   private readonly shardOfMachine = new Map<string, ShardId>();
-  /** Notified whenever something changed. */
+  /** Notified after every change. */
   readonly changed = new Signal();
 
   constructor(
@@ -59,35 +61,35 @@
     this.current = OwnerView.create(me, Assignment.empty);
   }
 
-  /** This controller's part, as of now: settled once a fencing window has passed since it heard of its term. */
+  /** What this controller owns; settled once a fencing window has passed since it learned of its term. */
   get ownerView(): OwnerView {
     if (!this.current.isSettled && hasElapsed(now(), this.learnedAt, withClockDrift(this.fencingWindow)))
       this.current = this.current.settle();
     return this.current;
   }
 
-  /** Who owns what. */
+  /** The owners of all shards. */
   get assignment(): Assignment {
     return this.current.assignment;
   }
 
-  /** When this process heard of the present term. */
+  /** When this process learned of the present term. */
   get termLearnedAt(): Instant {
     return this.learnedAt;
   }
 
-  /** A new term, with the revision of its record. */
+  /** Sets a new term; `revision` is that of its record. */
   setTerm(term: TermRecord, revision: number): void {
     this.learnedAt = now();
     this.replace(this.current.withTerm({ number: term.number, revision, members: term.members }));
   }
 
-  /** A release is about to be sent: from now on this controller doesn't count the shard. */
+  /** Notes that a release is about to be sent: from now on this controller doesn't count the shard as its own. */
   releaseSent(write: ShardWrite): void {
     this.current = this.current.releaseSent(write);
   }
 
-  /** A record that this process wrote. */
+  /** Takes in a record that this process has written. */
   recordWritten(shard: ShardId, stored: StoredShard): void {
     this.replace(this.current.withAssignment(this.assignment.withOwnWrite(shard, stored)));
   }
@@ -103,8 +105,8 @@
   }
 
   /**
-   * The owner of a machine; undefined: shards aren't in force. Right after a term began its records aren't read yet, and
-   * what was known before holds, since sending workers back and forth would serve nobody.
+   * The owner of a machine; undefined if shards aren't in force. Right after a term began, until its records have
+   * been read, the previous records apply, so that workers aren't redirected to another controller and back.
    */
   ownerOf(machine: string, zone: string): string | null | undefined {
     const { assignment } = this;
@@ -112,7 +114,10 @@
     return isUsed ? assignment.ownerOfMachine(machine, zone) : undefined;
   }
 
-  /** The owner of a machine whose shard has just got it; null: commands go by whoever passes on its heartbeats. */
+  /**
+   * The owner of a machine whose shard has recently changed owner. null otherwise: commands then go through the
+   * member that relays its heartbeats.
+   */
   newOwnerOf(machine: string, zone: string): string | null {
     if (this.ownerChangedAt.size === 0 || !this.assignment.inForce) return null;
     const shard = this.shardOf(machine, zone);
@@ -144,7 +149,7 @@
       else this.drains.delete(member);
     } else if (key.startsWith(shardKeys.owners)) {
       const shard = parseShardId(key.slice(shardKeys.owners.length));
-      if (shard === null) this.log.warn({ key }, "a record of no shard");
+      if (shard === null) this.log.warn({ key }, "ignored a record whose key names no shard");
       else changes.push(value === undefined ? { shard, revision } : { shard, revision, value });
     }
   }
@@ -165,7 +170,7 @@
     this.replace(this.current.withAssignment(assignment));
   }
 
-  /** Follows the records for ever. */
+  /** Lists the records and watches them for changes, for ever. */
   readonly run = Effect.gen(this, function* () {
     const list = yield* this.state.list(shardKeys.all);
     this.load(list.rows, list.revision);
--- a/src/service/shards/shard-writer.ts
+++ b/src/service/shards/shard-writer.ts
@@ -1,4 +1,4 @@
-/** Carries out the conditional writes of shard records. */
+/** Conditional writes of shard records. */
 import * as Effect from "effect/Effect";
 import { encodeShardState, type ShardWrite, type WriteOutcome } from "#shards";
 import { keys } from "../../core/records.js";
@@ -8,7 +8,7 @@
 import { RejectionBackoff } from "../rejection-backoff.js";
 import type { ShardView } from "./shard-view.js";
 
-/** Writes that rest on the records and the term as they were read. */
+/** Writes shard records on condition that they and the term are unchanged since they were read. */
 export class ShardWriter {
   private readonly rejections: RejectionBackoff;
 
@@ -20,7 +20,7 @@
     this.rejections = new RejectionBackoff(log);
   }
 
-  /** All of these writes, which are of one term, or none. What isn't answered may be carried out yet. */
+  /** Carries out all of these writes, or none; all must be of one term. `unknown`: they may still be carried out. */
   write(writes: readonly ShardWrite[]): Effect.Effect<WriteOutcome> {
     const [first] = writes;
     if (first === undefined) return Effect.succeed("written");
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -1,4 +1,6 @@
-/** Explicit ownership of machines in one controller, wired together. Exists only where the settings turn it on. */
+/**
+ * Explicit ownership of machines by shards, as one controller takes part in it. Built only if the settings enable it.
+ */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { SHARDS_PER_ZONE } from "#shards";
@@ -23,14 +25,14 @@
 import { ShardView } from "./shard-view.js";
 import { ShardWriter } from "./shard-writer.js";
 
-/** What a process says of itself: members use shards only if all of them divide the machines alike. */
+/** What a process announces: shards are used only if all members divide the machines into shards in the same way. */
 interface Announcement {
   readonly version: number;
   readonly shards_per_zone: number;
 }
 const ANNOUNCEMENT: Announcement = { version: 1, shards_per_zone: SHARDS_PER_ZONE };
 
-/** Whether another process announced the same division. */
+/** Whether another process announced the same version and number of shards. */
 const isSameAnnouncement = (value: unknown): boolean =>
   typeof value === "object" &&
   value !== null &&
@@ -39,13 +41,13 @@
   "shards_per_zone" in value &&
   value.shards_per_zone === ANNOUNCEMENT.shards_per_zone;
 
-/** The announcement beside the member key, and the leader's verdict beside the term. */
+/** Writes the announcement with the member key, and with a term whether all its members have announced the same. */
 export const shardExtension = (me: string, state: StateClient): MembershipExtension => ({
   changesOnJoin: (leaseId): Change[] => [{ put: shardKeys.member(me), value: ANNOUNCEMENT, leaseId }],
   changesWithTerm: (token, members: readonly TermMember[]): Effect.Effect<Change[], StateError> =>
     Effect.map(state.list(shardKeys.members), ({ rows }) => {
       const announced = new Map(rows.map((row) => [row.key.slice(shardKeys.members.length), row]));
-      // written in the same transaction as the member key, so it has the same revision
+      // written in the same transaction as the member key, so its revision is the incarnation
       const allAnnounced = members.every(({ name, incarnation }) => {
         const row = announced.get(name);
         return row?.revision === incarnation && isSameAnnouncement(row.value);
@@ -54,25 +56,25 @@
     }),
 });
 
-/** What shards are set up with, beside the services of the controller. */
+/** Settings and limits for shards. */
 export interface ShardOptions {
   readonly me: string;
   readonly settings: ShardSettings;
   readonly timings: LeaseTimings;
-  /** Conditions and changes that the state service takes in one transaction. */
+  /** The most conditions and changes that the state service takes in one transaction. */
   readonly txnOps: number;
-  /** How many more connections this controller has room for. */
+  /** How many more connections this controller can take. */
   readonly freeConnections: () => number;
 }
 
-/** What the rest of the controller sees of shards. */
+/** The parts of shards, for the rest of the controller. */
 export class Shards {
   readonly view: ShardView;
   readonly leader: ShardLeader;
   readonly operator: ShardOperator;
   private readonly member: ShardMember;
 
-  /** Wires the parts together; nothing runs before `run`. */
+  /** Builds the parts; they start with `run`. */
   constructor(
     options: ShardOptions,
     membership: Membership,
@@ -108,7 +110,7 @@
     this.operator = new ShardOperator(me, this.view, this.leader, membership, state, peers);
   }
 
-  /** Who answers a machine's heartbeats; the rendezvous owner where shards aren't in force. */
+  /** Looks up the owner of a machine by shard, and with `fallback` while shards aren't in force. */
   ownerLookup(fallback: OwnerNameLookup): OwnerNameLookup {
     return (term, machine, zone) => {
       const owner = this.view.ownerOf(machine, zone);
@@ -116,20 +118,20 @@
     };
   }
 
-  /** What the leader's core asks. */
+  /** For the leader's scheduler. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.leader.isPaused(machine, zone),
     commandRouteOverride: (machine, zone) => this.view.newOwnerOf(machine, zone),
   };
 
-  /** What other controllers ask. */
+  /** Answers other controllers' requests. */
   readonly handlers: ShardHandlers = {
     offer: (offer) => Effect.map(this.member.answerOffer(offer), encodeRefusal),
     release: (request) => Effect.map(this.member.answerRelease(request), encodeRefusal),
     operate: (request) => this.operator.answerLocally(request),
   };
 
-  /** Follows the records and carries out this controller's part of handoffs, for ever. */
+  /** Follows the records and carries out this controller's part in handoffs, for ever. */
   get run(): Effect.Effect<void> {
     return Effect.all([this.view.run, this.member.run, this.leader.run], {
       concurrency: "unbounded",
--- a/src/service/signal.ts
+++ b/src/service/signal.ts
@@ -1,19 +1,19 @@
-/** A coalescing wake-up call for loops: many calls of `notify` before the next `wait` count as one. */
+/** A coalescing wake-up signal for loops: any number of `notify` calls before the next `wait` count as one. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 
-/** Wakes the one loop that waits for it; a notification while nobody waits is kept for the next wait. */
+/** Wakes the one loop that waits on it. A notification that comes while nothing waits ends the next wait at once. */
 export class Signal {
   private notified = false;
   private wakeWaiter: (() => void) | null = null;
 
-  /** Ends the wait under way, or else the next one at once. */
+  /** Ends the current wait, or else the next one. */
   notify(): void {
     this.notified = true;
     this.wakeWaiter?.();
   }
 
-  /** Ends at the next notification, or after `timeout`. One waiter at a time. */
+  /** Waits for a notification or until `timeout` has passed. Only one wait at a time is allowed. */
   wait(timeout: Duration.Duration): Effect.Effect<void> {
     return Effect.async((resume: (result: Effect.Effect<void>) => void) => {
       const finish = (): void => {
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -136,7 +136,7 @@
   let log = "";
   child.stderr.on("data", (chunk: Buffer) => (log += chunk.toString()));
   await until("it listens", () => log.includes('"msg":"listening"'));
-  assert.match(log, /no operators' socket/);
+  assert.match(log, /can't open the operators' socket/);
   assert.equal(child.exitCode, null);
   child.kill("SIGKILL");
   taken.close();
