--- a/src/cli/shards.ts
+++ b/src/cli/shards.ts
@@ -8,7 +8,7 @@
 const EXIT_REFUSED = 1;
 const DEFAULT_SOCKET = "127.0.0.1:7070";
 const REQUEST_TIMEOUT_MS = 10_000;
-const POLL_MS = 500;
+const POLL_INTERVAL_MS = 500;
 
 interface CommonOptions {
   readonly at: string;
@@ -135,11 +135,11 @@
 
 /** Polls until a move has ended or `waitMs` is over, and gives the last reply. */
 const pollOutcome = async (at: string, move: string, waitMs: number): Promise<Reply> => {
-  for (let left = waitMs; ; left -= POLL_MS) {
+  for (let left = waitMs; ; left -= POLL_INTERVAL_MS) {
     const reply = await callController(at, "GET", `/shards/moves/${encodeURIComponent(move)}`);
     const isOver = reply.status !== 200 || (reply.value as MoveOutcome).outcome !== "running";
     if (isOver || left <= 0) return reply;
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 };
 
@@ -167,7 +167,7 @@
   const started = await callController(options.at, "POST", "/shards/drain", { member });
   if (started.status !== 200 || options.wait === 0)
     return reportReply(options, started, () => `${member} is being drained`);
-  for (let left = options.wait * 1000; ; left -= POLL_MS) {
+  for (let left = options.wait * 1000; ; left -= POLL_INTERVAL_MS) {
     const reply = await callController(options.at, "GET", "/shards/list");
     const listing = reply.value as ShardListing;
     const machines = listing.controllers.find((controller) => controller.name === member)?.machines ?? 0;
@@ -180,7 +180,7 @@
       const reason = `${member} still has ${machines} machines${refused === undefined ? "" : `; the last refusal: ${refused}`}`;
       return reportReply(options, { status: 409, value: { reason, machines } }, () => "");
     }
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 };
 
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -73,7 +73,7 @@
     return Effect.catchAll(this.tryToAccept(submission), (error) => {
       const retryAnswer = retryLater(error.why);
       // if the state service's rate is exceeded, a status query would only delay the answer
-      if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(retryAnswer);
+      if (error._tag !== "TooManyQueries" && isOverTheRate(error)) return Effect.succeed(retryAnswer);
       // a repeated submission of an accepted job gets its answer even if a parent's record can't be read
       return this.statusQueries.refuseUnlessAccepted(submission.spec.id, retryAnswer);
     });
@@ -87,9 +87,13 @@
         return yield* this.statusQueries.refuseUnlessAccepted(id, RECORD_TOO_LARGE_ANSWER);
       const stale = new Set<string>();
       for (let tries = 0; tries < MAX_TRIES; tries++) {
-        const found = yield* Effect.forEach(dependsOn, (parent) => this.parent(parent, stale.has(parent)), {
-          concurrency: CONCURRENT_PARENT_READS,
-        });
+        const found = yield* Effect.forEach(
+          dependsOn,
+          (findParent) => this.parent(findParent, stale.has(findParent)),
+          {
+            concurrency: CONCURRENT_PARENT_READS,
+          },
+        );
         const parents = found.filter((parent) => parent !== null);
         if (parents.length < found.length)
           return yield* this.statusQueries.refuseUnlessAccepted(
@@ -105,7 +109,7 @@
         const result = yield* commitForUser(this.state, conditions, changesOf(id, acceptance));
         if (result.ok === null)
           return yield* this.statusQueries.refuseUnlessAccepted(id, recordRejectedAnswer(result.error));
-        if (result.ok) return this.accepted(spec, acceptance, result.revision);
+        if (result.ok) return this.answerAccepted(spec, acceptance, result.revision);
         if (result.failed.some((key) => ownConditions.some((condition) => condition.key === key)))
           return yield* this.statusQueries.answerRepeatedSubmission(id);
         // a parent was released or ended, so the cache is out of date
@@ -157,7 +161,7 @@
   }
 
   /** Adds what the accepting write wrote to the caches, and answers the submission. */
-  private accepted(job: JobSpec, acceptance: Acceptance, revision: number): Answer {
+  private answerAccepted(job: JobSpec, acceptance: Acceptance, revision: number): Answer {
     const { id } = job;
     logAccepted(this.log, job);
     switch (acceptance.kind) {
@@ -181,7 +185,7 @@
   key: string,
   revision: number,
   ancestorCommitKeys: readonly string[],
-): Parent => ({ id, state: "open", condition: { key, revision }, ancestorCommitKeys: ancestorCommitKeys });
+): Parent => ({ id, state: "open", condition: { key, revision }, ancestorCommitKeys });
 
 const acceptanceOf = (job: JobSpec, record: object, parents: readonly Parent[]): Acceptance => {
   if (parents.some((parent) => parent.state === "cancelled"))
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -16,7 +16,8 @@
   readonly maxWait: Duration.Duration | undefined;
 }
 
-const unreadable = (id: string): Unavailable => new Unavailable({ why: `the record of ${id} can't be read` });
+const unreadableRecord = (id: string): Unavailable =>
+  new Unavailable({ why: `the record of ${id} can't be read` });
 
 /** Reads job records, and caches what it finds. */
 export class JobRecordReader {
@@ -36,7 +37,7 @@
    * this node's share of the request rate.
    */
   read(id: string, maxWait?: Duration.Duration): Effect.Effect<JobStatus, StateError> {
-    const pacing: RequestPacing = { urgency: maxWait === undefined ? "first" : "later", maxWait: maxWait };
+    const pacing: RequestPacing = { urgency: maxWait === undefined ? "first" : "later", maxWait };
     return Effect.gen(this, function* () {
       const known = this.outcomes.get(id);
       if (known !== undefined) return { kind: "final", commit: known } as const;
@@ -45,14 +46,14 @@
       const blockedRow = yield* this.get(keys.blockedJob(id), pacing);
       if (blockedRow !== null) {
         const seen = this.jobCache.putBlocked(blockedRow.key, blockedRow.value, blockedRow.revision);
-        if (seen === "malformed") return yield* unreadable(id);
+        if (seen === "malformed") return yield* unreadableRecord(id);
         if (seen !== "over") return yield* this.readBlocked(id, blockedRow.revision, seen.spec.tasks, pacing);
       }
       const row = yield* this.get(keys.job(id), pacing);
       if (row !== null) {
         const seen = this.jobCache.putReleased(row.key, row.value, row.revision);
         // the record exists, so the job was accepted and the answer can't be 404
-        if (seen === "malformed") return yield* unreadable(id);
+        if (seen === "malformed") return yield* unreadableRecord(id);
         if (seen !== "over")
           return { kind: "open", revision: row.revision, tasks: seen.spec.tasks, blocked: false } as const;
       }
@@ -72,16 +73,16 @@
   ): Effect.Effect<JobStatus, StateError> {
     return Effect.gen(this, function* () {
       // the ancestors read so far, and whether the cache had seen their end by then
-      const wasOverWhenRead = new Map<string, boolean>();
+      const wasEndedWhenRead = new Map<string, boolean>();
       for (;;) {
         // the job was released or ended meanwhile, so its ancestors are no longer known here
         if (!this.jobCache.blockedJobs.has(id)) return yield* this.read(id, pacing.maxWait);
         // an ancestor whose end the cache has seen since is read again: its own ancestors are no longer known here
         const ancestor = this.ancestors
           .ancestorsNotDone(id)
-          .find((candidate) => wasOverWhenRead.get(candidate) !== this.jobCache.isOver(candidate));
+          .find((candidate) => wasEndedWhenRead.get(candidate) !== this.jobCache.isEnded(candidate));
         if (ancestor === undefined) return { kind: "open", revision, tasks, blocked: true } as const;
-        wasOverWhenRead.set(ancestor, this.jobCache.isOver(ancestor));
+        wasEndedWhenRead.set(ancestor, this.jobCache.isEnded(ancestor));
         const outcome = yield* this.ancestorOutcome(ancestor, pacing);
         if (outcome === "cancelled")
           return this.outcomes.rememberFinal(id, yield* this.cancels.cancelBlocked(id, tasks));
@@ -105,7 +106,7 @@
         blockedRow === null
           ? this.jobCache.putReleased(row.key, row.value, row.revision)
           : this.jobCache.putBlocked(row.key, row.value, row.revision);
-      if (seen === "malformed") return yield* unreadable(id);
+      if (seen === "malformed") return yield* unreadableRecord(id);
       return seen === "over" ? yield* this.readOutcome(id, pacing) : null;
     });
   }
@@ -119,10 +120,7 @@
     });
   }
 
-  private get(
-    key: string,
-    { urgency, maxWait: maxWait }: RequestPacing,
-  ): Effect.Effect<Row | null, StateError> {
+  private get(key: string, { urgency, maxWait }: RequestPacing): Effect.Effect<Row | null, StateError> {
     return this.state.get(key, urgency, maxWait);
   }
 }
--- a/src/service/api/job-status.ts
+++ b/src/service/api/job-status.ts
@@ -28,12 +28,7 @@
     this.ancestors = new JobAncestors(jobCache, this.outcomes);
     this.cancels = new CancelPropagation(state, jobCache, this.outcomes, log);
     this.records = new JobRecordReader(state, jobCache, this.outcomes, this.ancestors, this.cancels);
-    this.batcher = new StatusQueryBatcher(
-      { state, maxConditions: maxConditions },
-      jobCache,
-      this.ancestors,
-      this.records,
-    );
+    this.batcher = new StatusQueryBatcher({ state, maxConditions }, jobCache, this.ancestors, this.records);
   }
 
   /** A job's commit; undefined if it isn't known here. */
@@ -50,7 +45,7 @@
   statusOf(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.suspend((): Effect.Effect<JobStatus, StateError | TooManyQueries> => {
       const commit = this.outcomes.get(id);
-      return commit === undefined ? this.batcher.ask(id) : Effect.succeed({ kind: "final", commit });
+      return commit === undefined ? this.batcher.statusOf(id) : Effect.succeed({ kind: "final", commit });
     });
   }
 
--- a/src/service/api/status-query-batcher.ts
+++ b/src/service/api/status-query-batcher.ts
@@ -23,8 +23,8 @@
 const BATCHING_DELAY = Duration.millis(250);
 /** A query that has waited this long for this node's share of the request rate is answered 503. */
 const MAX_PACING_WAIT = Duration.millis(800);
-const MAX_QUEUED = 2000;
-const MAX_DEFERRED = 5000;
+const MAX_QUEUED_QUERIES = 2000;
+const MAX_DEFERRED_JOBS = 5000;
 /** Checks of one batch, each without the queries that failed the one before; those left over are read singly. */
 const MAX_CHECKS_PER_BATCH = 3;
 const CONCURRENT_BATCHES = 2;
@@ -53,15 +53,15 @@
   ) {}
 
   /** The status, at some moment after the call, of a job whose outcome isn't known here. */
-  ask(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
+  statusOf(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.gen(this, function* () {
-      if (this.queued.length >= MAX_QUEUED) return yield* new TooManyQueries({ why: "busy" });
+      if (this.queued.length >= MAX_QUEUED_QUERIES) return yield* new TooManyQueries({ why: "busy" });
       const answer = yield* Deferred.make<JobStatus, StateError>();
       const isUnfinished = this.jobCache.isUnfinished(id);
       this.queued.push({
         id,
         absentKeys: this.absentKeysOf(id, isUnfinished),
-        isUnfinished: isUnfinished,
+        isUnfinished,
         answer,
       });
       if (!this.flushScheduled) {
@@ -80,7 +80,7 @@
 
   private readonly flush: Effect.Effect<void> = Effect.suspend(() => {
     this.flushScheduled = false;
-    const batches = this.toBatches(this.deferredFirst(this.queued));
+    const batches = this.toBatches(this.sortDeferredFirst(this.queued));
     this.queued = [];
     return Effect.forEach(batches, (batch) => this.answerBatch(batch), {
       concurrency: CONCURRENT_BATCHES,
@@ -88,64 +88,64 @@
     });
   });
 
-  private deferredFirst(questions: readonly StatusQuery[]): StatusQuery[] {
-    const ranked = questions.map((question) => ({
-      question,
-      rank: this.deferred.get(question.id) ?? Infinity,
+  private sortDeferredFirst(queries: readonly StatusQuery[]): StatusQuery[] {
+    const ranked = queries.map((query) => ({
+      query,
+      rank: this.deferred.get(query.id) ?? Infinity,
     }));
     ranked.sort((a, b) => (a.rank < b.rank ? -1 : a.rank > b.rank ? 1 : 0));
-    return ranked.map(({ question }) => question);
+    return ranked.map(({ query }) => query);
   }
 
   /** Batches that fit into one transaction each, except where a single query has too many keys for one. */
-  private toBatches(questions: readonly StatusQuery[]): StatusQuery[][] {
+  private toBatches(queries: readonly StatusQuery[]): StatusQuery[][] {
     const batches: StatusQuery[][] = [];
     let batch: StatusQuery[] = [];
     let conditionsLeft = 0;
-    for (const question of questions) {
-      if (question.absentKeys.length > conditionsLeft) {
+    for (const query of queries) {
+      if (query.absentKeys.length > conditionsLeft) {
         batch = [];
         batches.push(batch);
         conditionsLeft = this.options.maxConditions;
       }
-      conditionsLeft -= question.absentKeys.length;
-      batch.push(question);
+      conditionsLeft -= query.absentKeys.length;
+      batch.push(query);
     }
     return batches;
   }
 
   /** Checks all absent keys of a batch in one transaction; jobs of which a key exists are read singly. */
   private answerBatch(batch: readonly StatusQuery[]): Effect.Effect<void> {
-    const readAll = (questions: readonly StatusQuery[]): Effect.Effect<void> =>
-      Effect.forEach(questions, (question) => this.answerByReading(question), {
+    const readAll = (queries: readonly StatusQuery[]): Effect.Effect<void> =>
+      Effect.forEach(queries, (query) => this.answerByReading(query), {
         concurrency: CONCURRENT_READS,
         discard: true,
       });
     return Effect.gen(this, function* () {
-      let left = batch;
-      for (let round = 0; left.length > 0 && round < MAX_CHECKS_PER_BATCH; round++) {
-        const existingKeys = yield* this.existing([
-          ...new Set(left.flatMap((question) => question.absentKeys)),
+      let remaining = batch;
+      for (let round = 0; remaining.length > 0 && round < MAX_CHECKS_PER_BATCH; round++) {
+        const existingKeys = yield* this.findExisting([
+          ...new Set(remaining.flatMap((query) => query.absentKeys)),
         ]);
         if (existingKeys !== null && existingKeys.size === 0) {
-          yield* Effect.forEach(left, (question) => this.answerFromCache(question), {
+          yield* Effect.forEach(remaining, (query) => this.answerFromCache(query), {
             concurrency: CONCURRENT_READS,
             discard: true,
           });
           return;
         }
-        const hasFailed = (question: StatusQuery): boolean =>
-          question.absentKeys.some((key) => existingKeys?.has(key) ?? false);
-        const failed = left.filter(hasFailed);
+        const hasFailed = (query: StatusQuery): boolean =>
+          query.absentKeys.some((key) => existingKeys?.has(key) ?? false);
+        const failed = remaining.filter(hasFailed);
         if (failed.length === 0) break;
-        const others = left.filter((question) => !hasFailed(question));
+        const others = remaining.filter((query) => !hasFailed(query));
         yield* readAll(failed);
-        left = others;
+        remaining = others;
       }
-      yield* readAll(left);
+      yield* readAll(remaining);
     }).pipe(
       Effect.catchAll((error) =>
-        Effect.forEach(batch, (question) => this.fail(question, error), { discard: true }),
+        Effect.forEach(batch, (query) => this.fail(query, error), { discard: true }),
       ),
     );
   }
@@ -154,9 +154,9 @@
    * Which of these keys exist; null if some do and the state service doesn't say which. Commits are never deleted, so
    * if there are more keys than one transaction can check, several transactions in a row give a valid result.
    */
-  private existing(keysToCheck: readonly string[]): Effect.Effect<Set<string> | null, StateError> {
+  private findExisting(keysToCheck: readonly string[]): Effect.Effect<Set<string> | null, StateError> {
     return Effect.gen(this, function* () {
-      const { state, maxConditions: maxConditions } = this.options;
+      const { state, maxConditions } = this.options;
       const found = new Set<string>();
       for (let at = 0; at < keysToCheck.length; at += maxConditions) {
         const when = keysToCheck
@@ -173,20 +173,20 @@
   }
 
   /** None of the absent keys exists: answers from the cache, unless it has changed since the query came in. */
-  private answerFromCache(question: StatusQuery): Effect.Effect<boolean> {
-    const { id } = question;
-    if (!question.isUnfinished) return this.succeed(question, { kind: "absent" });
+  private answerFromCache(query: StatusQuery): Effect.Effect<boolean> {
+    const { id } = query;
+    if (!query.isUnfinished) return this.succeed(query, { kind: "absent" });
     const released = this.jobCache.releasedJobs.get(id);
     const blocked = this.jobCache.blockedJobs.get(id);
     // the ancestor's commit wasn't checked, or the ancestor isn't cached as unfinished (it ended, or isn't known yet)
     const isUnchecked = (ancestor: string): boolean =>
-      !question.absentKeys.includes(keys.commit(ancestor)) || !this.jobCache.isUnfinished(ancestor);
+      !query.absentKeys.includes(keys.commit(ancestor)) || !this.jobCache.isUnfinished(ancestor);
     if (released === undefined && this.ancestors.ancestorsNotDone(id).some(isUnchecked))
-      return this.answerByReading(question);
+      return this.answerByReading(query);
     const job = released ?? blocked;
-    if (job === undefined) return this.answerByReading(question);
+    if (job === undefined) return this.answerByReading(query);
     const { revision, spec } = job;
-    return this.succeed(question, {
+    return this.succeed(query, {
       kind: "open",
       revision,
       tasks: spec.tasks,
@@ -194,21 +194,21 @@
     });
   }
 
-  private answerByReading(question: StatusQuery): Effect.Effect<boolean> {
-    return Effect.matchEffect(this.reader.read(question.id, MAX_PACING_WAIT), {
-      onSuccess: (status) => this.succeed(question, status),
-      onFailure: (error) => this.fail(question, error),
+  private answerByReading(query: StatusQuery): Effect.Effect<boolean> {
+    return Effect.matchEffect(this.reader.read(query.id, MAX_PACING_WAIT), {
+      onSuccess: (status) => this.succeed(query, status),
+      onFailure: (error) => this.fail(query, error),
     });
   }
 
-  private succeed(question: StatusQuery, status: JobStatus): Effect.Effect<boolean> {
-    this.deferred.delete(question.id);
-    return Deferred.succeed(question.answer, status);
+  private succeed(query: StatusQuery, status: JobStatus): Effect.Effect<boolean> {
+    this.deferred.delete(query.id);
+    return Deferred.succeed(query.answer, status);
   }
 
-  private fail(question: StatusQuery, error: StateError): Effect.Effect<boolean> {
-    if (!this.deferred.has(question.id) && this.deferred.size < MAX_DEFERRED)
-      this.deferred.set(question.id, ++this.lastDeferredRank);
-    return Deferred.fail(question.answer, error);
+  private fail(query: StatusQuery, error: StateError): Effect.Effect<boolean> {
+    if (!this.deferred.has(query.id) && this.deferred.size < MAX_DEFERRED_JOBS)
+      this.deferred.set(query.id, ++this.lastDeferredRank);
+    return Deferred.fail(query.answer, error);
   }
 }
--- a/src/service/api/status-types.ts
+++ b/src/service/api/status-types.ts
@@ -15,4 +15,4 @@
   | { readonly kind: "absent" };
 
 /** Too many status queries are queued; the user should send the query again. */
-export class TooManyQueries extends Data.TaggedError("TooManyQuestions")<{ readonly why: string }> {}
+export class TooManyQueries extends Data.TaggedError("TooManyQueries")<{ readonly why: string }> {}
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -128,7 +128,7 @@
 const buildShards = (base: BaseServices, membership: Membership, workers: WorkerClient): Shards => {
   const { settings, timings, state, peers, log, apiConnections } = base;
   const options = {
-    me: settings.member,
+    self: settings.member,
     settings: settings.operator.shards,
     timings,
     txnOps: settings.stateLimits.txnOps,
@@ -216,7 +216,7 @@
     member.termChanged();
   };
   member.isUnfinished = (job) => jobCache.releasedJobs.has(job);
-  member.isEnded = (job) => jobCache.isOver(job);
+  member.isEnded = (job) => jobCache.isEnded(job);
   member.onDone = (job, tasks) => {
     status.remember(job, { outcome: "done", tasks });
     jobCache.remove(job);
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -119,7 +119,7 @@
   }
 
   /** Whether the job's end was seen. */
-  isOver(id: string): boolean {
+  isEnded(id: string): boolean {
     return this.ended.has(id);
   }
 
--- a/src/service/shards/handoff-requests.ts
+++ b/src/service/shards/handoff-requests.ts
@@ -13,7 +13,7 @@
 /** Sends each request to its controller, which may be this one. */
 export class HandoffRequests {
   constructor(
-    private readonly me: string,
+    private readonly self: string,
     private readonly member: ShardMember,
     private readonly peers: Peers,
   ) {}
@@ -44,7 +44,7 @@
     askSelf: () => Effect.Effect<Refusal | null>,
     askPeer: () => Effect.Effect<RefusalText | null, Failure>,
   ): Effect.Effect<HandoffAnswer> {
-    if (controller === this.me) return askSelf();
+    if (controller === this.self) return askSelf();
     return askPeer().pipe(
       Effect.map((answer) => (answer === null ? undefined : decodeRefusal(answer, controller))),
       Effect.orElseSucceed(() => undefined),
--- a/src/service/shards/machines-of-shards.ts
+++ b/src/service/shards/machines-of-shards.ts
@@ -8,7 +8,7 @@
 import type { ShardView } from "./shard-view.js";
 
 /** How many workers the target of a handoff probes. */
-const MAX_SAMPLES = 3;
+const MAX_SAMPLE_WORKERS = 3;
 
 /** Looks up machines by shard. Each lookup scans all machines of the cluster. */
 export class MachinesOfShards {
@@ -56,7 +56,7 @@
         session: Math.max(1, workerEpoch),
         token: fencingTokenOf(term, fencingTokenStep),
       });
-      if (samples.length >= MAX_SAMPLES) break;
+      if (samples.length >= MAX_SAMPLE_WORKERS) break;
     }
     return samples;
   }
--- a/src/service/shards/move-log.ts
+++ b/src/service/shards/move-log.ts
@@ -3,7 +3,7 @@
 import { describeRefusal, type EndedAttempt, type MoveReason, type RequestedBy, type ShardId } from "#shards";
 import { type Instant, instant, hasElapsed, plus } from "../../core/time.js";
 
-const MAX_REMEMBERED = 200;
+const MAX_REMEMBERED_MOVES = 200;
 /** The backoff of a shard after its first refusal; each further refusal doubles it. */
 const MIN_BACKOFF = Duration.seconds(2);
 const MAX_BACKOFF = Duration.seconds(60);
@@ -37,7 +37,7 @@
   /** Records a move, or replaces its record; the oldest moves are dropped. */
   record(outcome: MoveOutcome): void {
     this.outcomes.set(outcome.move, outcome);
-    if (this.outcomes.size <= MAX_REMEMBERED) return;
+    if (this.outcomes.size <= MAX_REMEMBERED_MOVES) return;
     const [oldest] = this.outcomes.keys();
     if (oldest !== undefined) this.outcomes.delete(oldest);
   }
@@ -83,7 +83,7 @@
   }
 
   /** The latest moves, the newest first. */
-  latest(limit: number): readonly MoveOutcome[] {
+  latestMoves(limit: number): readonly MoveOutcome[] {
     return [...this.outcomes.values()].reverse().slice(0, limit);
   }
 }
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -40,7 +40,7 @@
 
 /** Settings for a controller's part as leader. */
 export interface ShardLeaderOptions {
-  readonly me: string;
+  readonly self: string;
   readonly maxConcurrentMoves: number;
   /**
    * How much the busiest controller's load may exceed the least busy one's before shards move, as a share of the
@@ -141,7 +141,7 @@
 
   /** Counts a batch of commands that was sent to a machine. */
   countCommandBatch(machine: string, zone: string): void {
-    this.loads.commandsSent(this.view.shardOf(machine, zone));
+    this.loads.countCommandBatch(this.view.shardOf(machine, zone));
   }
 
   // --- moves -----------------------------------------------------------------------------------------------
@@ -150,10 +150,10 @@
   requestMove(shard: ShardId, target: string, by: MoveRequest["by"]): Refusal | string {
     const { leading } = this;
     if (leading === null || !this.membership.isActingLeader())
-      return Refusal.NotLeader({ member: this.options.me });
+      return Refusal.NotLeader({ member: this.options.self });
     if (this.isDraining(target) && by !== "rehearsal") return Refusal.TargetDraining({ member: target });
     const term = this.membership.term?.number ?? 0;
-    const id = `${this.options.me}-${this.membership.incarnation}-${term}-${++this.moveNumber}`;
+    const id = `${this.options.self}-${this.membership.incarnation}-${term}-${++this.moveNumber}`;
     const request: MoveRequest = { id, shard, target, by };
     const answer = leading.coordinator.startMove(request, this.coordinatorInput(leading));
     if ("_tag" in answer) {
@@ -169,7 +169,7 @@
   /** Cancels the move of a shard; gives the refusal, or null. */
   cancelMove(shard: ShardId): Refusal | null {
     const { leading } = this;
-    if (leading === null) return Refusal.NotLeader({ member: this.options.me });
+    if (leading === null) return Refusal.NotLeader({ member: this.options.self });
     const answer = leading.coordinator.cancel(shard, this.coordinatorInput(leading));
     if ("_tag" in answer) return answer;
     this.carryOut(leading, answer);
@@ -183,7 +183,7 @@
 
   /** The latest moves, the newest first. */
   latestMoves(limit: number): readonly MoveOutcome[] {
-    return this.leading?.moves.latest(limit) ?? [];
+    return this.leading?.moves.latestMoves(limit) ?? [];
   }
 
   /** Whether a controller is being drained. A drain applies to one process of a controller, not to later ones. */
--- a/src/service/shards/shard-loads.ts
+++ b/src/service/shards/shard-loads.ts
@@ -3,9 +3,9 @@
 import type { ShardId, ShardLoad } from "#shards";
 
 /** The weight of the latest second in the exponentially smoothed rate of command batches. */
-const SMOOTHING = 0.1;
+const SMOOTHING_FACTOR = 0.1;
 /** Rates below this many batches a second are dropped. */
-const NEGLIGIBLE_RATE = 1e-3;
+const MIN_BATCHES_PER_SECOND = 1e-3;
 
 /** Counts batches of commands by shard; the load of heartbeats follows from the number of machines. */
 export class ShardLoads {
@@ -18,7 +18,7 @@
   constructor(private readonly heartbeatInterval: Duration.Duration) {}
 
   /** Counts a batch of commands to a machine of the shard. */
-  commandsSent(shard: ShardId): void {
+  countCommandBatch(shard: ShardId): void {
     this.batchesSinceUpdate.set(shard, (this.batchesSinceUpdate.get(shard) ?? 0) + 1);
   }
 
@@ -26,8 +26,8 @@
   updateRates(): void {
     for (const shard of new Set([...this.batchesSinceUpdate.keys(), ...this.rates.keys()])) {
       const before = this.rates.get(shard) ?? 0;
-      const rate = before + SMOOTHING * ((this.batchesSinceUpdate.get(shard) ?? 0) - before);
-      if (rate < NEGLIGIBLE_RATE) this.rates.delete(shard);
+      const rate = before + SMOOTHING_FACTOR * ((this.batchesSinceUpdate.get(shard) ?? 0) - before);
+      if (rate < MIN_BATCHES_PER_SECOND) this.rates.delete(shard);
       else this.rates.set(shard, rate);
     }
     this.batchesSinceUpdate.clear();
--- a/src/service/shards/shard-member.ts
+++ b/src/service/shards/shard-member.ts
@@ -56,7 +56,7 @@
     return Effect.sync(() => {
       const step = this.view.ownerView.answerRelease(request);
       if ("refusal" in step) return step.refusal;
-      this.view.releaseSent(step.write);
+      this.view.markReleaseSent(step.write);
       Effect.runFork(this.release(step.write));
       return null;
     });
@@ -86,7 +86,7 @@
 
   /** Takes the shards that are released to this node, for ever. */
   readonly run = Effect.gen(this, function* () {
-    yield* this.view.changed.wait(TAKE_INTERVAL);
+    yield* this.view.changeSignal.wait(TAKE_INTERVAL);
     if (!this.membership.mayAct()) return;
     yield* Effect.forEach(this.view.ownerView.pendingTakes(), (write) => this.take(write), {
       concurrency: 4,
--- a/src/service/shards/shard-move-exerciser.ts
+++ b/src/service/shards/shard-move-exerciser.ts
@@ -28,7 +28,7 @@
   /** `interval`: the time between two turns. */
   constructor(
     private readonly interval: Duration.Duration,
-    private readonly me: string,
+    private readonly self: string,
     private readonly state: StateClient,
   ) {}
 
@@ -64,7 +64,7 @@
   }
 
   private beginDrain(assignment: Assignment): void {
-    const others = (assignment.term?.members ?? []).filter((member) => member.name !== this.me);
+    const others = (assignment.term?.members ?? []).filter((member) => member.name !== this.self);
     const member = others[this.turn % Math.max(1, others.length)];
     if (member === undefined) return;
     this.drainedMember = member.name;
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -16,7 +16,7 @@
 const REFUSED = 409;
 const UNAVAILABLE = 503;
 /** How many moves a listing shows. */
-const LATEST_MOVES = 20;
+const MAX_LISTED_MOVES = 20;
 
 /** One shard as operators see it. */
 export interface ListedShard {
@@ -70,7 +70,7 @@
 /** Answers operators' queries and carries out their commands. */
 export class ShardOperator {
   constructor(
-    private readonly me: string,
+    private readonly self: string,
     private readonly view: ShardView,
     private readonly leader: ShardLeader,
     private readonly membership: Membership,
@@ -83,14 +83,14 @@
     if (this.leader.isLeading) return this.answerLocally(request);
     const leader = this.membership.term?.leader;
     const forwarded =
-      leader === undefined || leader === this.me
+      leader === undefined || leader === this.self
         ? Effect.succeed(null)
         : Effect.orElseSucceed(this.peers.operate(leader, request), () => null);
     return Effect.flatMap(forwarded, (leaderAnswer) => {
       if (leaderAnswer !== null) return Effect.succeed(leaderAnswer);
       // without a leader, a listing of what this node has read is still useful
       if (request.verb === "list") return this.answerLocally(request);
-      const reason = describeRefusal(Refusal.NotLeader({ member: this.me }));
+      const reason = describeRefusal(Refusal.NotLeader({ member: this.self }));
       return Effect.succeed(answer(UNAVAILABLE, { refusal: "NotLeader", reason }));
     });
   }
@@ -99,7 +99,7 @@
   answerLocally(request: OperatorRequest): Effect.Effect<OperatorAnswer> {
     // without the leader's view of the machines, a shard without a record would look unknown
     if (request.verb !== "list" && !this.leader.isLeading)
-      return Effect.succeed(refused(Refusal.NotLeader({ member: this.me })));
+      return Effect.succeed(refused(Refusal.NotLeader({ member: this.self })));
     switch (request.verb) {
       case "list":
         return Effect.sync(() => answer(OK, this.list()));
@@ -135,13 +135,13 @@
       };
     });
     return {
-      answeredBy: this.me,
+      answeredBy: this.self,
       leader: this.membership.term?.leader ?? null,
       term: assignment.term?.number ?? 0,
       inForce: assignment.inForce,
       controllers,
       shards,
-      moves: this.leader.latestMoves(LATEST_MOVES),
+      moves: this.leader.latestMoves(MAX_LISTED_MOVES),
     };
   }
 
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -50,15 +50,15 @@
   private readonly ownerChangedAt = new Map<ShardId, Instant>();
   private readonly shardOfMachine = new Map<string, ShardId>();
   /** Notified after every change. */
-  readonly changed = new Signal();
+  readonly changeSignal = new Signal();
 
   constructor(
-    me: string,
+    self: string,
     private readonly fencingWindow: Duration.Duration,
     private readonly state: StateClient,
     private readonly log: Log,
   ) {
-    this.current = OwnerView.create(me, Assignment.empty);
+    this.current = OwnerView.create(self, Assignment.empty);
   }
 
   /** What this controller owns; settled once a fencing window has passed since it learned of its term. */
@@ -85,12 +85,12 @@
   }
 
   /** Notes that a release is about to be sent: from now on this controller doesn't count the shard as its own. */
-  releaseSent(write: ShardWrite): void {
+  markReleaseSent(write: ShardWrite): void {
     this.current = this.current.releaseSent(write);
   }
 
   /** Takes in a record that this process has written. */
-  recordWritten(shard: ShardId, stored: StoredShard): void {
+  applyOwnWrite(shard: ShardId, stored: StoredShard): void {
     this.replace(this.current.withAssignment(this.assignment.withOwnWrite(shard, stored)));
   }
 
@@ -134,7 +134,7 @@
       const owner = ownerView.assignment.ownershipOf(shard)?.owner;
       if (owner !== before.ownershipOf(shard)?.owner) this.ownerChangedAt.set(shard, changedAt);
     }
-    this.changed.notify();
+    this.changeSignal.notify();
   }
 
   private applyChange(change: KeyChange, changes: ShardChange[]): void {
--- a/src/service/shards/shard-writer.ts
+++ b/src/service/shards/shard-writer.ts
@@ -39,7 +39,7 @@
         this.rejections.reset("shards");
         if (!result.ok) return Effect.succeed("failed");
         for (const { shard, state } of writes)
-          this.view.recordWritten(shard, { revision: result.revision, state });
+          this.view.applyOwnWrite(shard, { revision: result.revision, state });
         return Effect.succeed("written");
       }),
       Effect.catchAll(() => Effect.succeed("unknown" as const)),
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -42,8 +42,8 @@
   value.shards_per_zone === ANNOUNCEMENT.shards_per_zone;
 
 /** Writes the announcement with the member key, and with a term whether all its members have announced the same. */
-export const shardExtension = (me: string, state: StateClient): MembershipExtension => ({
-  changesOnJoin: (leaseId): Change[] => [{ put: shardKeys.member(me), value: ANNOUNCEMENT, leaseId }],
+export const shardExtension = (self: string, state: StateClient): MembershipExtension => ({
+  changesOnJoin: (leaseId): Change[] => [{ put: shardKeys.member(self), value: ANNOUNCEMENT, leaseId }],
   changesWithTerm: (token, members: readonly TermMember[]): Effect.Effect<Change[], StateError> =>
     Effect.map(state.list(shardKeys.members), ({ rows }) => {
       const announced = new Map(rows.map((row) => [row.key.slice(shardKeys.members.length), row]));
@@ -58,7 +58,7 @@
 
 /** Settings and limits for shards. */
 export interface ShardOptions {
-  readonly me: string;
+  readonly self: string;
   readonly settings: ShardSettings;
   readonly timings: LeaseTimings;
   /** The most conditions and changes that the state service takes in one transaction. */
@@ -83,14 +83,14 @@
     peers: Peers,
     log: Log,
   ) {
-    const { me, settings, timings, txnOps } = options;
-    this.view = new ShardView(me, timings.fencingWindow, state, log);
+    const { self, settings, timings, txnOps } = options;
+    this.view = new ShardView(self, timings.fencingWindow, state, log);
     const writer = new ShardWriter(state, this.view, log);
     this.member = new ShardMember(this.view, writer, membership, workers, options.freeConnections, log);
     const exerciseInterval = settings.rehearseEvery;
     this.leader = new ShardLeader(
       {
-        me,
+        self,
         maxConcurrentMoves: settings.movesAtOnce,
         hysteresis: settings.hysteresis,
         heartbeatInterval: timings.heartbeatInterval,
@@ -100,14 +100,14 @@
       {
         view: this.view,
         writer,
-        requests: new HandoffRequests(me, this.member, peers),
+        requests: new HandoffRequests(self, this.member, peers),
         membership,
         state,
-        exerciser: exerciseInterval === null ? null : new ShardMoveExerciser(exerciseInterval, me, state),
+        exerciser: exerciseInterval === null ? null : new ShardMoveExerciser(exerciseInterval, self, state),
         log,
       },
     );
-    this.operator = new ShardOperator(me, this.view, this.leader, membership, state, peers);
+    this.operator = new ShardOperator(self, this.view, this.leader, membership, state, peers);
   }
 
   /** Looks up the owner of a machine by shard, and with `fallback` while shards aren't in force. */
