--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -41,26 +41,27 @@
     return Effect.gen(this, function* () {
       const known = this.outcomes.get(id);
       if (known !== undefined) return { kind: "final", commit: known } as const;
-      const first = yield* this.get(keys.commit(id), pacing);
-      if (first !== null) return this.outcomes.rememberFinal(id, first.value as CommitRecord);
+      const earlyCommit = yield* this.get(keys.commit(id), pacing);
+      if (earlyCommit !== null) return this.outcomes.rememberFinal(id, earlyCommit.value as CommitRecord);
       const blockedRow = yield* this.get(keys.blockedJob(id), pacing);
       if (blockedRow !== null) {
-        const seen = this.jobCache.putBlocked(blockedRow.key, blockedRow.value, blockedRow.revision);
-        if (seen === "malformed") return yield* unreadableRecord(id);
-        if (seen !== "over") return yield* this.readBlocked(id, blockedRow.revision, seen.spec.tasks, pacing);
+        const cached = this.jobCache.putBlocked(blockedRow.key, blockedRow.value, blockedRow.revision);
+        if (cached === "malformed") return yield* unreadableRecord(id);
+        if (cached !== "over")
+          return yield* this.readBlocked(id, blockedRow.revision, cached.spec.tasks, pacing);
       }
       const row = yield* this.get(keys.job(id), pacing);
       if (row !== null) {
-        const seen = this.jobCache.putReleased(row.key, row.value, row.revision);
+        const cached = this.jobCache.putReleased(row.key, row.value, row.revision);
         // the record exists, so the job was accepted and the answer can't be 404
-        if (seen === "malformed") return yield* unreadableRecord(id);
-        if (seen !== "over")
-          return { kind: "open", revision: row.revision, tasks: seen.spec.tasks, blocked: false } as const;
+        if (cached === "malformed") return yield* unreadableRecord(id);
+        if (cached !== "over")
+          return { kind: "open", revision: row.revision, tasks: cached.spec.tasks, blocked: false } as const;
       }
-      const commit = yield* this.get(keys.commit(id), pacing);
-      return commit === null
+      const lateCommit = yield* this.get(keys.commit(id), pacing);
+      return lateCommit === null
         ? ({ kind: "absent" } as const)
-        : this.outcomes.rememberFinal(id, commit.value as CommitRecord);
+        : this.outcomes.rememberFinal(id, lateCommit.value as CommitRecord);
     });
   }
 
@@ -102,12 +103,12 @@
       const row = blockedRow ?? (yield* this.get(keys.job(id), pacing));
       // it ended between the reads
       if (row === null) return yield* this.readOutcome(id, pacing);
-      const seen =
+      const cached =
         blockedRow === null
           ? this.jobCache.putReleased(row.key, row.value, row.revision)
           : this.jobCache.putBlocked(row.key, row.value, row.revision);
-      if (seen === "malformed") return yield* unreadableRecord(id);
-      return seen === "over" ? yield* this.readOutcome(id, pacing) : null;
+      if (cached === "malformed") return yield* unreadableRecord(id);
+      return cached === "over" ? yield* this.readOutcome(id, pacing) : null;
     });
   }
 
--- a/src/service/controller.ts
+++ b/src/service/controller.ts
@@ -200,7 +200,7 @@
 };
 
 /** Connects the parts that change the term, jobs or outcomes to those that have to know of the changes. */
-const wireListeners = ({
+const connectListeners = ({
   jobCache,
   membership,
   member,
@@ -231,7 +231,7 @@
   const status = new JobStatusReader(state, jobCache, maxConditions(settings), log);
   const jobReleaser = new JobReleaser(state, jobCache, status, log);
   const leader = buildLeader(base, cluster, jobReleaser);
-  wireListeners({ ...base, ...cluster, status, leader });
+  connectListeners({ ...base, ...cluster, status, leader });
   const apiServer = buildApiServer(base, cluster, status, leader);
   apiConnections.count = () => apiServer.openConnections;
   return { ...base, ...cluster, status, leader, apiServer };
--- a/src/service/job-cache.ts
+++ b/src/service/job-cache.ts
@@ -239,9 +239,9 @@
     this.currentAsOf = listedAt;
     let { revision } = list;
     for (;;) {
-      const askedAt = now();
+      const requestedAt = now();
       // if the last answer was slow, the view is old: a watch with no timeout is answered at once
-      const isLate = hasElapsed(askedAt, this.currentAsOf, Duration.times(this.watchTimeout, 2));
+      const isLate = hasElapsed(requestedAt, this.currentAsOf, Duration.times(this.watchTimeout, 2));
       const answer = yield* this.state.watch(
         keys.unfinished,
         revision,
@@ -249,7 +249,7 @@
       );
       this.applyEvents(answer.events);
       revision = answer.revision;
-      this.currentAsOf = askedAt;
+      this.currentAsOf = requestedAt;
       yield* Effect.sleep(this.isLeading() ? LEADER_BATCHING_DELAY : BATCHING_DELAY);
     }
   }).pipe(
--- a/src/service/shards/shard-move-exerciser.ts
+++ b/src/service/shards/shard-move-exerciser.ts
@@ -21,7 +21,7 @@
 
 /** Cycles through a number of single moves and one drain. */
 export class ShardMoveExerciser {
-  private lastMoveAt: Instant | null = null;
+  private lastTurnAt: Instant | null = null;
   private turn = 0;
   private drainedMember: string | null = null;
 
@@ -39,8 +39,8 @@
     loads: ReadonlyMap<ShardId, ShardLoad>,
     now: Instant,
   ): void {
-    if (this.lastMoveAt !== null && !hasElapsed(now, this.lastMoveAt, this.interval)) return;
-    this.lastMoveAt = now;
+    if (this.lastTurnAt !== null && !hasElapsed(now, this.lastTurnAt, this.interval)) return;
+    this.lastTurnAt = now;
     this.turn++;
     const phase = this.turn % (MOVE_TURNS_BEFORE_DRAIN + DRAIN_TURNS);
     if (phase === MOVE_TURNS_BEFORE_DRAIN) this.beginDrain(assignment);
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -118,7 +118,7 @@
     };
   }
 
-  /** For the leader's scheduler. */
+  /** What the leader's scheduler has to know of the ownership of machines. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.leader.isPaused(machine, zone),
     commandRouteOverride: (machine, zone) => this.view.newOwnerOf(machine, zone),
