--- a/src/service/leader/cloud-inventory.ts
+++ b/src/service/leader/cloud-inventory.ts
@@ -70,7 +70,7 @@
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       if (jsonBytes(rows) > this.context.valueBytes) {
-        rejections.rejected(
+        rejections.noteRejection(
           "types",
           "larger than a value may be; each node fetches them from the cloud instead",
         );
@@ -80,7 +80,7 @@
         [{ key: keys.leader, revision: leadership.revision }],
         [{ put: keys.types, value: rows }],
       );
-      if (result.ok === null) rejections.rejected("types", result.error);
+      if (result.ok === null) rejections.noteRejection("types", result.error);
       else this.hasUnwrittenTypes = false;
     }).pipe(Effect.ignore);
   }
--- a/src/service/leader/garbage-collector.ts
+++ b/src/service/leader/garbage-collector.ts
@@ -120,18 +120,18 @@
     this.maxSweepOps = Math.max(1, Math.floor((deletes.length + rewriteOps) / 2));
     if (first !== undefined && others.length + deletes.length === 0) {
       // it would be rejected again and, being the first in line, block all others
-      const pause = rejections.rejected("machine record rewrite", error, first.key);
+      const pause = rejections.noteRejection("machine record rewrite", error, first.key);
       store.postpone(first.key, plus(now(), pause));
       return Effect.void;
     }
-    return Effect.sleep(rejections.rejected("sweep", error));
+    return Effect.sleep(rejections.noteRejection("sweep", error));
   }
 
   private handleResult({ deletes, rewrites }: Sweep, result: Exclude<CommitResult, { ok: null }>): void {
     const { options, rejections, staleKeys } = this.context;
     const { store } = this.recorder;
-    rejections.accepted("sweep");
-    for (const { key } of rewrites) rejections.accepted("machine record rewrite", key);
+    rejections.reset("sweep");
+    for (const { key } of rewrites) rejections.reset("machine record rewrite", key);
     if (result.ok) {
       this.maxSweepOps = Math.min(options.txnOps, this.maxSweepOps + 1);
       for (const key of deletes) staleKeys.delete(key);
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -49,8 +49,9 @@
     return Effect.gen(this, function* () {
       const { rejections } = this.context;
       const { jobCache, log, member } = this.context.services;
-      if (result.ok === null) yield* Effect.sleep(rejections.rejected("commit record", result.error, id));
-      else rejections.accepted("commit record", id);
+      if (result.ok === null)
+        yield* Effect.sleep(rejections.noteRejection("commit record", result.error, id));
+      else rejections.reset("commit record", id);
       if (result.ok === true) {
         log.info({ job: id, termNumber: this.context.termNumber }, "job done");
         this.progress.recordDone(id, tasks);
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -86,13 +86,13 @@
       return Effect.void;
     }
     if (result.kind !== "rejected") {
-      rejections.accepted("finishes");
+      rejections.reset("finishes");
       this.maxPuts = Math.min(txnOps, this.maxPuts + 1);
       return Effect.void;
     }
     // half of what was sent, which may be less than the maximum: this soon isolates the record that is too large
     this.maxPuts = Math.max(1, Math.floor(puts / 2));
-    const pause = rejections.rejected("finishes", result.reason);
+    const pause = rejections.noteRejection("finishes", result.reason);
     // the finish store postpones a record that was rejected on its own, so others needn't wait
     return puts <= 1 ? Effect.void : Effect.sleep(pause);
   }
--- a/src/service/shards/shard-writer.ts
+++ b/src/service/shards/shard-writer.ts
@@ -1,4 +1,4 @@
-/** Carries out the conditional writes of shard records. */
+/** Conditional writes of shard records. */
 import * as Effect from "effect/Effect";
 import { encodeShardState, type ShardWrite, type WriteOutcome } from "#shards";
 import { keys } from "../../core/records.js";
@@ -8,7 +8,7 @@
 import { RejectionBackoff } from "../rejection-backoff.js";
 import type { ShardView } from "./shard-view.js";
 
-/** Writes that rest on the records and the term as they were read. */
+/** Writes shard records on condition that they and the term are unchanged since they were read. */
 export class ShardWriter {
   private readonly rejections: RejectionBackoff;
 
@@ -20,7 +20,7 @@
     this.rejections = new RejectionBackoff(log);
   }
 
-  /** All of these writes, which are of one term, or none. What isn't answered may be carried out yet. */
+  /** Carries out all of these writes, or none; all must be of one term. `unknown`: they may still be carried out. */
   write(writes: readonly ShardWrite[]): Effect.Effect<WriteOutcome> {
     const [first] = writes;
     if (first === undefined) return Effect.succeed("written");
@@ -35,11 +35,11 @@
     return this.state.commit(conditions, changes).pipe(
       Effect.flatMap((result): Effect.Effect<WriteOutcome> => {
         if (result.ok === null)
-          return Effect.as(Effect.sleep(this.rejections.rejected("shards", result.error)), "unknown");
-        this.rejections.accepted("shards");
+          return Effect.as(Effect.sleep(this.rejections.noteRejection("shards", result.error)), "unknown");
+        this.rejections.reset("shards");
         if (!result.ok) return Effect.succeed("failed");
         for (const { shard, state } of writes)
-          this.view.recordWritten(shard, { revision: result.revision, state });
+          this.view.applyOwnWrite(shard, { revision: result.revision, state });
         return Effect.succeed("written");
       }),
       Effect.catchAll(() => Effect.succeed("unknown" as const)),
