--- a/packages/shards/src/assignment.ts
+++ b/packages/shards/src/assignment.ts
@@ -1,6 +1,6 @@
 /**
- * Which controller owns which shard, as far as one process has read. An assignment is immutable: each change makes a new
- * version that shares with the one before all that didn't change.
+ * Which controller owns which shard, according to the records that this process has read. An assignment is immutable: each
+ * change makes a new version, which shares the unchanged records with the previous one.
  */
 import * as Either from "effect/Either";
 import * as HashMap from "effect/HashMap";
@@ -9,55 +9,55 @@
 import { type ShardId, shardOf, zoneOfShard } from "./shard-id.js";
 import { decodeShardState, ShardState, type StoredShard, unreadableState } from "./shard-state.js";
 
-/** A term of the leader, with the revision of its record. */
+/** A leader's term, with the revision of its record. */
 export interface TermView {
   readonly number: number;
   readonly revision: number;
   readonly members: readonly Member[];
 }
 
-/** A change of a shard's record; `value` undefined: it was deleted. */
+/** A change of a shard's record; `value` undefined: the record was deleted. */
 export interface ShardChange {
   readonly shard: ShardId;
   readonly revision: number;
   readonly value?: unknown;
 }
 
-/** An owner of a shard. Epochs without a record (0) are told apart by the term. */
+/** The owner of a shard. Without a record the epoch is 0, and the term tells one owner from another. */
 export interface Ownership {
   readonly owner: string;
   readonly epoch: number;
 }
 
-/** Every record of a shard's ownership up to one revision, under one term. */
+/** The ownership records of all shards up to one revision, interpreted in one term. */
 export class Assignment {
-  /** Found out when first asked for: a version never changes. */
+  /** Computed on first use and then kept, since a version never changes. */
   private handoffsExist: boolean | null = null;
 
   private constructor(
-    /** All changes up to this revision are in. */
+    /** All changes up to this revision are included. */
     readonly revision: number,
     readonly term: TermView | null,
-    /** The latest term of which the leader wrote that all its members know shards. */
+    /** The latest term for which its leader recorded that all members support shards. */
     readonly enabledTerm: number,
     private readonly records: HashMap.HashMap<ShardId, StoredShard>,
   ) {}
 
-  /** Nothing was read yet. */
+  /** The assignment before anything was read. */
   static readonly empty = new Assignment(-1, null, 0, HashMap.empty());
 
-  /** The same records under another term. */
+  /** The same records in another term. */
   withTerm(term: TermView): Assignment {
     return new Assignment(this.revision, term, this.enabledTerm, this.records);
   }
 
-  /** What a complete read up to `revision` showed, in place of what was known. */
+  /** Replaces all records by those of a complete read at `revision`. */
   withSnapshot(rows: readonly ShardChange[], enabledTerm: number, revision: number): Assignment {
     const records = rows.reduce(applyChange, HashMap.empty<ShardId, StoredShard>());
     return new Assignment(revision, this.term, enabledTerm, records);
   }
 
-  /** Changes that came after what is known, in the order of their revisions; older ones change nothing. */
+  /** Applies changes, in the order of their revisions; those that are already included are ignored. */
   withChanges(changes: readonly ShardChange[], enabledTerm: number, revision: number): Assignment {
     const records = changes
       .filter((change) => change.revision > this.revision)
@@ -65,7 +65,7 @@
     return new Assignment(Math.max(revision, this.revision), this.term, enabledTerm, records);
   }
 
-  /** A record that this process has just written itself. */
+  /** Includes a record that this process has just written, without waiting to read it. */
   withOwnWrite(shard: ShardId, stored: StoredShard): Assignment {
     const known = this.recordOf(shard);
     if (known !== null && known.revision >= stored.revision) return this;
@@ -73,34 +73,34 @@
     return new Assignment(this.revision, this.term, this.enabledTerm, records);
   }
 
-  /** Whether the records are as recent as the term: what changes an owner under a term is written under that term. */
+  /** Whether the records are as recent as the term, so that they include all changes made in earlier terms. */
   get isFresh(): boolean {
     return this.term !== null && this.revision >= this.term.revision;
   }
 
-  /** Whether shards are in force: the leader wrote with this very term that all its members know them. */
+  /** Whether shards are in use: the leader recorded for the current term that all its members support them. */
   get inForce(): boolean {
     return this.isFresh && this.term !== null && this.enabledTerm === this.term.number;
   }
 
-  /** A shard's record; null: it has none. */
+  /** A shard's record, or null. */
   recordOf(shard: ShardId): StoredShard | null {
     return Option.getOrNull(HashMap.get(this.records, shard));
   }
 
-  /** Every shard that has a record, in the order of their names. */
+  /** All shards that have a record, sorted by name. */
   recordedShards(): readonly (readonly [ShardId, StoredShard])[] {
     return HashMap.toEntries(this.records).sort(([a], [b]) => (a < b ? -1 : 1));
   }
 
-  /** Whether the controller takes part in the present term. */
+  /** Whether the controller is a member of the current term. */
   isMember(name: string): boolean {
     return this.term?.members.some((member) => member.name === name) ?? false;
   }
 
   /**
-   * The owner of a shard: the one in its record, as long as it is a member of the term. Without a record, or with an
-   * owner that is gone, it is the one by rendezvous hash. null: there are no members.
+   * The owner of a shard: the one in its record if that is a member of the term, otherwise the one by rendezvous hash.
+   * null: the term has no members.
    */
   ownershipOf(shard: ShardId): Ownership | null {
     const record = this.recordOf(shard);
@@ -123,19 +123,19 @@
     return this.ownershipOf(shardOf(machine, zone))?.owner ?? null;
   }
 
-  /** Whether a handoff of the shard is under way: the leader sends no commands to its machines. */
+  /** Whether a handoff of the shard is in progress, so that the leader sends no commands to its machines. */
   isInHandoff(shard: ShardId): boolean {
     const record = this.recordOf(shard);
     return record !== null && record.state._tag !== "Owned";
   }
 
-  /** Whether any shard is in a handoff. */
+  /** Whether a handoff of any shard is in progress. */
   get hasHandoffs(): boolean {
     this.handoffsExist ??= HashMap.some(this.records, ({ state }) => state._tag !== "Owned");
     return this.handoffsExist;
   }
 
-  /** The shards whose records differ from those of an earlier version. */
+  /** The shards whose records differ from those of an earlier version, sorted by name. */
   shardsChangedSince(before: Assignment): readonly ShardId[] {
     const shards = new Set([...HashMap.keys(before.records), ...HashMap.keys(this.records)]);
     return [...shards].filter((shard) => before.recordOf(shard) !== this.recordOf(shard)).sort();
--- a/packages/shards/src/coordinator.ts
+++ b/packages/shards/src/coordinator.ts
@@ -1,8 +1,8 @@
 /**
- * The leader's part of handoffs: it offers a shard to the target, begins the handoff, drains the shard, asks the owner to
- * release it, and ends what doesn't go on. Pure: facts and answers in, actions out.
+ * The leader's side of handoffs: it offers a shard to the target, begins the handoff, drains the shard, asks the owner to
+ * release it, and ends handoffs that make no progress. It does no I/O: it is given facts and answers, and returns actions.
  *
- * A handoff lives in one term and in one leader's process. What a term leaves behind is ended by `repairsOf`.
+ * A handoff belongs to one term and to one leader process. `repairsOf` ends handoffs left over from earlier terms.
  */
 import type { Assignment } from "./assignment.js";
 import {
@@ -17,30 +17,30 @@
 import type { ShardId } from "./shard-id.js";
 import { beginHandoff, endHandoff, type ShardWrite } from "./transitions.js";
 
-/** What the leader sees of a shard's machines. */
+/** What the leader knows of a shard's machines. */
 export interface ShardFacts {
   readonly machines: number;
-  /** Why a handoff can't begin now; null: nothing stands against it. */
+  /** Why a handoff can't begin now; null if it can. */
   readonly obstacle: Refusal | null;
-  /** Every machine has shown a fencing token that was raised after the last command: no earlier one is carried out (S2). */
+  /** Every machine has seen a fencing token raised after the last command, so no earlier command is executed (S2). */
   readonly fenced: boolean;
-  /** A machine that keeps `fenced` from holding. */
+  /** A machine because of which `fenced` is false; null if it is true. */
   readonly unfencedMachine: string | null;
 }
 
-/** What became of a write. */
+/** The outcome of a write. */
 export type WriteOutcome = "written" | "failed" | "unknown";
 
-/** Something that the leader's process does for the coordinator. */
+/** An action that the leader's process carries out for the coordinator. */
 export type CoordinatorAction =
   | { readonly kind: "offer"; readonly to: string; readonly offer: Offer }
   | { readonly kind: "write"; readonly id: string; readonly write: ShardWrite }
-  /** Raises the fencing tokens of the shard's machines, after which `fenced` is asked for. */
+  /** Raises the fencing tokens of the shard's machines; `ShardFacts.fenced` then tells when all machines have seen them. */
   | { readonly kind: "raise"; readonly shard: ShardId }
   | { readonly kind: "release"; readonly to: string; readonly request: ReleaseRequest }
   | { readonly kind: "ended"; readonly attempt: EndedAttempt };
 
-/** How a move ended; `refusal` null: the target owns the shard. */
+/** The end of a move; `refusal` null: the target owns the shard. */
 export interface EndedAttempt {
   readonly request: MoveRequest;
   readonly source: string;
@@ -48,60 +48,59 @@
   readonly tookMs: number;
 }
 
-/** What the coordinator is told at each step. */
+/** The coordinator's input at each step. */
 export interface CoordinatorInput {
   readonly now: number;
   readonly assignment: Assignment;
   readonly facts: (shard: ShardId) => ShardFacts;
 }
 
-/** The moves that one leader tries, and the shards whose machines get no commands meanwhile. */
+/** The moves in progress of one leader. */
 export class Coordinator {
   private readonly attempts = new Map<ShardId, HandoffAttempt>();
 
-  /** `timeouts`: how long each step may take. */
   constructor(private readonly timeouts: HandoffTimeouts = HANDOFF_TIMEOUTS) {}
 
-  /** A coordinator in the same state that goes on by itself. */
+  /** An independent copy in the same state. */
   copy(): Coordinator {
     const copy = new Coordinator(this.timeouts);
     for (const [shard, attempt] of this.attempts) copy.attempts.set(shard, attempt);
     return copy;
   }
 
-  /** The state as text: two coordinators with the same text behave the same. */
+  /** The state as text: two coordinators with the same key behave the same. */
   stateKey(): string {
     return JSON.stringify([...this.attempts].sort(([a], [b]) => (a < b ? -1 : 1)));
   }
 
-  /** How many moves are under way. */
+  /** The number of moves in progress. */
   get moveCount(): number {
     return this.attempts.size;
   }
 
-  /** The shards of which a move is under way. */
+  /** The shards with a move in progress. */
   movingShards(): readonly ShardId[] {
     return [...this.attempts.keys()];
   }
 
-  /** Whether a move of the shard is under way. */
+  /** Whether a move of the shard is in progress. */
   isMoving(shard: ShardId): boolean {
     return this.attempts.has(shard);
   }
 
   /**
-   * Whether no commands may be sent to the shard's machines: its record says so, or a write that makes it say so is on its
-   * way. The record is asked too, since an earlier leader may have begun a handoff.
+   * Whether no commands may be sent to the shard's machines: a handoff has begun according to its record, or the write that
+   * begins one is in flight. The record matters too, since an earlier leader may have begun the handoff.
    */
   isPaused(assignment: Assignment, shard: ShardId): boolean {
-    // right after a term began its records aren't read yet: what was known before holds until then
+    // right after a new term began, the records known from before apply until newer ones are read
     const isKnown = assignment.inForce || !assignment.isFresh;
     if (isKnown && assignment.isInHandoff(shard)) return true;
     const phase = this.attempts.get(shard)?.phase.kind;
     return phase !== undefined && phase !== "offered";
   }
 
-  /** Begins to try a move, or says why not. */
+  /** Starts a move, or returns why it can't start. */
   startMove(request: MoveRequest, input: CoordinatorInput): readonly CoordinatorAction[] | Refusal {
     const { assignment, now } = input;
     const { shard, target } = request;
@@ -126,7 +125,7 @@
     return [{ kind: "offer", to: target, offer: { id: request.id, term, shard, epoch, machines } }];
   }
 
-  /** The target's answer; undefined: none came. */
+  /** Handles the target's answer to an offer; undefined: there was no answer. */
   offerAnswered(
     shard: ShardId,
     id: string,
@@ -138,7 +137,7 @@
     if (answer === undefined)
       return this.end(attempt, Refusal.NoAnswer({ member: attempt.request.target }), input.now);
     if (answer !== null) return this.end(attempt, answer, input.now);
-    // commands may have been sent since the shard was looked at
+    // commands may have been sent since the offer
     const { obstacle } = input.facts(shard);
     if (obstacle !== null) return this.end(attempt, obstacle, input.now);
     const step = beginHandoff(input.assignment, shard, { id, target: attempt.request.target });
@@ -148,7 +147,7 @@
     return this.write(beginning, { kind: "beginning", write, failed: false }, write, input.now);
   }
 
-  /** What became of a write of this handoff. */
+  /** Handles the outcome of a write of a handoff. */
   writeAnswered(
     shard: ShardId,
     id: string,
@@ -160,7 +159,7 @@
     if (attempt?.request.id !== id) return [];
     const { phase } = attempt;
     if (phase.kind !== "beginning" && phase.kind !== "ending") return [];
-    // one without an answer is sent again, as it is, at the next step
+    // a write without an answer is sent again unchanged by a later step
     if (phase.write !== write || outcome === "unknown") return [];
     if (outcome === "failed") {
       this.attempts.set(shard, { ...attempt, phase: { ...phase, failed: true } });
@@ -176,7 +175,7 @@
     this.attempts.set(attempt.request.shard, { ...attempt, since: now, phase });
   }
 
-  /** The record is another than the one that a write rested on: this attempt goes on from what it says now. */
+  /** The record has changed since the revision that a write required: continues from what the record says now. */
   private continueFromRecord(
     attempt: HandoffAttempt,
     phase: Extract<HandoffPhase, { kind: "beginning" | "ending" }>,
@@ -195,7 +194,7 @@
     return this.end(attempt, refusal, input.now);
   }
 
-  /** The owner's answer to the request to release. A refusal gives the handoff up. */
+  /** Handles the owner's answer to a release request. A refusal aborts the handoff. */
   releaseAnswered(
     shard: ShardId,
     id: string,
@@ -204,19 +203,19 @@
   ): readonly CoordinatorAction[] {
     const attempt = this.attempts.get(shard);
     if (attempt?.request.id !== id || attempt.phase.kind !== "draining") return [];
-    // without an answer it is asked again until the time is over
+    // without an answer the request is repeated until the timeout
     if (answer === undefined || answer === null) return [];
     return this.abort(attempt, answer, input);
   }
 
-  /** Gives up a move. The machines get commands again once that is written. */
+  /** Cancels a move. The machines get commands again once the end of the handoff is written. */
   cancel(shard: ShardId, input: CoordinatorInput): readonly CoordinatorAction[] | Refusal {
     const attempt = this.attempts.get(shard);
     if (attempt === undefined) return Refusal.NothingToCancel({ name: shard });
     return this.abort(attempt, Refusal.Cancelled({ shard }), input);
   }
 
-  /** Goes on with every move: by what was read, by the facts, and by the time that has passed. */
+  /** Advances every move as far as the records, the facts and the elapsed time allow. */
   step(input: CoordinatorInput): readonly CoordinatorAction[] {
     return [...this.attempts.values()].flatMap((attempt) => this.advanceAttempt(attempt, input));
   }
@@ -224,7 +223,7 @@
   private advanceAttempt(attempt: HandoffAttempt, input: CoordinatorInput): readonly CoordinatorAction[] {
     const { now, assignment } = input;
     const { shard } = attempt.request;
-    // what a term leaves behind is ended by the repairs of the next one
+    // a handoff that has begun is ended by the next term's repairs
     if (assignment.term?.number !== attempt.term)
       return this.end(attempt, Refusal.TermChanged({ shard }), now);
     const { phase } = attempt;
@@ -243,7 +242,7 @@
     }
   }
 
-  /** A write is on its way: sent again as it is until it is answered, or until the record shows another revision. */
+  /** Sends an unanswered write again, unchanged, until it is answered or the record has another revision. */
   private awaitWrite(
     attempt: HandoffAttempt,
     phase: Extract<HandoffPhase, { kind: "beginning" | "ending" }>,
@@ -253,7 +252,7 @@
     const { shard } = attempt.request;
     const revision = assignment.recordOf(shard)?.revision ?? 0;
     if (revision !== phase.write.revision) return this.continueFromRecord(attempt, phase, input);
-    // one that is carried out yet is ended by the repairs: nobody is asked to release it
+    // if the write is executed later, repairs end the handoff; the owner is never asked to release the shard
     if (phase.kind === "beginning" && now - attempt.since >= this.timeouts.drainMs)
       return this.end(attempt, Refusal.NotWritten({ shard }), now);
     if (phase.failed || now - attempt.writeSentAt < this.timeouts.retryMs) return [];
@@ -303,7 +302,7 @@
     return this.end(attempt, isTaken ? null : Refusal.Overtaken({ shard }), input.now);
   }
 
-  /** Writes the end of a handoff that doesn't go on; where none was begun, it ends at once. */
+  /** Aborts a move: writes the end of its handoff, or ends it at once if no handoff has begun. */
   private abort(
     attempt: HandoffAttempt,
     refusal: Refusal,
@@ -312,7 +311,7 @@
     const { phase, request } = attempt;
     if (phase.kind === "offered") return this.end(attempt, refusal, input.now);
     if (phase.kind === "ending") return [];
-    // a beginning without an answer may be carried out yet: its answer is waited for
+    // the write that begins the handoff may still be executed: its answer is awaited
     if (phase.kind === "beginning") return [];
     const write = endHandoff(input.assignment, request.shard);
     if (write === null) return [];
@@ -341,7 +340,7 @@
   }
 }
 
-/** Why a shard wasn't drained and released in time. */
+/** The refusal for a shard that wasn't drained and released in time. */
 const drainObstacle = (attempt: HandoffAttempt, facts: ShardFacts): Refusal => {
   if (facts.unfencedMachine !== null) return Refusal.MachineNotHeard({ machine: facts.unfencedMachine });
   return Refusal.NoAnswer({ member: attempt.source });
--- a/packages/shards/src/handoff-attempt.ts
+++ b/packages/shards/src/handoff-attempt.ts
@@ -1,15 +1,15 @@
 /**
- * One attempt to hand a shard over, as the leader keeps it: who wanted it, how far it is, and how long each step may take.
+ * The leader's state of one attempt to hand a shard over: who requested it, its phase, and the timeouts of the phases.
  */
 import type { MoveReason } from "./rebalancer.js";
 import type { Refusal } from "./refusal.js";
 import type { ShardId } from "./shard-id.js";
 import type { ShardWrite } from "./transitions.js";
 
-/** Who wanted a move. */
+/** Why or by whom a move was requested. */
 export type RequestedBy = MoveReason | "operator" | "rehearsal";
 
-/** A move that is to be tried. */
+/** A request to move a shard. */
 export interface MoveRequest {
   readonly id: string;
   readonly shard: ShardId;
@@ -17,28 +17,31 @@
   readonly by: RequestedBy;
 }
 
-/** The times that a handoff may take, in milliseconds. */
+/** Timeouts of the phases of a handoff. */
 export interface HandoffTimeouts {
-  /** For the target's answer. */
+  /** For the target's answer to the offer. */
   readonly offerMs: number;
-  /** For draining and releasing; the machines get no commands meanwhile. */
+  /** For draining and releasing the shard; its machines get no commands meanwhile. */
   readonly drainMs: number;
-  /** For the target to take a released shard. */
+  /** For the target to take the released shard. */
   readonly takeMs: number;
-  /** How long after a request without an answer it is sent again. */
+  /** How long an unanswered request or write waits before it is sent again. */
   readonly retryMs: number;
 }
 
 /**
- * A gang is stopped as a whole only if all its machines are told within a few seconds (`gang_peer_s`), so no machine is
- * left without commands for longer than three.
+ * To stop a gang as a whole, all its machines have to be told within a few seconds (`gang_peer_s`), so no machine is left
+ * without commands for longer than 3 s.
  */
 export const HANDOFF_TIMEOUTS: HandoffTimeouts = { offerMs: 3000, drainMs: 3000, takeMs: 2000, retryMs: 400 };
 
-/** Where an attempt stands. */
+/** The phase of an attempt. */
 export type HandoffPhase =
   | { readonly kind: "offered" }
-  /** A write is on its way. It is sent again until it is answered; if it failed, the record's next state is awaited. */
+  /**
+   * The write that begins the handoff is in flight. It is sent again until it is answered; after a failure the attempt
+   * waits to read the record that made it fail.
+   */
   | { readonly kind: "beginning"; readonly write: ShardWrite; readonly failed: boolean }
   | { readonly kind: "draining"; readonly tokensRaised: boolean; readonly releaseRequestedAt: number | null }
   | { readonly kind: "released" }
@@ -49,15 +52,15 @@
       readonly refusal: Refusal;
     };
 
-/** One try to hand a shard over, in one term and by one leader. Times are those of `CoordinatorInput.now`. */
+/** An attempt to hand a shard over, in one term and by one leader. Its times are on the clock of `CoordinatorInput.now`. */
 export interface HandoffAttempt {
   readonly request: MoveRequest;
   readonly source: string;
   readonly epoch: number;
   readonly term: number;
-  /** When the target was asked. */
+  /** When the offer was sent to the target. */
   readonly startedAt: number;
-  /** When the present phase began. */
+  /** When the current phase began. */
   readonly since: number;
   /** When the last write was sent. */
   readonly writeSentAt: number;
--- a/packages/shards/src/index.ts
+++ b/packages/shards/src/index.ts
@@ -1,4 +1,4 @@
-/** Explicit ownership of machines: shards, their owners, and handoffs from one controller to another. */
+/** Explicit ownership of machines: shards, their owners, and handoffs of shards between controllers. */
 export * from "./accounting.js";
 export * from "./assignment.js";
 export * from "./coordinator.js";
--- a/packages/shards/src/owner-view.ts
+++ b/packages/shards/src/owner-view.ts
@@ -1,6 +1,6 @@
 /**
- * A controller's own part: which shards it owns for certain, what it answers to an offer, and when it releases or takes
- * a shard. Pure and immutable: what a process sends and hears is told to it, and each change makes a new value.
+ * One controller's side of ownership: which shards it certainly owns, how it answers offers, and when it releases or takes
+ * a shard. Pure and immutable: the process passes in what it sends and receives, and each change makes a new value.
  */
 import * as HashMap from "effect/HashMap";
 import * as Option from "effect/Option";
@@ -11,39 +11,38 @@
 import type { ShardId } from "./shard-id.js";
 import { releaseShard, type ShardWrite, type TransitionResult, takeShard } from "./transitions.js";
 
-/** What the target checks before it accepts an offer. */
+/** What the target of a handoff checks before it accepts an offer. */
 export interface TargetReadiness {
-  /** Its fencing window is open. */
+  /** Whether its fencing window is open. */
   readonly mayAct: boolean;
-  /** It reached at least one of the shard's workers, or the shard has none. */
+  /** Whether it reached at least one of the shard's workers, or the shard has none. */
   readonly reachesWorkers: boolean;
   readonly freeConnections: number;
 }
 
-/** One controller's view of what it owns: an immutable value. */
+/** What one controller process owns, as an immutable value. */
 export class OwnerView {
   private constructor(
     readonly self: string,
     readonly assignment: Assignment,
     /**
-     * Shards of which this process has sent a release, with the revision that it rests on. While the record still has that
-     * revision the release may be carried out at any moment, so the shard isn't counted any more.
+     * Shards for which this process has sent a release, with the record's revision that the release requires. While the
+     * record still has that revision, the release may be executed at any moment, so the shard doesn't count as owned.
      */
     private readonly sentReleases: HashMap.HashMap<ShardId, number>,
     /**
-     * This process under the term before, until `settle`. Somebody who hasn't heard of the present term yet goes on acting
-     * under that one for as long as its fencing window is open, so until then this process counts only what it
-     * counted already.
+     * The view in the previous term, until `settle`. A process that hasn't heard of the current term may act in the
+     * previous one until its fencing window closes, so until then this process counts only shards that it counted already.
      */
     private readonly previousTermView: OwnerView | null,
   ) {}
 
-  /** A process that has sent nothing yet. */
+  /** The view of a process that has sent nothing yet. */
   static create(me: string, assignment: Assignment): OwnerView {
     return new OwnerView(me, assignment, HashMap.empty(), null);
   }
 
-  /** What this process has read now. */
+  /** The view after this process has read newer records. */
   withAssignment(assignment: Assignment): OwnerView {
     const releasing = HashMap.filter(
       this.sentReleases,
@@ -52,12 +51,12 @@
     return new OwnerView(this.self, assignment, releasing, this.previousTermView);
   }
 
-  /** The same records under another term, which isn't settled yet. */
+  /** The view in a new term, until `settle` is called. */
   withTerm(term: TermView): OwnerView {
     return new OwnerView(this.self, this.assignment.withTerm(term), this.sentReleases, this);
   }
 
-  /** A fencing window has passed since this process heard of its term: nobody acts under an earlier one any more. */
+  /** To be called one fencing window after this process heard of its term: no process acts in an earlier term any more. */
   settle(): OwnerView {
     return this.previousTermView === null
       ? this
@@ -73,7 +72,7 @@
     return this.assignment.term?.members.find((member) => member.name === this.self)?.incarnation ?? null;
   }
 
-  /** Whether this process, as a member of its term, counts the shard by what it has read. */
+  /** Whether this process counts the shard as its own, according to the records that it has read. */
   private countsByRecords(shard: ShardId): boolean {
     if (!this.assignment.inForce || this.mayBeReleased(shard)) return false;
     if (countingController(this.assignment, shard) !== this.self) return false;
@@ -83,12 +82,12 @@
     );
   }
 
-  /** A member key that never went away: this process was a member of every term in between. */
+  /** Whether this process has kept its membership since then: a gap would have given it another incarnation. */
   private sameMemberAs(before: OwnerView): boolean {
     return this.incarnation !== null && this.incarnation === before.incarnation;
   }
 
-  /** The state as text: two views with the same text behave the same. */
+  /** The state as text: two views with the same key behave the same. */
   stateKey(): string {
     const { revision, term, enabledTerm } = this.assignment;
     const releasing = [...this.sentReleases].sort();
@@ -97,20 +96,20 @@
     return JSON.stringify([revision, term?.number, enabledTerm, records, releasing, before]);
   }
 
-  /** Whether a release of the shard may have been carried out without this process knowing. */
+  /** Whether a release of the shard may have been executed without this process knowing. */
   private mayBeReleased(shard: ShardId): boolean {
     return Option.isSome(HashMap.get(this.sentReleases, shard));
   }
 
   /**
-   * Whether this process owns the shard for certain, so that it counts its machines. `mayAct`: its fencing window is open
-   * right now. With a reading older than its term it doesn't know, and owns nothing.
+   * Whether this process certainly owns the shard, so that it counts the shard's machines. `mayAct`: whether its fencing
+   * window is open right now. If its records are older than its term it owns nothing for certain.
    */
   ownsForCertain(shard: ShardId, mayAct: boolean): boolean {
     return mayAct && this.countsByRecords(shard);
   }
 
-  /** What this process answers when it is offered a shard. */
+  /** The answer to the offer of a shard. */
   answerOffer(offer: Offer, readiness: TargetReadiness): OfferAnswer {
     const { shard, machines: needed } = offer;
     const { term } = this.assignment;
@@ -124,21 +123,21 @@
     return null;
   }
 
-  /** A request to release a shard: the write to send, or why not. */
+  /** The answer to a request to release a shard: the write to send, or a refusal. */
   answerRelease(request: ReleaseRequest): TransitionResult {
     return releaseShard(this.assignment, this.self, request);
   }
 
   /**
-   * The release is about to be sent: from now on the shard isn't counted, until another record is read. A write that failed
-   * says nothing, since an earlier copy of it may be what changed the record.
+   * To be called right before a release is sent: from then on the shard isn't counted until a newer record is read. If the
+   * write fails, that proves nothing, since an earlier copy of it may be what changed the record.
    */
   releaseSent(write: ShardWrite): OwnerView {
     const releasing = HashMap.set(this.sentReleases, write.shard, write.revision);
     return new OwnerView(this.self, this.assignment, releasing, this.previousTermView);
   }
 
-  /** The writes by which this process takes what was released to it, as far as it has read. */
+  /** The writes by which this process takes the shards that were released to it. */
   pendingTakes(): readonly ShardWrite[] {
     const writes: ShardWrite[] = [];
     for (const [shard] of this.assignment.recordedShards()) {
--- a/packages/shards/src/rebalancer.ts
+++ b/packages/shards/src/rebalancer.ts
@@ -1,22 +1,22 @@
 /**
- * Which shards should move, and where to. Deterministic: the same ownership and loads give the same moves, whoever asks.
- * It only proposes; whether a handoff can be begun is decided elsewhere, and what was refused comes again later.
+ * Plans which shards should move, and where to. Deterministic: the same ownership and loads always give the same moves.
+ * Moves are only proposed: the coordinator decides whether a handoff can begin, and refused moves are proposed again later.
  */
 import type { Assignment } from "./assignment.js";
 import { type Member, nearMembers } from "./rendezvous.js";
 import { type ShardId, zoneOfShard } from "./shard-id.js";
 
-/** What a shard costs its owner: messages a second, and machines. */
+/** The load that a shard puts on its owner. */
 export interface ShardLoad {
   readonly machines: number;
   readonly heartbeatsPerSecond: number;
   readonly commandsPerSecond: number;
 }
 
-/** Why a shard is to move. */
+/** Why a shard should move. */
 export type MoveReason = "drain" | "zone" | "balance";
 
-/** A proposal: this shard from its owner to another controller. */
+/** A proposed move of a shard from its owner to another controller. */
 export interface ProposedMove {
   readonly shard: ShardId;
   readonly source: string;
@@ -24,29 +24,29 @@
   readonly reason: MoveReason;
 }
 
-/** What the rebalancer goes by. */
+/** The input of a plan. */
 export interface RebalanceInput {
   readonly assignment: Assignment;
-  /** Loads of the shards that have machines; others weigh nothing. */
+  /** Loads of the shards that have machines; others have no load. */
   readonly loads: ReadonlyMap<ShardId, ShardLoad>;
-  /** Controllers that are being emptied before their planned end. */
+  /** Controllers that are being drained before a planned shutdown. */
   readonly draining: ReadonlySet<string>;
-  /** Shards that aren't to be proposed now: in a handoff, refused or moved a moment ago. */
+  /** Whether a shard must not be proposed now: it is in a handoff, or was refused or moved a moment ago. */
   readonly isBlocked: (shard: ShardId, reason: MoveReason) => boolean;
-  /** How much the heaviest controller may exceed the lightest, as a share of their mean, before anything moves. */
+  /** How much the load of the most loaded controller may exceed the least, as a share of the mean, before shards move. */
   readonly hysteresis: number;
-  /** How many moves may be proposed. */
+  /** The maximum number of moves to propose. */
   readonly maxMoves: number;
 }
 
-/** Connections and indices cost something without any message. */
+/** In messages a second: a machine causes this load by its connection and index entries, even without messages. */
 const MACHINE_WEIGHT = 0.01;
 
-/** The weight of a shard in messages a second. */
+/** The load of a shard as one number, in messages a second. */
 export const weightOf = (load: ShardLoad): number =>
   load.heartbeatsPerSecond + load.commandsPerSecond + load.machines * MACHINE_WEIGHT;
 
-/** Loads by controller while moves are being planned. */
+/** The moves planned so far, and the owners and loads that result from them. */
 class MovePlan {
   private readonly owners = new Map<ShardId, string>();
   private readonly weights = new Map<ShardId, number>();
@@ -82,13 +82,13 @@
     return this.weights.get(shard) ?? 0;
   }
 
-  /** Controllers that may get the shard, those near its machines first; none that is being drained. */
+  /** Controllers that may get the shard: those in its zone, or all if it has none; never one that is being drained. */
   candidateTargets(shard: ShardId): readonly Member[] {
     const staying = this.members.filter((member) => !this.input.draining.has(member.name));
     return nearMembers(staying, zoneOfShard(shard));
   }
 
-  /** The shards of a controller that may be proposed for this reason. */
+  /** The shards of a controller that may be moved for this reason. */
   movableShardsOf(member: string, reason: MoveReason): readonly ShardId[] {
     return [...this.owners]
       .filter(([shard, owner]) => owner === member && !this.input.isBlocked(shard, reason))
@@ -123,7 +123,7 @@
   return best;
 };
 
-/** Empties the controllers that are about to end. */
+/** Moves all shards away from controllers that are being drained. */
 const planDrains = (plan: MovePlan, draining: ReadonlySet<string>): void => {
   for (const member of [...draining].sort())
     for (const shard of plan.movableShardsOf(member, "drain")) {
@@ -133,7 +133,7 @@
     }
 };
 
-/** Brings shards back to a controller of their own zone, after that zone had none. */
+/** Moves shards to a controller in their own zone, for example after that zone had none for a while. */
 const planReturnsToZone = (plan: MovePlan): void => {
   for (const [shard, owner] of plan.shardsWithOwners()) {
     if (plan.isFull) return;
@@ -146,7 +146,7 @@
   }
 };
 
-/** The best move from the heaviest to the lightest of the controllers that share a zone's shards; null: none is worth it. */
+/** The best move from the most to the least loaded of `members`; null if their loads are close enough or no shard fits. */
 const bestMove = (
   plan: MovePlan,
   members: readonly Member[],
@@ -165,7 +165,7 @@
   for (const shard of plan.movableShardsOf(heaviest, "balance")) {
     const weight = plan.weightOfShard(shard);
     const isShared = plan.candidateTargets(shard).some((member) => member.name === target);
-    // a shard heavier than half the gap would turn the imbalance round: it would come back again
+    // moving more than half the gap would reverse the imbalance, and the shard would move back again
     if (!isShared || weight <= 0 || weight > gap / 2) continue;
     if (best === null || weight > plan.weightOfShard(best)) best = shard;
   }
@@ -185,7 +185,7 @@
   }
 };
 
-/** The moves to begin now, the most pressing first: drains, then shards far from home, then balance. */
+/** The moves to begin now, in order of priority: drains, then returns to a shard's own zone, then balancing. */
 export const planMoves = (input: RebalanceInput): readonly ProposedMove[] => {
   if (!input.assignment.inForce || input.maxMoves <= 0) return [];
   const plan = new MovePlan(input);
--- a/packages/shards/src/refusal.ts
+++ b/packages/shards/src/refusal.ts
@@ -1,44 +1,44 @@
-/** Why a handoff isn't begun, or doesn't go on, with a sentence for operators. */
+/** Reasons for refusing or aborting a handoff, each with a sentence for operators. */
 import * as Data from "effect/Data";
 
-/** Every reason for which a handoff is refused or given up. */
+/** Why a handoff, or an operator's request about one, is refused or aborted. */
 export type Refusal = Data.TaggedEnum<{
-  /** Shards aren't used: some member of the term doesn't know them, or the records weren't read yet. */
+  /** Shards aren't in use: some member of the term doesn't support them, or the records haven't been read yet. */
   NotInForce: object;
   UnknownShard: { readonly shard: string };
   UnknownMember: { readonly member: string };
-  /** The epoch that was named isn't the present one. */
+  /** The shard isn't in the epoch that the request expects. */
   WrongEpoch: { readonly shard: string; readonly epoch: number; readonly present: number };
-  /** The shard is the target's already. */
+  /** The target already owns the shard. */
   SameOwner: { readonly shard: string; readonly member: string };
-  /** Another handoff of the shard is under way. */
+  /** Another handoff of the shard is in progress. */
   InHandoff: { readonly shard: string };
-  /** No handoff of the shard, and no drain of the member, is under way. */
+  /** Neither a handoff of a shard nor a drain of a controller with this name is in progress. */
   NothingToCancel: { readonly name: string };
   /** The target is being drained. */
   TargetDraining: { readonly member: string };
-  /** No other controller could take the member's shards. */
+  /** There is no other controller to take the member's shards. */
   NobodyLeft: { readonly member: string };
-  /** A command to a machine of the shard got no answer: it may still be carried out. */
+  /** A command to a machine of the shard has no answer yet and may still be executed. */
   CommandInDoubt: { readonly machine: string };
-  /** A machine of the shard hasn't reported under the present token. */
+  /** A machine of the shard hasn't sent a heartbeat under its current fencing token. */
   MachineNotHeard: { readonly machine: string };
   GangAssembling: { readonly job: string };
   GangSaving: { readonly job: string };
   TargetOutsideWindow: { readonly member: string };
-  /** The target doesn't reach the shard's workers. */
+  /** The target can't reach the shard's workers. */
   WorkersNotHeard: { readonly member: string };
   TooManyConnections: { readonly member: string; readonly free: number; readonly needed: number };
-  /** The controller that was asked to release doesn't hold the shard in that epoch. */
+  /** The controller that was asked to release the shard doesn't own it in that epoch. */
   NotHolder: { readonly member: string; readonly shard: string; readonly epoch: number };
   NoAnswer: { readonly member: string };
   /** The state service didn't answer the write that begins a handoff. */
   NotWritten: { readonly shard: string };
-  /** A write rested on what had changed meanwhile. */
+  /** A write failed, since the shard's record had changed meanwhile. */
   Overtaken: { readonly shard: string };
-  /** The target didn't take the shard in time; its earlier owner has it again. */
+  /** The target didn't take the shard in time; the shard went back to its previous owner. */
   NotTaken: { readonly member: string };
-  /** The term changed in the middle of the handoff. */
+  /** The term changed during the handoff. */
   TermChanged: { readonly shard: string };
   Cancelled: { readonly shard: string };
   NotLeader: { readonly member: string };
@@ -46,7 +46,7 @@
 /** Constructors and matchers of `Refusal`. */
 export const Refusal = Data.taggedEnum<Refusal>();
 
-/** A sentence for each reason. */
+/** The sentence for each reason. */
 const SENTENCES: { readonly [Tag in Refusal["_tag"]]: (refusal: Extract<Refusal, { _tag: Tag }>) => string } =
   {
     NotInForce: () => "shards are not in force: not every controller of the term uses them",
@@ -81,7 +81,7 @@
 /** One sentence for operators. */
 export const describeRefusal: (refusal: Refusal) => string = Refusal.$match(SENTENCES);
 
-/** Whether something that came from elsewhere is a refusal that this version knows. */
+/** Whether a value received from another process is a refusal that this version knows. */
 export const isRefusal = (value: unknown): value is Refusal => {
   const tag = (value as { _tag?: unknown } | null)?._tag;
   return typeof tag === "string" && KNOWN_TAGS.has(tag);
--- a/packages/shards/src/rendezvous.ts
+++ b/packages/shards/src/rendezvous.ts
@@ -1,14 +1,14 @@
-/** Rendezvous hashing: every process derives the same owner from the same members, without a record. */
+/** Rendezvous hashing: every process computes the same owner from the same members, so no record is needed. */
 
-/** A controller process that takes part in a term. */
+/** A controller process that is a member of a term. */
 export interface Member {
   readonly name: string;
-  /** Which process of that controller: a new process has another number. */
+  /** Identifies the process: each new process of the controller has another number. */
   readonly incarnation: number;
   readonly zone: string;
 }
 
-/** FNV-1a with a final mix. Every process must come to the same number, so this function never changes. */
+/** FNV-1a with a finalizer. Processes of all versions must compute the same value, so this function must never change. */
 export const stableHash = (text: string): number => {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193);
@@ -17,13 +17,13 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 };
 
-/** The members that come first for what is in `zone`: those of the zone itself, or all where it has none. */
+/** The members in `zone`, or all members if the zone has none. */
 export const nearMembers = <M extends Member>(members: readonly M[], zone: string): readonly M[] => {
   const near = members.filter((member) => member.zone === zone);
   return near.length > 0 ? near : members;
 };
 
-/** The member with the highest hash for `key`; members of the zone `zone` come first. null: there are no members. */
+/** The member with the highest hash for `key` among `nearMembers`; null if there are no members. */
 export const rendezvousOwner = <M extends Member>(
   members: readonly M[],
   key: string,
--- a/packages/shards/src/repairs.ts
+++ b/packages/shards/src/repairs.ts
@@ -1,17 +1,17 @@
-/** What the leader writes down by itself: owners that are gone, and handoffs that nobody goes on with. */
+/** Repairs of shard records by the leader: it replaces owners that are gone and ends abandoned handoffs. */
 import type { Assignment } from "./assignment.js";
 import type { ShardId } from "./shard-id.js";
 import { endHandoff, pinShard, type ShardWrite } from "./transitions.js";
 
 /**
- * A shard without a record follows the members, which costs nothing and moves few machines; from this many machines on it is
- * worth a record, so that it stays where it is when members come and go.
+ * Without a record, a shard's owner changes with the members, which costs no writes and moves few machines. A shard with at
+ * least this many machines gets a record, so that it keeps its owner when members join or leave.
  */
 export const MACHINES_WORTH_A_RECORD = 4;
 
 /**
- * Writes that make the records agree with the term, at most so many. `isBeingTried`: a move of the shard is under way, so that its
- * handoff, if it is of this term, isn't touched.
+ * At most `maxWrites` writes that make the records consistent with the term. `machines`: number of machines by shard.
+ * `isMoving`: whether the coordinator has a move of the shard in progress, in which case the shard is skipped.
  */
 export const repairsOf = (
   assignment: Assignment,
--- a/packages/shards/src/shard-id.ts
+++ b/packages/shards/src/shard-id.ts
@@ -1,26 +1,26 @@
-/** Which shard a machine belongs to. A shard holds machines of one zone, so that its owner can be near all of them. */
+/** Which shard a machine belongs to. All machines of a shard are in one zone, so that its owner can be in that zone too. */
 import * as Brand from "effect/Brand";
 import { stableHash } from "./rendezvous.js";
 
-/** The name of a shard: its zone, a point and two digits, such as `east.07`. It is also the last part of its key. */
+/** The name of a shard: its zone, a dot and two digits, such as `east.07`. It is also the last part of its record's key. */
 export type ShardId = string & Brand.Brand<"ShardId">;
 const shardId = Brand.nominal<ShardId>();
 
 /**
- * Shards per zone. The number is fixed, since a machine's shard follows from it: few enough that a cluster of three
- * machines needs no records, and enough that with 4,000 machines in three zones one shard holds about 83 of them.
- * Members announce it, and shards are used only where all announce the same.
+ * The number is fixed, since a machine's shard depends on it. It is small enough that a cluster of three machines needs no
+ * records, and large enough that with 4,000 machines in three zones a shard holds about 83 of them. Members announce their
+ * number, and shards are used only if all members announce the same.
  */
 export const SHARDS_PER_ZONE = 16;
 
 const DIGITS = 2;
 const SHARD_ID = /^([A-Za-z0-9%~!*'()_-][A-Za-z0-9.%~!*'()_-]*)\.([0-9]{2})$/;
 
-/** The shard `index` of a zone. Zone names are escaped, since keys of the state service hold no spaces. */
+/** The shard `index` of a zone. Zone names are escaped, since keys of the state service can't contain spaces. */
 export const shardAt = (zone: string, index: number): ShardId =>
   shardId(`${encodeURIComponent(zone)}.${String(index).padStart(DIGITS, "0")}`);
 
-/** The shard of a machine. It follows from the machine's name and zone alone and never changes. */
+/** The shard of a machine. It depends only on the machine's name and zone and never changes. */
 export const shardOf = (machine: string, zone: string): ShardId =>
   shardAt(zone, stableHash(machine) % SHARDS_PER_ZONE);
 
@@ -28,7 +28,7 @@
 export const shardsOfZone = (zone: string): readonly ShardId[] =>
   Array.from({ length: SHARDS_PER_ZONE }, (_, index) => shardAt(zone, index));
 
-/** Reads the name of a shard; null: it is none. */
+/** Parses the name of a shard; null if it isn't one. */
 export const parseShardId = (text: string): ShardId | null => {
   const [, zone, index] = SHARD_ID.exec(text) ?? [];
   if (zone === undefined || Number(index) >= SHARDS_PER_ZONE) return null;
--- a/packages/shards/src/shard-state.ts
+++ b/packages/shards/src/shard-state.ts
@@ -1,10 +1,10 @@
-/** What the state service holds of a shard: its owner and epoch, and the handoff that is under way, if any. */
+/** A shard's record in the state service: its owner and epoch, and the handoff in progress, if any. */
 import * as Data from "effect/Data";
 import * as Either from "effect/Either";
 
-/** A handoff from the owner to `target`. It is valid in the term in which it began, and ends with it. */
+/** A handoff from the owner to `target`. It is valid only in the term in which it began. */
 export interface Handoff {
-  /** Tells one handoff from another; never used again. */
+  /** A unique id, never reused. */
   readonly id: string;
   readonly target: string;
   /** The number of the term in which it began. */
@@ -12,13 +12,13 @@
 }
 
 /**
- * A shard's record. `epoch` grows by one whenever the shard gets an owner, so an epoch has one owner for ever.
+ * A shard's state. `epoch` is incremented whenever the shard gets an owner, so each epoch has exactly one owner.
  *
  * - `Owned`: the owner commands the shard's machines.
- * - `Draining`: the owner still owns the shard, but the leader sends no commands and waits until every earlier one is
- *   settled.
- * - `Released`: nobody commands the shard's machines until the target takes it or the owner gets it back. The owner
- *   goes on answering heartbeats, so leases don't lapse.
+ * - `Draining`: the owner still owns the shard, but the leader sends no new commands and waits until the outcome of every
+ *   earlier one is certain.
+ * - `Released`: nobody commands the shard's machines until the target takes the shard or the owner gets it back. The owner
+ *   keeps answering heartbeats, so that the machines' leases don't expire.
  */
 export type ShardState = Data.TaggedEnum<{
   Owned: { readonly epoch: number; readonly owner: string };
@@ -28,13 +28,13 @@
 /** Constructors and matchers of `ShardState`. */
 export const ShardState = Data.taggedEnum<ShardState>();
 
-/** A shard's record as it was read: `revision` is the revision of its last change; 0: there is no record. */
+/** A shard's state with the revision of its record's last change; 0: there is no record. */
 export interface StoredShard {
   readonly revision: number;
   readonly state: ShardState;
 }
 
-/** The JSON form of a record. Its names never change, since other versions read them. */
+/** The stored JSON form. Its names must never change, since other versions read them. */
 interface ShardRecordJson {
   readonly epoch: number;
   readonly owner: string;
@@ -44,7 +44,7 @@
   readonly term?: number;
 }
 
-/** What is written for a state. */
+/** Encodes a state as it is stored. */
 export const encodeShardState = (state: ShardState): ShardRecordJson => {
   const { epoch, owner } = state;
   if (state._tag === "Owned") return { epoch, owner };
@@ -55,7 +55,7 @@
 const isCount = (value: unknown): value is number => Number.isSafeInteger(value) && (value as number) >= 0;
 const isName = (value: unknown): value is string => typeof value === "string" && value.length > 0;
 
-/** Reads a record; left: what is wrong with it. Fields that it doesn't know are ignored. */
+/** Decodes a record; left: an error message. Unknown fields are ignored. */
 export const decodeShardState = (value: unknown): Either.Either<ShardState, string> => {
   if (typeof value !== "object" || value === null) return Either.left("not an object");
   const { epoch, owner, phase, id, target, term } = value as Record<keyof ShardRecordJson, unknown>;
@@ -70,8 +70,8 @@
 };
 
 /**
- * The state that stands for a record which can't be read: its owner is nobody, so the leader gives the shard an owner
- * anew. The revision of the record is higher than any epoch counted up to then.
+ * The state used for a record that can't be decoded. It has no owner, so the leader assigns a new one. The record's
+ * revision serves as the epoch, since it is higher than any earlier epoch of the shard.
  */
 export const unreadableState = (revision: number): ShardState =>
   ShardState.Owned({ epoch: revision, owner: "" });
--- a/packages/shards/src/transitions.ts
+++ b/packages/shards/src/transitions.ts
@@ -1,7 +1,7 @@
 /**
- * The steps of a handoff. Each is one conditional write of the shard's record. It rests on the record as it was read, so
- * that of two steps only one is carried out, and on the term, so that nothing decided in an earlier term, by an earlier
- * leader or by a process that ended, is carried out late.
+ * The state transitions of a handoff. Each is one conditional write of the shard's record. It requires the revision of the
+ * record that was read, so that only one of two concurrent transitions is executed, and the revision of the term, so that
+ * a delayed write from an earlier term, an earlier leader or a process that has ended is never executed.
  */
 import type { Assignment, TermView } from "./assignment.js";
 import type { ReleaseRequest } from "./messages.js";
@@ -9,17 +9,17 @@
 import type { ShardId } from "./shard-id.js";
 import { type Handoff, ShardState } from "./shard-state.js";
 
-/** A write of one shard's record: carried out only if record and term still have these revisions. */
+/** A write of a shard's record. It is executed only if the record and the term still have these revisions. */
 export interface ShardWrite {
   readonly shard: ShardId;
-  /** The record's revision that the write rests on; 0: there is none. */
+  /** The revision that the record must have; 0: there must be no record. */
   readonly revision: number;
-  /** The revision of the term that the write rests on. */
+  /** The revision that the term's record must have. */
   readonly termRevision: number;
   readonly state: ShardState;
 }
 
-/** Whether a step can be decided on, or why not. */
+/** The write that makes a transition, or why it isn't allowed. */
 export type TransitionResult = { readonly write: ShardWrite } | { readonly refusal: Refusal };
 
 const writeOf = (assignment: Assignment, term: TermView, shard: ShardId, state: ShardState): ShardWrite => ({
@@ -29,7 +29,7 @@
   state,
 });
 
-/** The leader begins a handoff. From when it sends this on, it sends no commands to the shard's machines. */
+/** The leader begins a handoff. Once it has sent this write, it sends no commands to the shard's machines. */
 export const beginHandoff = (
   assignment: Assignment,
   shard: ShardId,
@@ -45,14 +45,14 @@
   if (ownership.owner === handoff.target)
     return { refusal: Refusal.SameOwner({ shard, member: handoff.target }) };
   const { owner } = ownership;
-  // an owner that isn't in the record gets an epoch of its own with it
+  // an owner that isn't the recorded one is recorded here, in a new epoch
   const isRecorded = assignment.recordOf(shard)?.state.owner === owner;
   const epoch = isRecorded ? ownership.epoch : ownership.epoch + 1;
   const state = ShardState.Draining({ epoch, owner, handoff: { ...handoff, term: term.number } });
   return { write: writeOf(assignment, term, shard, state) };
 };
 
-/** The owner releases a shard that the leader says is drained. */
+/** The owner releases a shard, at the request of the leader that has drained it. */
 export const releaseShard = (
   assignment: Assignment,
   self: string,
@@ -73,7 +73,7 @@
   return { write: writeOf(assignment, term, shard, ShardState.Released({ ...state })) };
 };
 
-/** The target takes a released shard; null: it isn't its to take. */
+/** The target takes a released shard; null if the shard isn't released to it in this term. */
 export const takeShard = (assignment: Assignment, self: string, shard: ShardId): ShardWrite | null => {
   const { term } = assignment;
   const state = assignment.recordOf(shard)?.state;
@@ -83,10 +83,12 @@
 };
 
 /**
- * The leader ends a handoff that can't go on. The owner keeps a shard that wasn't released, in the same epoch; one that was
- * released comes back in a new epoch, so that a late take finds another record. If the owner is gone, a shard that wasn't
- * released stays with whoever is its owner under this term, since that one counts it already; a released one, which nobody
- * counts, goes to the target if that is a member. null: there is no handoff.
+ * The leader ends a handoff that can't be completed. null: there is no handoff.
+ *
+ * - If the owner is a member of the term, it keeps a shard that wasn't released, in the same epoch, and gets a released one
+ *   back in a new epoch, so that a delayed take by the target fails.
+ * - If the owner is gone, a shard that wasn't released stays with its owner by rendezvous hash, which counts it already. A
+ *   released one, which nobody counts, goes to the target if that is a member, and otherwise also to the owner by hash.
  */
 export const endHandoff = (assignment: Assignment, shard: ShardId): ShardWrite | null => {
   const { term } = assignment;
@@ -110,8 +112,8 @@
 };
 
 /**
- * The leader writes down who owns a shard now: because the owner in its record is gone, or because the shard has no record
- * and is to stay where it is when members come. null: the record says so already, or a handoff is under way.
+ * The leader records the present owner of a shard, either because the recorded owner is gone, or because the shard has no
+ * record and should keep its owner when members join. null: the record is right already, or a handoff is in progress.
  */
 export const pinShard = (assignment: Assignment, shard: ShardId): ShardWrite | null => {
   const { term } = assignment;
--- a/packages/shards/test/assignment.test.ts
+++ b/packages/shards/test/assignment.test.ts
@@ -1,4 +1,4 @@
-/** Records, versions, epochs and accounting. */
+/** Shard ids, records, versions of the assignment, transitions, repairs and accounting. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Either from "effect/Either";
--- a/packages/shards/test/handoffs.property.test.ts
+++ b/packages/shards/test/handoffs.property.test.ts
@@ -1,4 +1,4 @@
-/** Random histories of moves, troubles and restarts; fast-check shrinks what fails to a short one. */
+/** Random histories of moves, faults and restarts; fast-check shrinks a failing one. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -10,14 +10,14 @@
   ["south", "west"],
   ["inland", "east"],
 ] as const;
-/** Two machines in one shard of the east, one in another, and one in the west. */
+/** Two machines in one shard of the zone east, one in another shard of east, and one in west. */
 const MACHINES = new Map([
   ["n-4", "east"],
   ["n-9", "east"],
   ["n-13", "east"],
   ["n-15", "west"],
 ]);
-/** After this long without troubles every handoff has ended. */
+/** Within this time after the last fault every handoff ends. */
 const RECOVERY_MS = 20_000;
 
 class Step implements fc.Command<object, World> {
@@ -46,7 +46,7 @@
   .map(([shardIn, target]) => new Step(`move(${target})`, (world) => world.move(shardIn(world), target)));
 const wait = ms(2500).map((duration) => new Step(`advance(${duration})`, (world) => world.advance(duration)));
 const steps = [
-  // what comes more than once comes more often
+  // entries are repeated to be drawn more often
   wait,
   wait,
   wait,
@@ -128,19 +128,22 @@
     for (const outcome of world.moveOutcomes)
       totals.outcomes.set(outcome, (totals.outcomes.get(outcome) ?? 0) + 1);
     assert.deepEqual(world.invariants.violations, []);
-    assert.deepEqual(world.unfinished(), [], "once troubles are over every handoff ends");
+    assert.deepEqual(world.unfinished(), [], "every handoff ends once there are no more faults");
   });
 
 test("no shard has two owners, no machine is counted twice, no old command is carried out, every handoff ends", () => {
   const totals: RunTotals = { executedCount: 0, outcomes: new Map() };
   fc.assert(historyProperty(null, totals), { seed: 27, numRuns: 200, endOnFailure: true });
-  // the runs were no idle ones
+  // the runs did enough work to be meaningful
   assert.ok(totals.executedCount > 10_000, `${totals.executedCount} commands`);
   for (const outcome of ["done", "CommandInDoubt", "TermChanged", "NotTaken", "MachineNotHeard", "NotHolder"])
     assert.ok((totals.outcomes.get(outcome) ?? 0) > 0, `${outcome}: ${JSON.stringify([...totals.outcomes])}`);
 });
 
-/** Each guard, what its absence breaks, and a seed that shows it soon. "fencingToken" is left to the search of all interleavings. */
+/**
+ * Each guard, the violation reported without it, and a seed that finds one within few runs. The guard "fencingToken" is
+ * tested by the search of all interleavings.
+ */
 const GUARDS: readonly (readonly [Guard, RegExp, number])[] = [
   ["revision", /epoch|counted by|carried out|handoff/, 3],
   ["term", /epoch|counted by/, 306],
--- a/packages/shards/test/interleavings.test.ts
+++ b/packages/shards/test/interleavings.test.ts
@@ -1,7 +1,7 @@
 /**
- * Every interleaving of one handoff with one crash of each party, to a stated bound: each message may be delivered in any
- * order, be lost, or come twice, and processes may read their records early or late. The number of states is part of the test,
- * since a search that shrinks unnoticed proves less.
+ * Searches all interleavings of one handoff, within stated bounds: messages may be delivered in any order, be lost or be
+ * duplicated, processes may read the records early or late, and one party may crash. The exact number of states is checked as
+ * well, since a search that covers fewer states than before proves less.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -27,7 +27,7 @@
     console.log(`${what}: ${found.states} states, ends: ${JSON.stringify([...found.finalOwners].sort())}`);
     assert.deepEqual(found.violations, []);
     assert.equal(found.states, states);
-    // both outcomes come up: the target has the shard, or the source has it still
+    // both outcomes occur: the target gets the shard, or the source keeps it
     assert.ok((found.finalOwners.get("north") ?? 0) > 0 && (found.finalOwners.get("inland") ?? 0) > 0);
   });
 
--- a/packages/shards/test/interleavings.ts
+++ b/packages/shards/test/interleavings.ts
@@ -1,21 +1,21 @@
-/** A breadth-first search through everything that can happen during one handoff, within stated bounds. */
+/** A breadth-first search of everything that can happen during one handoff, within stated bounds. */
 import type { ShardId } from "../src/index.js";
 import { type Message, messageKey } from "./world-network.js";
 import type { Node } from "./world-nodes.js";
 import { type Guard, World } from "./world.js";
 
-/** The parties of the handoff that is looked at. */
+/** The parties of the handoff. */
 export type Party = "source" | "target" | "leader";
 const NAMES: Readonly<Record<Party, string>> = { source: "inland", target: "north", leader: "south" };
 
-/** How often each trouble may come in one history. */
+/** How often each event may occur in one history. */
 export interface Bounds {
   readonly crashes: readonly Party[];
   readonly losses: number;
   readonly copies: number;
-  /** Commands that the leader sends besides. */
+  /** Commands that the leader sends to the shard's machine. */
   readonly commands: number;
-  /** How often so much time passes that whatever waits for an answer gives up. */
+  /** How often so much time passes that every phase of the handoff times out. */
   readonly timeouts: number;
 }
 
@@ -24,13 +24,13 @@
   readonly remaining: Bounds;
 }
 
-/** What a search found. */
+/** The result of a search. */
 export interface SearchResult {
   readonly states: number;
   readonly violations: readonly string[];
-  /** Who owns the shard where nothing more can happen. */
+  /** The number of final states by the shard's owner. In a final state nothing more can happen. */
   readonly finalOwners: ReadonlyMap<string, number>;
-  /** Final states in which the handoff is still open. */
+  /** The number of final states in which the handoff is still in progress. */
   readonly openHandoffs: number;
 }
 
@@ -51,7 +51,7 @@
   return world;
 };
 
-/** The search from one bound. */
+/** A search within the given bounds. */
 export class Interleavings {
   constructor(
     private readonly bounds: Bounds,
@@ -61,7 +61,7 @@
   explore(shard: ShardId): SearchResult {
     const first = newWorld(this.disabledGuard);
     const leader = first.node(NAMES.leader);
-    // the machine has sent a heartbeat, so that nothing stands against a handoff
+    // without a heartbeat of the machine the handoff couldn't begin
     first.requestHeartbeats(leader, shard);
     while (first.network.inFlight.length > 0) first.deliver(0);
     const request = { id: "move-1", shard, target: NAMES.target, by: "operator" } as const;
@@ -80,7 +80,7 @@
       const next: State[] = [];
       for (const state of queue) {
         const successors = this.successors(state);
-        // before known states are left out: a property may break on one of two ways to the same state
+        // checked before known states are dropped, since only one of two paths to the same state may violate an invariant
         for (const { world } of successors) {
           world.check();
           if (world.invariants.violations.length > 0)
@@ -137,7 +137,7 @@
     return states;
   }
 
-  /** What a process does by itself, where that changes anything. */
+  /** The steps that a process takes on its own, as far as they change anything. */
   private ownSteps(name: string, world: World, addSuccessor: (change: (copy: World) => void) => void): void {
     const node = world.node(name);
     const known = node.assignment.term?.number ?? 0;
@@ -152,8 +152,8 @@
 }
 
 /**
- * A request arrives, however late, and is answered at once; or its answer is lost. That a request itself is lost is no other
- * than that it never arrives. What is for a process that is over is dropped.
+ * Delivers a request, and either delivers its answer at once or drops it. A lost request needs no step of its own: it is the
+ * same as one that never arrives.
  */
 const deliver = (world: World, index: number, isAnswered: boolean): void => {
   const known = new Set(world.network.inFlight);
@@ -169,7 +169,7 @@
   else world.network.inFlight.splice(reply, 1);
 };
 
-/** Whether a process would learn nothing by reading the records. */
+/** Whether reading the records would tell a process nothing new. */
 const knowsRecords = (world: World, node: Node): boolean => {
   const { assignment } = node;
   const isSame = [...world.records].every(
@@ -178,7 +178,7 @@
   return isSame && (assignment.isFresh || (assignment.term?.number ?? 0) !== world.term?.number);
 };
 
-/** Whether every process knows the term, so that nobody acts under an earlier one, and some have yet to count that in. */
+/** Whether all processes know the term, so that none acts in an earlier one, and at least one view isn't settled yet. */
 const mayBeSettled = (world: World): boolean => {
   const nodes = [...world.nodes.values()];
   const allKnow = nodes.every(({ assignment }) => assignment.term?.number === world.term?.number);
@@ -189,7 +189,7 @@
   for (const node of world.nodes.values()) node.ownerView = node.ownerView.settle();
 };
 
-/** A step of the leader. What is on its way already isn't sent again, so that the search ends. */
+/** A step of the leader. Messages that are already in flight aren't sent again, so that the search terminates. */
 const lead = (world: World, node: Node): void => {
   if (!world.mayAct(node) || node.coordinator === null) return;
   const before = new Set(world.network.inFlight.map(messageKey));
@@ -210,7 +210,7 @@
   world.commandMachine(leader, "n-4");
 };
 
-/** The process ends and is back at once, in the middle of an election if it led. */
+/** The process crashes and restarts at once; a leader is elected again, but hasn't written a new term yet. */
 const crash = (world: World, name: string): void => {
   const wasLeader = world.leader?.node === name;
   world.faults.restart(name, true);
--- a/packages/shards/test/rebalancer.test.ts
+++ b/packages/shards/test/rebalancer.test.ts
@@ -1,4 +1,4 @@
-/** Which moves are proposed: none for noise, all for a drain, few at a time, always to a calmer state. */
+/** Which moves are planned: none for small differences, all shards for a drain, few at a time, always towards balance. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -47,7 +47,7 @@
 const home = (shard: ShardId, i: number): string =>
   shard.startsWith("west") ? "c" : i % 2 === 0 ? "a" : "b";
 
-/** The owners after the moves. */
+/** The assignment after the moves. */
 const after = (before: Assignment, moves: readonly { shard: ShardId; target: string }[]): Assignment => {
   const targets = new Map(moves.map((move) => [move.shard, move.target]));
   return owned((shard) => targets.get(shard) ?? before.ownershipOf(shard)!.owner);
--- a/packages/shards/test/world-faults.ts
+++ b/packages/shards/test/world-faults.ts
@@ -1,17 +1,17 @@
-/** The troubles of the model: processes that end, stand still or are cut off, and workers that answer nothing. */
+/** The faults of the simulation: processes that crash, freeze or lose access to the state service, and silent workers. */
 import { Node } from "./world-nodes.js";
 import type { World } from "./world.js";
 
-/** Brings troubles into a world, and ends them. Durations are in virtual milliseconds. */
+/** Injects faults into a world, and ends them. */
 export class Faults {
   constructor(private readonly world: World) {}
 
-  /** The process ends, and nothing tells the others but its lease. */
+  /** The process ends; others notice only when its lease expires. */
   crash(name: string): void {
     this.world.node(name).alive = false;
   }
 
-  /** A new process of the same controller: it ends the lease of its earlier one, and joins. */
+  /** Starts a new process of the same controller, which ends the lease of the previous one and joins. */
   restart(name: string, knowsShards: boolean): void {
     const before = this.world.node(name);
     const node = new Node(name, before.zone);
@@ -21,37 +21,37 @@
     this.world.joinMembers(node);
   }
 
-  /** The process stands still, and doesn't notice it. */
+  /** The process is stopped for a while and doesn't notice it. */
   freeze(name: string, ms: number): void {
     const node = this.world.node(name);
     node.frozenUntil = Math.max(node.frozenUntil, this.world.now + ms);
   }
 
-  /** The state service refuses this node. */
+  /** The state service refuses this node's requests for a while. */
   refuseState(name: string, ms: number): void {
     const node = this.world.node(name);
     node.stateRefusedUntil = Math.max(node.stateRefusedUntil, this.world.now + ms);
   }
 
-  /** Answers to a node's writes are lost, and what it reads falls behind. */
+  /** For a while, the answers to the node's writes are lost, and it reads no records. */
   loseAnswers(name: string, ms: number): void {
     const node = this.world.node(name);
     node.answersLostUntil = Math.max(node.answersLostUntil, this.world.now + ms);
     this.delayReads(name, ms);
   }
 
-  /** A node reads nothing new for a while. */
+  /** The node reads no records for a while. */
   delayReads(name: string, ms: number): void {
     const node = this.world.node(name);
     node.nextRead = Math.max(node.nextRead, this.world.now + ms);
   }
 
-  /** A worker answers nothing any more. */
+  /** The worker stops answering for good. */
   silenceWorker(machine: string): void {
     this.world.worker(machine).silent = true;
   }
 
-  /** Ends all troubles, but for workers that are silent. */
+  /** Ends all faults except silent workers, drops all requested moves, and restarts processes where needed. */
   clear(): void {
     this.world.network.clearFaults();
     this.world.clearRequestedMoves();
--- a/packages/shards/test/world-network.ts
+++ b/packages/shards/test/world-network.ts
@@ -1,4 +1,4 @@
-/** The network of the model: messages that may be lost, come twice or come late. All chance of the model is drawn here. */
+/** The simulated network, which may lose, duplicate or delay messages. It is also the simulation's only source of randomness. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type {
@@ -10,13 +10,13 @@
   WriteOutcome,
 } from "../src/index.js";
 
-/** One process of a controller: what is sent to it is dropped once another one has its name. */
+/** One process of a controller. Messages to it are dropped once a new process of the controller has started. */
 export interface Process {
   readonly node: string;
   readonly incarnation: number;
 }
 
-/** What a message says. */
+/** The content of a message. */
 export type MessageBody =
   | { readonly kind: "write"; readonly from: Process; readonly id: string | null; readonly write: ShardWrite }
   | {
@@ -49,7 +49,7 @@
       readonly term: number;
       readonly sentAt: number;
       readonly isCommand: boolean;
-      /** The epoch under which the leader decided it; null: a question, or a command while shards weren't in force. */
+      /** The epoch in which the leader decided it; null: a heartbeat request, or a command while shards weren't in use. */
       readonly epoch: number | null;
     }
   | {
@@ -62,26 +62,26 @@
       readonly seenFencingToken: number;
     };
 
-/** A message on its way; `due`: when it arrives, in milliseconds. */
+/** A message in flight; `due`: its arrival time in milliseconds. */
 export type Message = MessageBody & { readonly due: number };
 
-/** A message without its time of arrival: two with the same text say the same. */
+/** A message as text, without its arrival time: messages with the same key have the same content. */
 export const messageKey = (mail: Message): string => JSON.stringify({ ...mail, due: 0 });
 
-/** The longest that a slow message, or the second copy of one, takes. */
+/** The longest delay of a slow message, and of a duplicate after the original. */
 const SLOW_MS = 8000;
 const SHORTEST_MS = 2;
 const SPREAD_MS = 40;
 
-/** What is on its way between processes, state service and workers. */
+/** The messages in flight between processes, state service and workers. */
 export class Network {
   /** Share of messages that are lost. */
   loss = 0;
-  /** Share of messages that come twice. */
+  /** Share of messages that are duplicated. */
   copies = 0;
-  /** Share of messages that take up to eight seconds. */
+  /** Share of messages that are delayed by up to `SLOW_MS`. */
   slow = 0;
-  /** The same for messages to and from workers. */
+  /** The share of slow messages to and from workers, if larger than `slow`. */
   slowWorkers = 0;
   inFlight: Message[] = [];
   private readonly generator: ReturnType<typeof xoroshiro128plus>;
@@ -90,19 +90,19 @@
     this.generator = xoroshiro128plus(seed);
   }
 
-  /** A network without troubles that has the same messages on their way. */
+  /** A network without faults that has the same messages in flight. */
   copy(): Network {
     const copy = new Network(0);
     copy.inFlight = [...this.inFlight];
     return copy;
   }
 
-  /** A number from 0 to 1, by the seed. */
+  /** A random number from 0 to 1. */
   random(): number {
     return uniformFloat64(this.generator);
   }
 
-  /** Sends a message at the time `now`. */
+  /** Sends a message at the time `now`, subject to the faults. */
   send(message: MessageBody, now: number): void {
     if (this.random() < this.loss) return;
     const isWorkers = message.kind === "command" || message.kind === "commandAnswer";
@@ -112,12 +112,12 @@
     if (this.random() < this.copies) this.inFlight.push({ ...message, due: due + this.random() * SLOW_MS });
   }
 
-  /** Puts a message off, since the process that it is for stands still. */
+  /** Postpones a message to the time `due`. */
   postpone(mail: Message, due: number): void {
     this.inFlight.push({ ...mail, due });
   }
 
-  /** Takes a message out. */
+  /** Removes a message and returns it. */
   remove(index: number): Message {
     const mail = this.inFlight[index];
     if (mail === undefined) throw new Error(`there is no message ${index}`);
@@ -125,7 +125,7 @@
     return mail;
   }
 
-  /** No more troubles; what is late stays late. */
+  /** Ends all faults; messages in flight keep their arrival times. */
   clearFaults(): void {
     this.loss = this.copies = this.slow = this.slowWorkers = 0;
   }
--- a/packages/shards/test/world-nodes.ts
+++ b/packages/shards/test/world-nodes.ts
@@ -1,15 +1,15 @@
-/** The controllers of the model: what one process knows, and how far it may act. Times are in virtual milliseconds. */
+/** The simulated controllers: what a process knows, and until when it may act. Times are in virtual milliseconds. */
 import { Assignment, Coordinator, OwnerView } from "../src/index.js";
 import type { Process } from "./world-network.js";
 
-/** Fencing tokens within a term: the leader raises a machine's own. */
+/** The number of fencing tokens per term: within a term, the leader raises each machine's token step by step. */
 const STEPS_PER_TERM = 1000;
 
 /** What a leader knows of a machine. */
 export interface MachineView {
-  /** The highest fencing token that the worker has shown. */
+  /** The highest fencing token that the worker is known to have seen. */
   seenFencingToken: number;
-  /** How often the leader has raised the machine's fencing token in its term. */
+  /** How often the leader has raised the machine's fencing token in this term. */
   fencingTokenStep: number;
   /** Commands without an answer. */
   unansweredCommands: { readonly fencingToken: number; readonly sentAt: number }[];
@@ -29,7 +29,7 @@
   termLearnedAt = 0;
   frozenUntil = 0;
   stateRefusedUntil = 0;
-  /** Its writes are carried out, but it hears nothing of that. */
+  /** Until then its writes are executed, but the answers to them are lost. */
   answersLostUntil = 0;
   nextRepair = 0;
   coordinator: Coordinator | null = null;
@@ -40,7 +40,7 @@
   ) {
     this.ownerView = OwnerView.create(name, Assignment.empty);
   }
-  /** A node in the same state that goes on by itself. */
+  /** An independent copy in the same state. */
   copy(): Node {
     const copy = Object.assign(new Node(this.name, this.zone), this);
     copy.coordinator = this.coordinator?.copy() ?? null;
@@ -56,19 +56,19 @@
     return this.ownerView.assignment;
   }
 
-  /** Whether the process is a member of the term that it knows. */
+  /** Whether the process is a member of the latest term that it knows. */
   get isMember(): boolean {
     const members = this.assignment.term?.members ?? [];
     return members.some((member) => member.name === this.name && member.incarnation === this.incarnation);
   }
 
-  /** The coordinator of a process that leads. */
+  /** The coordinator of a leader; throws if the process doesn't lead. */
   get leadingCoordinator(): Coordinator {
     if (this.coordinator === null) throw new Error(`${this.name} does not lead`);
     return this.coordinator;
   }
 
-  /** What this process knows of a machine; nothing yet, if it never asked. */
+  /** What this process knows of a machine; a new machine gets an empty view. */
   viewOf(machine: string): MachineView {
     const view = this.machines.get(machine) ?? {
       seenFencingToken: 0,
@@ -79,12 +79,12 @@
     return view;
   }
 
-  /** The lowest fencing token of its term. */
+  /** The lowest fencing token of the term that the process knows. */
   get firstFencingToken(): number {
     return (this.assignment.term?.number ?? 0) * STEPS_PER_TERM;
   }
 
-  /** The fencing token under which it sends to a machine now. */
+  /** The fencing token with which the process sends to a machine now. */
   fencingTokenOf(machine: string): number {
     return this.firstFencingToken + this.viewOf(machine).fencingTokenStep;
   }
--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -1,6 +1,6 @@
 /**
- * A model of controllers, state service, network and workers round the real package, in virtual time. Properties are checked
- * after each step; each guard can be taken out. Worlds can be copied, for a search through all interleavings.
+ * A simulation of controllers, state service, network and workers around the real package, in virtual time. Invariants are
+ * checked after each step, and single guards can be disabled. A world can be copied, to search all interleavings.
  */
 import {
   Coordinator,
@@ -22,7 +22,7 @@
 import { type Message, type MessageBody, messageKey, Network, type Process } from "./world-network.js";
 import { Node } from "./world-nodes.js";
 
-/** What may be taken out, to show that a property then fails. */
+/** The guards that can be disabled, to show that an invariant then fails. */
 export type Guard =
   | "revision"
   | "term"
@@ -40,15 +40,15 @@
 const RENEW_MS = 500;
 const STEP_MS = 50;
 const REPAIR_MS = 1000;
-/** A command is in doubt once it had no answer for so long. */
+/** A command without an answer for this long is in doubt. */
 const COMMAND_IN_DOUBT_AFTER_MS = 200;
-/** A worker: the highest fencing token that it has seen, and whether it answers. */
+/** A worker: the highest fencing token that it has seen, and whether it has stopped answering. */
 interface ModelWorker {
   fencingToken: number;
   silent: boolean;
 }
 
-/** Controllers, state service and workers, and what they do by themselves. */
+/** The simulated cluster, and what its processes do on their own. */
 export class World {
   now = 0;
   revision = 1;
@@ -58,7 +58,7 @@
   network: Network;
   invariants = new Invariants();
   readonly faults = new Faults(this);
-  /** Whether the leader sends commands by itself. */
+  /** Whether the leader sends commands and tries moves on its own. */
   busy = true;
   records = new Map<ShardId, StoredShard>();
   memberKeys = new Map<string, number>();
@@ -85,7 +85,7 @@
     }
   }
 
-  /** A copy that goes on by itself. It draws no random numbers of its own. */
+  /** An independent copy, with a network without faults and without the requested moves. */
   copy(): World {
     const copy = new World(0, this.disabledGuard, [], this.machineZones);
     const { now, revision, term, enabledTerm, busy, leader } = this;
@@ -111,7 +111,7 @@
     if (zone === undefined) throw new Error(`there is no machine ${machine}`);
     return shardOf(machine, zone);
   }
-  /** The latest process of a controller, alive or not. */
+  /** The latest process of a controller, whether alive or not. */
   node(name: string): Node {
     const node = this.nodes.get(name);
     if (node === undefined) throw new Error(`there is no controller ${name}`);
@@ -129,7 +129,7 @@
 
   // --- time ---------------------------------------------------------------------------------
 
-  /** Lets time pass, with all that processes do by themselves. */
+  /** Advances time, runs all processes and delivers messages, until an invariant is violated. */
   advance(ms: number): void {
     for (let left = ms; left > 0 && this.invariants.violations.length === 0; left -= STEP_MS) {
       this.now += STEP_MS;
@@ -201,7 +201,7 @@
     for (const view of node.machines.values()) view.fencingTokenStep = 0;
   }
 
-  /** Takes what was read before the term for all that there is. */
+  /** Marks the records read before the term as up to date. */
   private markRecordsFresh(node: Node): void {
     const { assignment } = node;
     node.ownerView = node.ownerView.withAssignment(
@@ -209,7 +209,7 @@
     );
   }
 
-  /** Reads all records. How long ago that was is how far behind a process is. */
+  /** Reads all records; until the next read the process knows nothing newer. */
   readRecords(node: Node): void {
     node.nextRead = this.now + 50 + this.network.random() * (this.network.slow > 0 ? 3000 : 100);
     const rows = [...this.records].map(([shard, { revision, state }]) => ({
@@ -252,7 +252,7 @@
     return repairsOf(node.assignment, this.machineCounts(), isTried, 8);
   }
 
-  /** A new leader knows no moves and no machines. */
+  /** A new leader starts without knowledge of moves and machines. */
   startLeading(node: Node): void {
     const withoutTimeouts = { ...HANDOFF_TIMEOUTS, drainMs: 1e12, takeMs: 1e12 };
     node.coordinator = new Coordinator(
@@ -261,7 +261,7 @@
     node.machines = new Map();
   }
 
-  /** Every machine of the model stands for two, so that one shard is worth a record of its own and the others aren't. */
+  /** Each machine is counted as two, so that only one shard has enough of them for repairs to give it a record. */
   private machineCounts(): Map<ShardId, number> {
     return new Map(this.shards.map((shard) => [shard, 2 * this.machinesOf(shard).length]));
   }
@@ -309,7 +309,7 @@
     return { machines: machines.length, obstacle, fenced, unfencedMachine: unfenced ?? unanswered ?? null };
   }
 
-  /** An operator wants a shard elsewhere. It is tried again, whoever leads, until it is there. */
+  /** An operator requests a move. Whoever leads retries it until the target owns the shard. */
   move(shard: ShardId, target: string): void {
     this.requestedMoves.set(shard, target);
   }
@@ -346,12 +346,12 @@
       }
   }
 
-  /** Questions to machines that weren't seen under their fencing token, and commands to others now and then. */
+  /** Requests heartbeats from machines that haven't shown their current fencing token, and now and then commands others. */
   private sendCommands(node: Node): void {
     for (const machine of this.machineZones.keys()) {
       const view = node.viewOf(machine);
       const fencingToken = node.fencingTokenOf(machine);
-      // a command without an answer is settled by a raised fencing token
+      // once the worker has seen a raised fencing token, an unanswered command is certainly not executed any more
       if (view.unansweredCommands.length > 0 && this.network.random() < 0.02) view.fencingTokenStep++;
       if (view.seenFencingToken < fencingToken || view.unansweredCommands.length > 0) {
         if (this.network.random() < 0.3) this.sendCommand(node, machine, null);
@@ -361,7 +361,7 @@
     }
   }
 
-  /** A start or stop, unless the shard is paused. */
+  /** Sends a start or stop unless the shard's commands are paused; returns whether it was sent. */
   commandMachine(node: Node, machine: string): boolean {
     const shard = this.shardOfMachine(machine);
     const isPaused = node.leadingCoordinator.isPaused(node.assignment, shard);
@@ -373,7 +373,7 @@
     return true;
   }
 
-  /** Asks the machines of a shard for heartbeats, under their present fencing tokens. */
+  /** Requests heartbeats from the machines of a shard, under their current fencing tokens. */
   requestHeartbeats(node: Node, shard: ShardId): void {
     for (const id of this.machinesOf(shard)) this.sendCommand(node, id, null);
   }
@@ -393,7 +393,7 @@
       if (!this.isInFlight(node, write)) this.sendWrite(node, null, write);
   }
 
-  /** Whether such a write, or the answer to one, is on its way. */
+  /** Whether a write of the same shard by this node, or the answer to one, is in flight. */
   isInFlight(node: Node, write: ShardWrite): boolean {
     return this.network.inFlight.some((mail) => {
       const by = mail.kind === "write" ? mail.from.node : mail.kind === "written" ? mail.to.node : null;
@@ -408,13 +408,13 @@
 
   // --- messages ------------------------------------------------------------------------------------------
 
-  /** The process that a message is for; null: it is over. */
+  /** The process that a message is addressed to; null if it has ended. */
   private processOf({ node, incarnation }: Process): Node | null {
     const found = this.node(node);
     return found.alive && found.incarnation === incarnation ? found : null;
   }
 
-  /** Delivers one message; one for a process that stands still waits. */
+  /** Delivers one message, or postpones it if its process is frozen. */
   deliver(index: number): void {
     const mail = this.network.remove(index);
     const addressee = "to" in mail ? (typeof mail.to === "string" ? mail.to : mail.to.node) : null;
@@ -527,12 +527,12 @@
     });
   }
 
-  /** No more moves are wanted. */
+  /** Drops all requested moves. */
   clearRequestedMoves(): void {
     this.requestedMoves.clear();
   }
 
-  /** The state as text, without the times of messages. */
+  /** The state as text, without the arrival times of messages. */
   stateKey(): string {
     const { now, records, term, enabledTerm, memberKeys, leader } = this;
     const nodes = [...this.nodes.values()].map((node) => [
@@ -557,7 +557,7 @@
     ]);
   }
 
-  // --- properties ----------------------------------------------------------------------------------------
+  // --- invariants ----------------------------------------------------------------------------------------
 
   private commandExecuted(machine: string, term: number, epoch: number): void {
     const shard = this.shardOfMachine(machine);
@@ -569,7 +569,7 @@
     );
   }
 
-  /** Checks what holds after each step. */
+  /** Checks the invariants that hold after each step. */
   check(): void {
     this.invariants.check(
       this.shards,
@@ -580,7 +580,7 @@
     );
   }
 
-  /** What is left of handoffs; empty: every one has ended. */
+  /** Handoffs and moves still in progress, and shards without exactly one owner; empty once all handoffs have ended. */
   unfinished(): string[] {
     const open = [...this.records].filter(([, { state }]) => state._tag !== "Owned").map(([shard]) => shard);
     const leading = this.leader === null ? null : this.node(this.leader.node);
@@ -593,8 +593,8 @@
     });
     return [
       ...open.map((shard) => `${shard} is in a handoff`),
-      ...(tried > 0 ? [`${tried} moves are tried`] : []),
-      ...unowned.map((shard) => `${shard} has no ownerView`),
+      ...(tried > 0 ? [`${tried} moves are in progress`] : []),
+      ...unowned.map((shard) => `${shard} doesn't have exactly one owner`),
     ];
   }
 }
--- a/src/io/call.ts
+++ b/src/io/call.ts
@@ -1,22 +1,22 @@
-/** Outgoing HTTP calls over Node's http, as effects that say whether a failed call may have been carried out. */
+/** Outgoing HTTP requests as effects. A failure says whether the request may have been executed. */
 import http from "node:http";
 import * as Data from "effect/Data";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 
-/** An answer, whatever its status. */
+/** A response with any status. */
 export interface Reply {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** No answer came. `sent`: the request may have reached the other side, and may be carried out, now or later. */
+/** No response arrived. `sent`: the request may have reached the server, which may have executed it or may do so yet. */
 export class CallFailed extends Data.TaggedError("CallFailed")<{
   readonly sent: boolean;
   readonly why: string;
 }> {}
 
-/** A request. `contentType` is that of the body, JSON unless it says otherwise. */
+/** A request. `contentType` describes the body; the default is JSON. */
 export interface Call {
   readonly addr: string;
   readonly method: "GET" | "POST" | "DELETE";
@@ -26,11 +26,11 @@
   readonly timeout: Duration.Duration;
 }
 
-/** Connections that are kept between calls: so many to each address, the last used first. */
+/** Keeps up to `sockets` connections to each address, and reuses the most recently used one first. */
 export const makeKeepAliveAgent = (sockets: number): http.Agent =>
   new http.Agent({ keepAlive: true, maxSockets: sockets, maxFreeSockets: sockets, scheduling: "lifo" });
 
-/** Closes the unused connections to an address. */
+/** Closes the idle connections to an address. */
 export const closeIdleConnections = (agent: http.Agent, addr: string): void => {
   const { host, port } = endpoint(addr);
   for (const socket of agent.freeSockets[agent.getName({ host, port })] ?? []) socket.destroy();
@@ -48,7 +48,7 @@
     ? {}
     : { "content-type": contentType ?? "application/json", "content-length": Buffer.byteLength(body) };
 
-/** Reads an answer to its end, unless it is too large. */
+/** Reads a response completely; one that is too large breaks the connection. */
 const readReply = (
   response: http.IncomingMessage,
   outgoing: http.ClientRequest,
@@ -92,20 +92,20 @@
       headers: headersOf(request),
     });
     const timer = setTimeout(() => {
-      // after a stall of this process the connection may stand by now: what is this old must not go out on it any more
+      // after a stall of this process the connection may have been established, but the request is too old to be sent on it
       if (!sent) {
         fail("timeout");
         outgoing.destroy();
         return;
       }
-      // the answer, too, may be there already, unread: it is read first
+      // after a stall the response may have arrived unread: it is read before the request is given up
       setImmediate(() => {
         fail("timeout");
         outgoing.destroy();
       });
     }, Duration.toMillis(request.timeout));
     outgoing.on("socket", (socket) => {
-      // a connection that was given up before it stood does not complete later
+      // a connection destroyed before it was established sends nothing later
       if (!socket.connecting) sent = true;
       else socket.once("connect", () => (sent = true));
     });
@@ -119,7 +119,7 @@
     });
   });
 
-/** The body as JSON, or undefined. */
+/** Parses the body as JSON; undefined if it is malformed. */
 export const parseJson = (reply: Reply): unknown => {
   try {
     return JSON.parse(reply.body.toString("utf8")) as unknown;
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -1,4 +1,4 @@
-/** The cloud: machine types, rentals, releases and the machine list, within its request rate. */
+/** Client of the cloud's API, which keeps to its rate limit. */
 import * as Data from "effect/Data";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -19,23 +19,23 @@
   type WireMachineType,
 } from "./codec.js";
 
-/** A request that failed. `sent`: the cloud may have carried it out, or may yet. */
+/** A failed request. `sent`: the cloud may have executed it, or may do so yet. */
 export class CloudFailed extends Data.TaggedError("CloudFailed")<{
   readonly sent: boolean;
   readonly why: string;
 }> {}
 
-/** Every method waits until this node's share of the cloud's rate admits it. */
+/** Every method waits until the rate limiter admits its request. */
 export class CloudClient {
   private readonly agent = makeKeepAliveAgent(6);
   private readonly rateLimiter: RateLimiter;
 
-  /** `rps`: the rate of all nodes together; the leader makes nearly all calls. */
+  /** `rps`: the rate limit of all nodes together. */
   constructor(
     private readonly addr: string,
     rps: number,
   ) {
-    // the leader makes nearly all calls; a little is left for nodes that start
+    // the leader sends nearly all requests; the rest of the rate is for nodes that start up
     this.rateLimiter = new RateLimiter(rps * 0.8, Math.max(1, rps));
   }
 
@@ -63,7 +63,7 @@
     );
   }
 
-  /** The machine types with their present prices. */
+  /** All machine types with their current prices. */
   listMachineTypes(): Effect.Effect<WireMachineType[], CloudFailed> {
     return Effect.flatMap(this.send("GET", machineTypesPath), (reply) => {
       const rows = reply.status === 200 ? parseMachineTypes(parseJson(reply)) : null;
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Scale-out: the names of the machines rented, up to `count`; null: none to be had. Fails when it can't be told whether
-   * it was carried out; repeating it under the same name is safe.
+   * Scale-out: returns the ids of the rented machines, at most `count`; null if none are available. It is safe to repeat a
+   * failed request under the same name, even if the failed one was executed.
    */
   rentMachines(
     name: string,
@@ -94,7 +94,7 @@
     });
   }
 
-  /** Scale-in of 100 machines at most. Once it has succeeded they are gone, with all that ran on them. */
+  /** Scale-in of at most 100 machines. Once it succeeds they are gone, with all tasks that ran on them. */
   releaseMachines(machines: readonly string[]): Effect.Effect<void, CloudFailed> {
     return Effect.flatMap(this.send("POST", releasePath, releaseBody(machines)), (reply) =>
       reply.status === 200
@@ -103,7 +103,7 @@
     );
   }
 
-  /** The whole machine list, as old as the cloud's lag. */
+  /** The complete machine list, which may be outdated by the cloud's lag. */
   listMachines(): Effect.Effect<ListedMachine[], CloudFailed> {
     const page = (from: string | null, rows: ListedMachine[]): Effect.Effect<ListedMachine[], CloudFailed> =>
       Effect.flatMap(this.send("GET", machineListPath(from)), (reply) => {
--- a/src/io/codec.ts
+++ b/src/io/codec.ts
@@ -1,6 +1,6 @@
 /**
- * The names on the wire to users, workers, the cloud and the state service, and nowhere else. Inside, the field's standard
- * terms are used; `codec/` has one module for each of the four.
+ * Encoders and decoders for the interfaces to users, workers, the cloud and the state service; `codec/` has one module for
+ * each. Names that are used only on the wire stay in these modules: the rest of the code uses standard terms.
  */
 export * from "./codec/cloud.js";
 export * from "./codec/state-service.js";
--- a/src/io/codec/cloud.ts
+++ b/src/io/codec/cloud.ts
@@ -1,9 +1,9 @@
-/** The cloud: machine types, scale-out, scale-in and the machine list. */
+/** The cloud's API: machine types, scale-out, scale-in and the machine list. */
 import * as Duration from "effect/Duration";
 import type { MachineRecord, MachineType } from "../../core/records.js";
 import { isEndpoint } from "./endpoint.js";
 
-/** A machine type as the cloud lists it; stored as it is, so that every controller reads the same. */
+/** A machine type as the cloud lists it. It is stored unchanged, so that every controller reads the same. */
 export interface WireMachineType {
   label: string;
   vcpus: number;
@@ -17,9 +17,9 @@
   districts: string[];
 }
 
-/** Where the cloud lists its machine types and their present prices. */
+/** Path of the list of machine types and their current prices. */
 export const machineTypesPath = "/flavors";
-/** The machine types of an answer; null: it isn't a list of them. */
+/** The machine types of a response; null if the body is malformed. */
 export const parseMachineTypes = (body: unknown): WireMachineType[] | null => {
   const builds = (body as { builds?: unknown } | undefined)?.builds;
   if (!Array.isArray(builds)) return null;
@@ -30,7 +30,7 @@
     ? rows
     : null;
 };
-/** Machine types in the core's terms; prices per hour. */
+/** Converts machine types to the core's form; prices are per hour. */
 export const toMachineTypes = (rows: readonly WireMachineType[]): MachineType[] =>
   rows.map((type) => ({
     name: type.label,
@@ -45,23 +45,26 @@
     zones: type.districts,
   }));
 
-/** Where machines are rented. */
+/** Path of scale-out requests. */
 export const rentPath = "/rentals";
-/** A scale-out request. Its name must never be used for another one, not even by another node. */
+/** Body of a scale-out request. `name` identifies the request and must be unique across all nodes and never reused. */
 export const rentBody = (name: string, type: string, zone: string, spot: boolean, count: number): string =>
   JSON.stringify({ rental: name, build: type, district: zone, loaners: spot, how_many: count });
-/** The names of the machines that a scale-out request was answered with. */
+/** The ids of the machines that a scale-out request got. */
 export const parseRentedMachines = (body: unknown): string[] =>
   (body as { hearths?: string[] } | undefined)?.hearths ?? [];
-/** Where machines are returned. */
+/** Path of scale-in requests. */
 export const releasePath = "/rentals/release";
-/** Names of machines to return, 100 at most. */
+/** Body of a scale-in request for at most 100 machines. */
 export const releaseBody = (machines: readonly string[]): string => JSON.stringify({ hearths: machines });
-/** One page of the machine list, beginning after the machine `from`. */
+/** Path of one page of the machine list, which starts after the machine `from`; null: the first page. */
 export const machineListPath = (from: string | null): string =>
   `/rentals?most=500${from === null ? "" : `&from=${from}`}`;
 
-/** A machine of the list, which lags: it may be gone already. `ageMs` counts from its scale-out request. */
+/**
+ * An entry of the machine list. The list lags, so the machine may already be gone. `ageMs` is the time since its scale-out
+ * request.
+ */
 export interface ListedMachine {
   readonly id: string;
   readonly record: MachineRecord;
@@ -83,7 +86,7 @@
   held_s?: number;
 }
 
-/** One page of the machine list; null: it isn't one. */
+/** Parses one page of the machine list; null if the body is malformed. */
 export const parseMachineList = (body: unknown): { rows: ListedMachine[]; more: boolean } | null => {
   const page = body as WireMachineList | undefined;
   if (!Array.isArray(page?.hearths)) return null;
--- a/src/io/codec/endpoint.ts
+++ b/src/io/codec/endpoint.ts
@@ -1,5 +1,5 @@
-/** Addresses of workers as they come over the wire. */
+/** Validation of worker addresses received from outside. */
 
-/** Whether this is `host:port`: nothing else may be called. */
+/** Whether the value is a `host:port`; requests are sent to no other form of address. */
 export const isEndpoint = (value: unknown): value is string =>
   typeof value === "string" && /^[0-9A-Za-z.-]{1,100}:[0-9]{1,5}$/.test(value);
--- a/src/io/codec/state-service.ts
+++ b/src/io/codec/state-service.ts
@@ -1,25 +1,25 @@
-/** The state service: a key-value store with leases, watches and compare-and-swap. */
+/** The API of the state service: a key-value store with leases, watches and compare-and-swap. */
 import * as Duration from "effect/Duration";
 
-/** A key of the state service, its value, and the revision of its last change. */
+/** A key, its value, and the revision of its last change. */
 export interface Row {
   readonly key: string;
   readonly value: unknown;
   readonly revision: number;
 }
-/** Part of a compare-and-swap: the key still has this revision. 0: it doesn't exist. */
+/** A condition of a transaction: the key's last change has this revision; 0: the key doesn't exist. */
 export interface Condition {
   readonly key: string;
   readonly revision: number;
 }
-/** Part of a transaction. A `put` without `leaseId` detaches its key from any lease. */
+/** An operation of a transaction. A `put` without `leaseId` detaches its key from any lease. */
 export type Change =
   { readonly put: string; readonly value: unknown; readonly leaseId?: number } | { readonly delete: string };
-/** A change that a watch tells of. */
+/** A change reported by a watch. */
 export interface WatchEvent {
   readonly key: string;
   readonly revision: number;
-  /** undefined: deleted. */
+  /** undefined: the key was deleted. */
   readonly value?: unknown;
 }
 
@@ -46,7 +46,7 @@
     ? { key: event.write, value: event.value, revision: event.stamp }
     : { key: event.delete, revision: event.stamp };
 
-/** Paths, bodies and answers of the state service. Times to live and waits go over the wire in milliseconds. */
+/** Paths, request bodies and response parsers. */
 export const stateServiceApi = {
   keyPath: (key: string) => `/store/${key}`,
   listPath: (prefix: string, from: string | null) =>
@@ -59,7 +59,7 @@
     `/watch?under=${prefix}&from=${from}&wait_ms=${waitMs}`,
   leaseBody: (ttl: Duration.Duration) => JSON.stringify({ ttl_ms: Math.round(Duration.toMillis(ttl)) }),
   parseLeaseId: (body: unknown) => (body as { permit: number }).permit,
-  /** Without changes a transaction only compares. */
+  /** A transaction without operations only checks its conditions. */
   commitBody: (conditions: readonly Condition[], operations: readonly Change[]) =>
     JSON.stringify({
       when: conditions.map((condition) => ({ path: condition.key, stamp: condition.revision })),
--- a/src/io/codec/user-api.ts
+++ b/src/io/codec/user-api.ts
@@ -1,10 +1,10 @@
-/** The users' API and the job records, which are submissions as they were accepted. */
+/** The users' API, and the stored job records, which are submissions in the form in which they were accepted. */
 import { Ajv } from "ajv";
 import * as Duration from "effect/Duration";
 import type { FaninRecord, JobSpec, Kind, Priority } from "../../core/records.js";
 import { jobRecordSchema, submissionSchema } from "../schemas.js";
 
-/** A submission as it is on the wire, without the fields that this service doesn't know. */
+/** A submission as sent by a user, restricted to the fields that this service knows. */
 export interface WireJob {
   ref: string;
   roster: string;
@@ -41,13 +41,13 @@
 const validateSubmission = ajv.compile<WireJob>(submissionSchema);
 const validateJobRecord = ajv.compile<WireJob>(jobRecordSchema);
 
-/** A submission as it came, of which the job's record is made, and what the core calls its fields. */
+/** A valid submission: in its wire form, which the job record is made from, and in the core's form. */
 export interface Submission {
   readonly wire: WireJob;
   readonly spec: JobSpec;
 }
 
-/** A user's submission; or one line that says what is wrong with it. */
+/** Parses a user's submission; returns a one-line error message if it is invalid. */
 export const parseSubmission = (body: string): Submission | string => {
   let value: unknown;
   try {
@@ -60,7 +60,7 @@
     const firstError = validateSubmission.errors?.[0];
     return `${firstError?.instancePath.slice(1) || "the body"} ${firstError?.message ?? "is not valid"}`;
   }
-  // only what we know is kept
+  // unknown fields and nulls are dropped
   const wire = Object.fromEntries(
     Object.keys(submissionSchema.properties)
       .filter((name) => (value as unknown as Record<string, unknown>)[name] != null)
@@ -74,7 +74,7 @@
   return { wire, spec: toJobSpec(wire) };
 };
 
-/** What the core knows of a job. Its record in the state service is the submission as it was accepted. */
+/** Converts a submission or a job record to the core's form. */
 export const toJobSpec = (wire: WireJob): JobSpec => ({
   id: wire.ref,
   className: wire.roster,
@@ -99,13 +99,13 @@
   dependsOn: wire.awaits ?? [],
 });
 
-/** What the accepting node writes: with the time of day, so that a failover makes no job young again. */
+/** The record of a newly accepted job. It holds the time of acceptance, so that a failover doesn't reset the job's age. */
 export const encodeJobRecord = (wire: WireJob, accepted: Date): object => ({
   ...wire,
   accepted_ms: accepted.getTime(),
 });
 
-/** A blocked job's record as it is once its last parent is done: its start latency counts from then. */
+/** The record of a blocked job once its last parent is done: its start latency counts from `released`. */
 export const withReleaseTime = (record: object, released: Date): object => ({
   ...record,
   released_ms: released.getTime(),
@@ -116,12 +116,12 @@
   return Number.isSafeInteger(ms) ? new Date(ms as number) : null;
 };
 
-/** The time of day at which the job of this record was accepted; null in the records of early versions. */
+/** The time of day at which the job was accepted; null in records written by early versions. */
 export const acceptanceTimeOf = (record: unknown): Date | null => readDate(record, "accepted_ms");
-/** The time of day at which the last job that it depends on was done; null: it depends on none. */
+/** The time of day at which the job's last parent was done; null for a job that was never blocked or still is. */
 export const releaseTimeOf = (record: unknown): Date | null => readDate(record, "released_ms");
 
-/** A fan-in set as it was read; null: it can't be one. */
+/** Decodes a stored fan-in set; null if it is malformed. */
 export const decodeFanin = (value: unknown): FaninRecord | null => {
   const { joined, released } = (value ?? {}) as Partial<FaninRecord>;
   return Array.isArray(joined) && joined.every((parent) => typeof parent === "string")
@@ -129,13 +129,13 @@
     : null;
 };
 
-/** A job record as it was read; null: it can't be what was accepted under this id. */
+/** Decodes a stored job record; null if it is malformed or belongs to another id. */
 export const decodeJobRecord = (id: string, value: unknown): JobSpec | null =>
   typeof value === "object" && value !== null && validateJobRecord(value) && value.ref === id
     ? toJobSpec(value)
     : null;
 
-/** What a user is told of a job. */
+/** The state of a job as users see it. */
 export type UserJobState = "queued" | "running" | "done" | "cancelled";
 const WIRE_STATES: Record<UserJobState, string> = {
   queued: "queued",
@@ -144,14 +144,14 @@
   cancelled: "aborted",
 };
 
-/** Answer to a submission and to a cancel. */
+/** Response to a submission or a cancellation. */
 export const jobAnswer = (id: string, state: UserJobState): string =>
   JSON.stringify({ ref: id, status: WIRE_STATES[state] });
-/** Answer to the question for a job's status; `done` and `running` count tasks. */
+/** Response to a status request; `done` and `running` are numbers of tasks. */
 export const jobStatusAnswer = (id: string, state: UserJobState, done: number, running: number): string =>
   JSON.stringify({ ref: id, status: WIRE_STATES[state], done, running });
 
-/** Paths of the API for users and workers. */
+/** Paths of the API for users and workers; `cancel` is the last segment of a job's cancellation path. */
 export const apiPaths = {
   jobs: "/v2/runs",
   cancel: "cancel",
--- a/src/io/codec/workers.ts
+++ b/src/io/codec/workers.ts
@@ -1,4 +1,4 @@
-/** Heartbeats of workers and the commands that they are sent. */
+/** The worker protocol: heartbeats from workers and commands to them. */
 import type { Command, ExitReason, Heartbeat, TaskState, TaskStatus } from "../../core/records.js";
 import { taskName } from "../../core/records.js";
 import { isEndpoint } from "./endpoint.js";
@@ -65,7 +65,7 @@
 const hasValidCounts = (wire: WireHeartbeat): boolean =>
   isCount(wire.shift) && isCount(wire.tally) && isCount(wire.baton ?? 0);
 
-/** The tasks that a heartbeat names; null: one of them is malformed. */
+/** The tasks listed in a heartbeat; null if any of them is malformed. */
 const parseTasks = (chores: WireHeartbeat["chores"]): TaskStatus[] | null => {
   if (chores != null && !Array.isArray(chores)) return null;
   const tasks: TaskStatus[] = [];
@@ -77,7 +77,7 @@
   return tasks;
 };
 
-/** A heartbeat, as workers send it and answer commands with it; null: it isn't one. Whatever comes, nothing is thrown. */
+/** Parses a heartbeat, which workers send and also answer commands with; null if it is malformed. Never throws. */
 export const parseHeartbeat = (value: unknown): Heartbeat | null => {
   const wire = value as WireHeartbeat | null | undefined;
   if (typeof wire !== "object" || wire === null) return null;
@@ -106,17 +106,17 @@
   ...(command.op === "stop" ? { leeway_s: command.gracePeriodSeconds } : {}),
 });
 
-/** Answer to a heartbeat (200). The worker drops it if it has seen a higher fencing token. */
+/** Response (200) to a heartbeat. The worker ignores it if it has seen a higher fencing token. */
 export const heartbeatAnswer = (fencingToken: number, commands: readonly Command[]): string =>
   JSON.stringify({ baton: fencingToken, orders: commands.map(encodeCommand) });
 
-/** Answer to a heartbeat (421) that another member takes; null: which one isn't known. */
+/** Response (421) to a heartbeat that belongs to another member; null: that member isn't known. */
 export const redirectAnswer = (member: string | null): string =>
   JSON.stringify(member === null ? {} : { foreman: member });
 
-/** Where a worker takes commands that don't come with the answer to its heartbeat. */
+/** Path at which a worker accepts commands that aren't part of a heartbeat response. */
 export const commandsPath = "/orders";
-/** Commands that a worker executes only in this epoch and while it has seen no higher fencing token. */
+/** Request body for commands. A worker executes them only in this epoch, and if it has seen no higher fencing token. */
 export const commandsBody = (
   fencingToken: number,
   workerEpoch: number,
--- a/src/io/log.ts
+++ b/src/io/log.ts
@@ -1,13 +1,13 @@
-/** Levelled logs on standard error. */
+/** Structured logging to standard error. */
 import pino from "pino";
 
-/** Structured: fields first, then the message. */
+/** Log calls take the fields first, then the message. */
 export type Log = pino.Logger;
 
-/** What LOG_LEVEL may be. */
+/** The valid values of LOG_LEVEL. */
 export const LEVELS = ["error", "info", "debug"] as const;
 
-/** A log of one JSON object a line, with the member's name in each. An unknown level counts as `info`. */
+/** A logger that writes one JSON object per line, each with the member's name. An unknown level is taken as `info`. */
 export const makeLog = (level: string, member: string): Log =>
   pino(
     {
--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -1,17 +1,17 @@
-/** Messages between controllers, in Avro. Other versions know the Avro names; they are mapped to those of the code here. */
+/** Messages between controllers, in Avro. The Avro names are part of the protocol and are mapped to property names here. */
 import avro from "avsc";
 import type { Command, TermRecord } from "../core/records.js";
 import type { AgedHeartbeat, CommandResult, WorkerContact } from "../core/members/member-update.js";
 import type { Range } from "../core/ranges.js";
 
-/** A field of a record: its Avro name, which other versions know, and the name of the property that holds it here. */
+/** A field of a record: its Avro name and the name of the property that holds it in the code. */
 interface AvroField {
   readonly name: string;
   readonly property: string;
   readonly type: unknown;
 }
 
-/** A type under another property name than the field's Avro name. */
+/** A field's type together with a property name that differs from the field's Avro name. */
 class Renamed {
   constructor(
     readonly property: string,
@@ -19,13 +19,13 @@
   ) {}
 }
 
-/** The field's Avro name stays as it is; the code calls it `property`. */
+/** Holds the field in `property`; its Avro name is the key in `record`. */
 export const as = (property: string, type: unknown): Renamed => new Renamed(property, type);
 
-/** The Avro type of a list. */
+/** An Avro array type. */
 export const array = (items: unknown) => ({ type: "array", items });
 
-/** The Avro type of a record, by the Avro names of its fields. */
+/** An Avro record type; the keys of `fields` are Avro names. */
 export const record = (name: string, fields: Record<string, unknown>) => ({
   type: "record",
   name,
@@ -63,14 +63,14 @@
   graceS: as("gracePeriodSeconds", "double"),
 });
 
-/** A member's update for the leader: what changed since its last one. */
+/** A member's update to the leader: what changed since its previous one. */
 export interface SyncRequest {
   readonly termNumber: number;
   readonly member: string;
   readonly incarnation: number;
-  /** The leader's own clock, as it was in the last answer that this member got from it; -1: none yet. */
+  /** The reading of the leader's clock in the last response that this member received; -1: none yet. */
   readonly leaderClockMark: number;
-  /** The version of the jobs' progress in that answer; -1: none yet. */
+  /** The version of the job progress in that response; -1: none yet. */
   readonly progressVersion: number;
   readonly reachesStateService: boolean;
   readonly contacts: readonly WorkerContact[];
@@ -78,25 +78,28 @@
   readonly storedFinishes: readonly { job: string; ranges: readonly Range[] }[];
   readonly commandResults: readonly CommandResult[];
 }
-/** How far an unfinished job is, or that it has just ended. */
+/** The progress of an unfinished job, or of one that has just ended. */
 export interface JobProgress {
   readonly job: string;
   readonly done: number;
   readonly running: number;
-  /** Whether its commit record says done. */
+  /** Whether the job's commit record says that it is done. */
   readonly over: boolean;
 }
-/** The leader's answer to a member's update. */
+/** The leader's response to a member's update. */
 export interface SyncResponse {
   readonly termNumber: number;
-  /** false: this node doesn't lead that term, or isn't ready yet. */
+  /** false: the node doesn't lead in this term, or isn't ready yet. */
   readonly accepted: boolean;
   readonly leaderClockMark: number;
   readonly progressVersion: number;
   readonly reachesStateService: boolean;
   readonly progress: readonly JobProgress[];
 }
-/** Commands of the leader for one machine, to be sent by a member while the worker is in this epoch; their outcomes come with its next update. */
+/**
+ * The leader's commands for one machine. A member sends them to the worker, which executes them only in this epoch, and
+ * reports the outcome with its next update.
+ */
 export interface CommandBatch {
   readonly id: number;
   readonly machine: string;
@@ -105,26 +108,26 @@
   readonly fencingToken: number;
   readonly commands: readonly Command[];
 }
-/** Commands for many machines, which may be sent only under this term. */
+/** Commands for several machines, to be sent only while this term is current. */
 export interface CommandDelivery {
   readonly term: TermRecord;
   readonly batches: readonly CommandBatch[];
 }
-/** Whether a member takes a delivery. */
+/** A member's response to a delivery. */
 export interface DeliveryReceipt {
-  /** false: this node may not send under that term; nothing was sent. */
+  /** false: the member may not send commands in that term, and sent none. */
   readonly accepted: boolean;
 }
 
-/** The binary form of one kind of message between controllers. */
+/** Encodes and decodes one type of message between controllers. */
 export interface Codec<T> {
-  /** The Avro schema with the names of its records and fields, which other versions know. */
+  /** The Avro schema with the names used in the protocol. */
   readonly schema: unknown;
   encode(value: T): Buffer;
   decode(buffer: Buffer): T;
 }
 
-/** The schema with one of the two names of each field. */
+/** The schema with each field named by `nameOf`: by its Avro name or by its property. */
 const schemaNamedBy = (schema: unknown, nameOf: (field: AvroField) => string): unknown => {
   if (Array.isArray(schema)) return schema.map((branch) => schemaNamedBy(branch, nameOf));
   if (typeof schema !== "object" || schema === null) return schema;
@@ -139,8 +142,8 @@
   avro.Type.forSchema(schema as avro.Schema, { wrapUnions: false });
 
 /**
- * A codec for messages of type `T`. Avro's binary form holds values in the order of the fields and no names, so the
- * property names cost nothing and can't be seen by other versions.
+ * A codec for messages of type `T`. Avro's binary form holds the values in the order of the fields, without names, so the
+ * property names never leave the process.
  */
 export const codec = <T>(schema: unknown): Codec<T> => {
   const type = avroType(schemaNamedBy(schema, (field) => field.property));
@@ -151,7 +154,7 @@
   };
 };
 
-/** Members' updates. */
+/** Codec of members' updates. */
 export const syncRequestCodec = codec<SyncRequest>(
   record("Sync", {
     token: as("termNumber", "long"),
@@ -186,7 +189,7 @@
   }),
 );
 
-/** The leader's answers to updates. */
+/** Codec of the leader's responses to updates. */
 export const syncResponseCodec = codec<SyncResponse>(
   record("SyncAnswer", {
     token: as("termNumber", "long"),
@@ -198,7 +201,7 @@
   }),
 );
 
-/** Commands on their way to a member. */
+/** Codec of deliveries of commands to members. */
 export const commandDeliveryCodec = codec<CommandDelivery>(
   record("Deliver", {
     term: record("Term", {
@@ -223,27 +226,27 @@
   }),
 );
 
-/** Members' answers to deliveries. */
+/** Codec of members' responses to deliveries. */
 export const deliveryReceiptCodec = codec<DeliveryReceipt>(record("Delivered", { accepted: "boolean" }));
 
-/** A node whose renewals fail asks the others whether its term is current. */
+/** Sent by a node whose lease renewals fail, to ask another whether its term is still current. */
 export interface TermConfirmationRequest {
   readonly termNumber: number;
 }
 
-/** Whether the node asked has heard of no newer term. */
+/** The response: whether that node knows of no newer term. */
 export interface TermConfirmation {
   readonly knowsNoNewerTerm: boolean;
 }
 
-/** Questions whether a term is current. */
+/** Codec of term confirmation requests. */
 export const termConfirmationRequestCodec = codec<TermConfirmationRequest>(
   record("Word", { token: as("termNumber", "long") }),
 );
-/** Answers to them. */
+/** Codec of the responses to them. */
 export const termConfirmationCodec = codec<TermConfirmation>(
   record("WordAnswer", { noneNewer: as("knowsNoNewerTerm", "boolean") }),
 );
 
-/** Paths of these messages. */
+/** HTTP paths of these messages. */
 export const peerPaths = { sync: "/sync", deliver: "/deliver", confirmTerm: "/word" } as const;
--- a/src/io/record-codec.ts
+++ b/src/io/record-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Records of the cluster's membership as the state service keeps them. Other versions read and write the same records,
- * so their names stay; here they are mapped to those of the code.
+ * Encodes and decodes the cluster's membership records in the state service. Other versions read and write them too, so
+ * the stored names never change; they are mapped to the code's names here.
  */
 import type { LeaderRecord, MemberRecord, TermMember, TermRecord } from "../core/records.js";
 
@@ -19,7 +19,7 @@
   readonly permit: number;
 }
 
-/** A term as it is stored. */
+/** Encodes a term. */
 export const encodeTerm = ({ number, leaderRevision, leader, members }: TermRecord): StoredTerm => ({
   token: number,
   key: leaderRevision,
@@ -27,28 +27,28 @@
   members,
 });
 
-/** A term as it was read. */
+/** Decodes a stored term. */
 export const decodeTerm = (value: unknown): TermRecord => {
   const { token, key, leader, members } = value as StoredTerm;
   return { number: token, leaderRevision: key, leader, members };
 };
 
-/** A member's record as it is stored. */
+/** Encodes a member's record. */
 export const encodeMember = ({ zone, leaseId }: MemberRecord): StoredMember => ({ zone, permit: leaseId });
 
-/** A member's record as it was read. */
+/** Decodes a stored member's record. */
 export const decodeMember = (value: unknown): MemberRecord => {
   const { zone, permit } = value as StoredMember;
   return { zone, leaseId: permit };
 };
 
-/** The leader's record as it is stored. */
+/** Encodes the leader's record. */
 export const encodeLeader = ({ member, leaseId }: LeaderRecord): StoredLeader => ({
   member,
   permit: leaseId,
 });
 
-/** The leader's record as it was read. */
+/** Decodes the stored leader's record. */
 export const decodeLeader = (value: unknown): LeaderRecord => {
   const { member, permit } = value as StoredLeader;
   return { member, leaseId: permit };
--- a/src/io/schemas.ts
+++ b/src/io/schemas.ts
@@ -1,4 +1,4 @@
-/** JSON schemas of the two settings files and of a submission, checked by ajv. */
+/** JSON schemas of the two settings files, of submissions and of stored job records. */
 
 const text = { type: "string", minLength: 1 } as const;
 const positive = { type: "number", exclusiveMinimum: 0 } as const;
@@ -20,7 +20,7 @@
   txn_ops: { type: "integer", minimum: 4 },
 } as const;
 
-/** The file that the platform hands over. Fields it doesn't name are ignored. */
+/** The settings file provided by the platform. Unknown fields are ignored. */
 export const platformSchema = object({
   member: text,
   domain: text,
@@ -65,7 +65,7 @@
   ),
 });
 
-/** Operators' own settings: every field has a default. */
+/** The operators' settings file: every field has a default. */
 export const operatorSchema = {
   $schema: "http://json-schema.org/draft-07/schema#",
   title: "indigowick operators' settings",
@@ -169,10 +169,10 @@
   awaits: nullable({ type: "array", items: { type: "string", pattern: "^req-[0-9]{1,18}$" } }),
 } as const;
 
-/** POST /v2/runs. What may be null may be omitted; all else has to be there. Fields it doesn't name are ignored. */
+/** Body of POST /v2/runs. Nullable fields may be omitted, all others are required, and unknown fields are ignored. */
 export const submissionSchema = object(submission, ["builds", "district", "due_s", "awaits"]);
 
-/** A job record: earlier versions accepted submissions that lack some fields, and those jobs have to run. */
+/** Fields that job records of earlier versions may lack, since those versions didn't require them; such jobs still run. */
 const MISSING_IN_EARLY_RECORDS = [
   "gpus",
   "together",
@@ -183,7 +183,7 @@
   "stash_s",
 ] as const;
 
-/** A stored job record, which may come from an earlier version. */
+/** A stored job record, which an earlier version may have written. */
 export const jobRecordSchema = object(
   {
     ...submission,
--- a/src/io/server.ts
+++ b/src/io/server.ts
@@ -1,8 +1,8 @@
-/** What the servers for users, peers and operators share. */
+/** Common parts of the HTTP servers for users, peers and operators. */
 import type http from "node:http";
 import * as Effect from "effect/Effect";
 
-/** The whole body, or null when it is larger than `maxBytes`. A connection that breaks calls nothing. */
+/** Calls `onBody` with the whole body, or null if it is larger than `maxBytes`; never if the connection breaks. */
 export const readBody = (
   request: http.IncomingMessage,
   maxBytes: number,
@@ -19,7 +19,7 @@
   request.on("error", () => undefined);
 };
 
-/** Listens at an address, with so many connections at most; gives the server, so that whoever started it can close it. */
+/** Starts listening at the address `bind`, and returns the server once it does. */
 export const listen = (
   server: http.Server,
   bind: string,
--- a/src/io/settings.ts
+++ b/src/io/settings.ts
@@ -1,11 +1,11 @@
-/** Reads and checks the platform's settings file and the operators' own. */
+/** Reads and validates the platform's settings file and the operators' settings file. */
 import { readFileSync } from "node:fs";
 import { Ajv, type ValidateFunction } from "ajv";
 import * as Duration from "effect/Duration";
 import type { Team } from "../core/records.js";
 import { operatorSchema, platformSchema } from "./schemas.js";
 
-/** All settings of one controller: of the platform, and under `operator` its operators' own. */
+/** All settings of one controller: those of the platform, and under `operator` those of its operators. */
 export interface Settings {
   readonly member: string;
   readonly zone: string;
@@ -19,36 +19,36 @@
   readonly stateLimits: {
     readonly rps: number;
     readonly writeRps: number;
-    /** The rates from some unannounced moment on. */
+    /** The rates that replace these at some time, without notice. */
     readonly next: { readonly rps: number; readonly writeRps: number };
-    /** Sizes that hold before and after that moment: what is written must not depend on when it comes. */
+    /** The lower of the present and the future size limits, so that what is written stays valid after the change. */
     readonly valueKb: number;
     readonly txnOps: number;
   };
   readonly cloudLimits: { readonly rps: number; readonly listLag: Duration.Duration };
   readonly maxConnections: number;
-  /** How soon the platform's objectives expect tasks of a class to start. */
+  /** By class: how soon its tasks should start, according to the platform's objectives. */
   readonly startLatencyGoals: ReadonlyMap<string, Duration.Duration>;
   readonly operator: OperatorSettings;
 }
 
-/** The operators' own settings; `indigowick schema` describes each. */
+/** The operators' settings; `indigowick schema` prints a description of each. */
 export interface OperatorSettings {
   readonly memberLease: Duration.Duration;
   readonly reuse: number;
   readonly idleBoots: number;
   readonly warmFor: Duration.Duration;
   readonly shards: ShardSettings;
-  /** Where operators' commands are taken; null: nowhere. */
+  /** The address at which operators' commands are accepted; null: none are. */
   readonly operatorsSocket: string | null;
 }
 
-/** Explicit ownership of machines by controllers. */
+/** Settings of the explicit ownership of machines by controllers. */
 export interface ShardSettings {
   readonly enabled: boolean;
   readonly movesAtOnce: number;
   readonly hysteresis: number;
-  /** How often a move is rehearsed; null: never. */
+  /** How often a shard is moved as a rehearsal; null: never. */
   readonly rehearseEvery: Duration.Duration | null;
 }
 
@@ -85,7 +85,7 @@
   operators_socket: string;
 }
 
-/** One clear line for whoever started the program with a bad file. */
+/** A settings file can't be used; the message is one line for whoever started the program. */
 export class InvalidSettings extends Error {}
 
 const readSettingsFile = <T>(path: string, check: ValidateFunction<T>): T => {
@@ -157,7 +157,7 @@
   operatorsSocket: file.operators_socket === "" ? null : file.operators_socket,
 });
 
-/** The settings of both files, the operators' with its defaults; throws `InvalidSettings`. */
+/** Loads both files; absent operators' settings get their defaults. Throws `InvalidSettings`. */
 export const loadSettings = (platformPath: string, operatorPath: string | undefined): Settings => {
   const ajv = new Ajv({ useDefaults: true, strict: false });
   const platformFile = readSettingsFile(platformPath, ajv.compile<PlatformFile>(platformSchema));
--- a/src/io/shard-codec.ts
+++ b/src/io/shard-codec.ts
@@ -1,13 +1,13 @@
-/** What controllers say to one another about shards, in Avro. Earlier versions know none of these paths and answer 404. */
+/** Messages between controllers about shards, in Avro. Versions without shards answer these paths with 404. */
 import { isRefusal, type Offer, Refusal, type ReleaseRequest } from "#shards";
 import { array, codec, record } from "./peer-codec.js";
 
-/** A worker of the shard, for the target to ask. */
+/** A worker of an offered shard, which the target of the handoff tries to reach. */
 export interface SampleWorker {
   readonly addr: string;
-  /** The worker epoch; the name is that of the wire. */
+  /** The worker epoch, under its Avro name. */
   readonly session: number;
-  /** The fencing token of its machine; the name is that of the wire. */
+  /** The fencing token of its machine, under its Avro name. */
   readonly token: number;
 }
 
@@ -16,15 +16,15 @@
   readonly workers: readonly SampleWorker[];
 }
 
-/** A refusal on its way: its tag and its fields as JSON; empty: none. */
+/** A refusal as JSON, or an empty string for none. */
 export interface RefusalText {
   readonly refusal: string;
 }
 
-/** What an operator asks of whichever controller leads. */
+/** An operator's request, which another controller forwards to the leader. */
 export interface OperatorRequest {
   readonly verb: "list" | "move" | "drain" | "cancel" | "outcome";
-  /** The shard, controller or move that is meant. */
+  /** The shard, controller or move that the request is about. */
   readonly name: string;
   /** The target of a move. */
   readonly target: string;
@@ -32,13 +32,13 @@
   readonly epoch: number;
 }
 
-/** The answer: a status of HTTP, and JSON for the operator. */
+/** The leader's answer: an HTTP status, and JSON for the operator. */
 export interface OperatorAnswer {
   readonly status: number;
   readonly body: string;
 }
 
-/** The leader's offer of a shard to the target of a handoff. */
+/** Codec of the leader's offer of a shard to the target of a handoff. */
 export const offerCodec = codec<ShardOffer>(
   record("ShardOffer", {
     id: "string",
@@ -49,41 +49,41 @@
     workers: array(record("SampleWorker", { addr: "string", session: "long", token: "long" })),
   }),
 );
-/** The leader's request to the owner to release a drained shard. */
+/** Codec of the leader's request to the owner to release a drained shard. */
 export const releaseCodec = codec<ReleaseRequest>(
   record("ReleaseRequest", { id: "string", term: "long", shard: "string", epoch: "long" }),
 );
-/** The answer to an offer and to a request to release. */
+/** Codec of the answer to an offer and to a request to release. */
 export const refusalCodec = codec<RefusalText>(record("RefusalText", { refusal: "string" }));
-/** What an operator asked another controller than the leader, passed on. */
+/** Codec of operators' requests that are forwarded to the leader. */
 export const operatorRequestCodec = codec<OperatorRequest>(
   record("OperatorRequest", { verb: "string", name: "string", target: "string", epoch: "long" }),
 );
-/** The leader's answer to that. */
+/** Codec of the leader's answers to forwarded requests. */
 export const operatorAnswerCodec = codec<OperatorAnswer>(
   record("OperatorAnswer", { status: "int", body: "string" }),
 );
 
-/** Paths of these messages. */
+/** HTTP paths of these messages. */
 export const shardPaths = {
   offer: "/shards/offer",
   release: "/shards/release",
   operate: "/shards/operate",
 } as const;
 
-/** A refusal as it is sent. */
+/** Encodes a refusal; null: none. */
 export const encodeRefusal = (refusal: Refusal | null): RefusalText => ({
   refusal: refusal === null ? "" : JSON.stringify(refusal),
 });
 
-/** A refusal as it came; what this version doesn't know is a refusal all the same. */
+/** Decodes a refusal; null: none. One that this version can't read is taken as `NoAnswer` of the member. */
 export const decodeRefusal = ({ refusal }: RefusalText, member: string): Refusal | null => {
   if (refusal === "") return null;
   try {
     const value: unknown = JSON.parse(refusal);
     if (isRefusal(value)) return value;
   } catch {
-    // not JSON: answered below
+    // not JSON: treated like an unknown refusal
   }
   return Refusal.NoAnswer({ member });
 };
--- a/src/io/state-client.ts
+++ b/src/io/state-client.ts
@@ -1,4 +1,4 @@
-/** The state service. Says whether a change was refused, was not carried out, or may be carried out yet. */
+/** Client of the state service. Its failures tell whether a request may have been executed. */
 import type http from "node:http";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
@@ -19,27 +19,27 @@
 export type { Urgency } from "./state-pacer.js";
 
 /**
- * What became of a transaction. `false`: the keys `parseFailedKeys` haven't the revision of their condition. `null`: the service
- * refuses it as it is, without having compared anything, and would refuse it again.
+ * The result of a transaction. `ok` true: committed; false: the conditions on the keys `failed` don't hold; null: the
+ * service considers the request invalid and didn't check its conditions, so a retry would be refused as well.
  */
 export type CommitResult =
   | { readonly ok: true; readonly revision: number }
   | { readonly ok: false; readonly failed: readonly string[] }
   | { readonly ok: null; readonly error: string };
 
-/** Keys with a prefix, and the revision from which a watch misses no change of them. */
+/** All keys with a prefix; a watch from `revision` reports every change after this listing. */
 export interface Listing {
   readonly rows: Row[];
   readonly revision: number;
 }
 
-/** Changes in their order, and the revision to watch from next. */
+/** Changes in order, and the revision to watch from next. */
 export interface WatchedEvents {
   readonly revision: number;
   readonly events: WatchEvent[];
 }
 
-/** A request, and how it keeps to this node's share of the rates. */
+/** A request, and how it is paced. */
 interface StateRequest extends Pick<Call, "method" | "path" | "body"> {
   readonly urgency?: Urgency;
   readonly changeCount?: number;
@@ -50,21 +50,21 @@
 
 const REQUEST_TIMEOUT = Duration.seconds(1.5);
 const LIST_TIMEOUT = Duration.seconds(3);
-/** How much later than its end the answer to a watch may come. */
+/** How long after the end of its wait the response to a watch may arrive. */
 const WATCH_GRACE = Duration.seconds(3);
 const MAX_ERROR_LENGTH = 200;
 
 const unexpected = (reply: Reply): Unavailable => new Unavailable({ why: `status ${reply.status}` });
 
-/** Requests are `first` in urgency unless they say otherwise; see `Urgency`. None is repeated. */
+/** The default urgency of requests is `first`; see `Urgency`. No request is retried. */
 export class StateClient {
-  /** Since when requests fail; null: the last one got an answer other than 503. */
+  /** When requests began to fail; null if the last response had a status other than 503. */
   failingSince: Instant | null = null;
   private readonly agent: http.Agent = makeKeepAliveAgent(24);
   private readonly watchAgent: http.Agent = makeKeepAliveAgent(4);
   private readonly pacer: StatePacer;
 
-  /** `limits` are those of all nodes together. */
+  /** `limits` apply to all nodes together. */
   constructor(
     private readonly addr: string,
     limits: RateLimits,
@@ -73,12 +73,12 @@
     this.pacer = new StatePacer(limits, nodes);
   }
 
-  /** Whether this node leads: the leader's share of the rates is larger. */
+  /** Adjusts this node's share of the rates to whether it leads. */
   setLeading(leading: boolean): void {
     this.pacer.setLeading(leading);
   }
 
-  /** A key as it is now; null: it doesn't exist. */
+  /** Reads a key; null if it doesn't exist. */
   get(
     key: string,
     urgency: Urgency = "first",
@@ -92,7 +92,7 @@
     );
   }
 
-  /** Every key with the prefix, and the revision from which a watch misses nothing. */
+  /** Lists all keys with the prefix. */
   list(prefix: string): Effect.Effect<Listing, StateError> {
     const page = (
       from: string | null,
@@ -104,7 +104,7 @@
           if (reply.status !== 200) return Effect.fail(unexpected(reply));
           const listed = wire.parseRows(parseJson(reply));
           rows.push(...listed.rows);
-          // a watch from the first page's revision tells what changed while the others were read
+          // a watch from the first page's revision also reports what changed while the other pages were read
           const first = revision ?? listed.revision;
           const last = listed.rows.at(-1);
           return listed.more && last !== undefined
@@ -115,7 +115,7 @@
     return page(null, [], null);
   }
 
-  /** Compare-and-swap of all keys at once. Fails as `Unanswered` where it may have been carried out, or may be yet. */
+  /** Applies all operations atomically if all conditions hold. Fails with `Unanswered` if it may have been executed. */
   commit(
     conditions: readonly Condition[],
     operations: readonly Change[],
@@ -143,7 +143,7 @@
     );
   }
 
-  /** A new lease, which ends unless it is extended in time; gives its id. */
+  /** Creates a lease, which expires unless it is renewed in time; returns its id. */
   grantLease(ttl: Duration.Duration): Effect.Effect<number, StateError> {
     return this.send({ method: "POST", path: wire.leasesPath, body: wire.leaseBody(ttl) }).pipe(
       Effect.flatMap((reply) =>
@@ -154,7 +154,7 @@
     );
   }
 
-  /** Renews a lease for its whole time; false: it has ended. */
+  /** Renews a lease for its full time to live; false if it has expired. */
   renewLease(leaseId: number, timeout: Duration.Duration): Effect.Effect<boolean, StateError> {
     return this.send({ method: "POST", path: wire.leaseRenewalPath(leaseId), body: "{}", timeout }).pipe(
       Effect.flatMap((reply) => {
@@ -164,12 +164,12 @@
     );
   }
 
-  /** Ends a lease at once, and with it the keys that are attached to it. */
+  /** Ends a lease and deletes the keys attached to it. */
   revokeLease(leaseId: number): Effect.Effect<void, StateError> {
     return Effect.asVoid(this.send({ method: "DELETE", path: wire.leasePath(leaseId) }));
   }
 
-  /** Waits until a key with the prefix has changed after the revision, or `wait` is over. */
+  /** Waits up to `wait` for changes after the revision `from` to keys with the prefix. */
   watch(
     prefix: string,
     from: number,
@@ -210,7 +210,7 @@
     return failed.sent ? new Unanswered({ why: failed.why }) : new Unavailable({ why: failed.why });
   }
 
-  /** What is the same for all requests: 503 and 429 say that nothing was carried out. */
+  /** Handles the statuses that mean the same for all requests: with 503 or 429 nothing was executed. */
   private checkStatus(reply: Reply): Effect.Effect<Reply, StateError> {
     if (reply.status === 503) {
       this.failingSince ??= now();
--- a/src/io/state-errors.ts
+++ b/src/io/state-errors.ts
@@ -1,21 +1,21 @@
-/** How requests to the state service fail: certainly not carried out, or perhaps. */
+/** Failures of requests to the state service, which differ in whether the request may have been executed. */
 import * as Data from "effect/Data";
 
-/** Not carried out, and won't be: 429, 503, or never sent. */
+/** The request was not executed and won't be: the response was 429 or 503, or it was never sent. */
 export class Unavailable extends Data.TaggedError("Unavailable")<{ readonly why: string }> {}
-/** May have been carried out, or may be yet. */
+/** No usable response: the request may have been executed, or may be executed yet. */
 export class Unanswered extends Data.TaggedError("Unanswered")<{ readonly why: string }> {}
-/** The watched changes are no longer kept: read the keys again. */
+/** The service no longer keeps the changes since the watched revision: the keys have to be listed again. */
 export class TooOld extends Data.TaggedError("TooOld")<object> {}
 
-/** The failure of any request but a watch. */
+/** The failures of all requests except watches. */
 export type StateError = Unavailable | Unanswered;
 
 const RATE_LIMITED = "429";
 
-/** The failure of a request that the service refused for its rate. */
+/** The failure of a request that was refused with 429. */
 export const rateLimited = (): Unavailable => new Unavailable({ why: RATE_LIMITED });
 
-/** The service couldn't take it within its rate, and may be able to a moment later. */
+/** Whether the request was refused with 429, so that it may succeed a moment later. */
 export const isRateLimited = (error: StateError): boolean =>
   error._tag === "Unavailable" && error.why === RATE_LIMITED;
--- a/src/io/state-pacer.ts
+++ b/src/io/state-pacer.ts
@@ -1,4 +1,4 @@
-/** Paces requests to the state service: this node's share of the rates that all nodes have together. */
+/** Paces requests to the state service, so that this node keeps to its share of the cluster's rate limits. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { RateLimiter } from "../core/rates/rate-limiter.js";
@@ -7,46 +7,53 @@
 import { Unavailable } from "./state-errors.js";
 
 /**
- * Renewals and commits go first; the rest waits for this node's share. What says who leads and who is a member goes at
- * once, also after refusals; so do users' submissions and cancels, which are few and have nobody to wait for them.
+ * How a request is paced:
+ *
+ * - `vital`: sent at once, also after a refusal. For requests that decide who leads and who is a member, and for users'
+ *   submissions and cancellations, which are few and which users wait for.
+ * - `first`: sent at once, but after a refusal its changes keep to the rate. For renewals and commits.
+ * - `later`: waits for this node's share.
  */
 export type Urgency = "vital" | "first" | "later";
 
-/** The requests and changes per second, and those that may come into force instead at any time. */
+/** The rate limits, and those that may replace them at any time without notice. */
 export type RateLimits = RequestRates & { readonly next?: RequestRates };
 
-/** What a request asks for. */
+/** A request for admission. */
 export interface AdmissionRequest {
   readonly urgency: Urgency;
-  /** How many puts and deletes it has: these have a rate of their own. */
+  /** Number of puts and deletes: they have a rate limit of their own. */
   readonly changeCount: number;
-  /** How long it waits to be admitted at most; undefined: as long as it takes. */
+  /** The longest wait for admission; undefined: unlimited. */
   readonly maxWait: Duration.Duration | undefined;
 }
 
 const MAX_QUEUED = 500;
-/** Nothing that waits for the share goes out for so long after a refusal. */
+/** For this long after a refusal no `later` request is sent. */
 const PAUSE_AFTER_REFUSAL = Duration.millis(300);
-/** The leader writes the most: it has this share of all rates, the other nodes divide the rest. */
+/** The leader sends most requests: it gets this share of the request rate, and the other nodes divide the rest. */
 const LEADER_REQUEST_SHARE = 0.5;
-/** Of changes it has more: commits, releases and records of machines are its own, and accepting a job is one change. */
+/**
+ * Its share of the change rate is larger, since the leader alone writes commits, releases and machine records, while
+ * accepting a job takes another node just one change.
+ */
 const LEADER_CHANGE_SHARE = 0.7;
 
 const isZero = (wait: Duration.Duration): boolean => Duration.toMillis(wait) === 0;
 
-/** Admits requests as this node's share allows. */
+/** Admits requests within this node's share of the rates. */
 export class StatePacer {
   private readonly requestLimiter: RateLimiter;
   private readonly changeLimiter: RateLimiter;
   private readonly limitSelector: RateLimitSelector;
-  /** The rates that this node's share is taken from, and that share. */
+  /** The cluster's rates at present, and this node's shares of them. */
   private currentRates: RequestRates;
   private requestShare: number;
   private changeShare: number;
-  /** Requests that wait for the share. */
+  /** `later` requests that wait to be admitted. */
   private queuedCount = 0;
 
-  /** `limits` are those of all nodes together. */
+  /** `limits` apply to all nodes together. */
   constructor(
     limits: RateLimits,
     private readonly nodes: number,
@@ -59,7 +66,7 @@
     this.changeLimiter = new RateLimiter(limits.writeRps / nodes);
   }
 
-  /** Whether this node leads: the leader's share is larger. */
+  /** Adjusts the shares to whether this node leads. */
   setLeading(leading: boolean): void {
     if (this.nodes === 1) return;
     const shareFor = (leaderShare: number): number =>
@@ -69,7 +76,7 @@
     this.setRates();
   }
 
-  /** The service refused a request for its rate: other rates may be in force, and what waits goes on waiting. */
+  /** The service refused a request with 429: other limits may apply now, and queued requests are held back for a while. */
   onRateLimited(): void {
     this.limitSelector.refused(now());
     this.setRates();
@@ -77,7 +84,7 @@
     this.changeLimiter.refused(now(), PAUSE_AFTER_REFUSAL);
   }
 
-  /** Succeeds once the request may be sent; fails when that takes too long, and then it must not be sent. */
+  /** Succeeds once the request may be sent. If it fails, the request must not be sent. */
   admit(admission: AdmissionRequest): Effect.Effect<void, Unavailable> {
     const admitted = Effect.suspend(() => {
       if (this.limitSelector.ratesAt(now()) !== this.currentRates) this.setRates();
@@ -92,7 +99,7 @@
     });
   }
 
-  /** Goes into debt rather than wait; but after a refusal those that aren't vital keep to the rate of changes. */
+  /** Overdraws the share rather than wait, except that after a refusal `first` requests keep to the change rate. */
   private admitWithPriority({
     urgency,
     changeCount: changeCount,
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -1,4 +1,4 @@
-/** Commands sent straight to a worker, over few connections: most go with the answers to heartbeats. */
+/** Sends commands directly to workers. Few connections are needed, since most commands travel in heartbeat responses. */
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Command, Heartbeat } from "../core/records.js";
@@ -7,40 +7,40 @@
 import { commandsBody, commandsPath, parseHeartbeat } from "./codec.js";
 
 const COMMAND_TIMEOUT = Duration.seconds(2);
-/** A question without commands may be asked again, so it needn't wait long. */
+/** A request without commands only asks for a heartbeat; it can be repeated, so its timeout is shorter. */
 const HEARTBEAT_REQUEST_TIMEOUT = Duration.seconds(1);
 
-/** How many calls may be under way or queued for each that may be under way. */
+/** Limit on open calls, running or queued, as a multiple of the calls that may run at a time. */
 const MAX_OPEN_PER_CONCURRENT_CALL = 4;
 
-/** A batch of commands for one worker, and what has to hold for the worker to execute it. */
+/** A batch of commands for one worker, with the fencing token and the epoch under which the worker executes it. */
 export interface WorkerCommands {
   readonly addr: string;
   readonly fencingToken: number;
   readonly workerEpoch: number;
-  /** None: only the worker's heartbeat is wanted. */
+  /** Empty: only the worker's heartbeat is requested. */
   readonly commands: readonly Command[];
-  /** Asked when the call is about to be made: whether this node may still act. */
+  /** Checked right before sending: whether this node may still act. */
   readonly maySend: () => boolean;
 }
 
-/** What became of a batch, and the heartbeat that the worker answered with. */
+/** The outcome of a batch, and the heartbeat that the worker responded with. */
 export interface WorkerAnswer {
   readonly outcome: CommandOutcome;
   readonly report: Heartbeat | null;
 }
 
-/** Calls to workers, which may hang: only so many at a time, each with a short timeout. */
+/** Calls workers, any of which may hang: concurrency is limited and timeouts are short. */
 export class WorkerClient {
   private readonly agent = makeKeepAliveAgent(1);
-  /** Calls under way: their time runs only once they are, so machines that hang don't hold up the others for long. */
+  /** One permit per running call. A timeout starts when its call does, so workers that hang don't delay others for long. */
   private readonly callPermits: Effect.Semaphore;
-  /** Calls under way or queued. */
+  /** Calls that are running or queued. */
   private openCalls = 0;
-  /** Workers to which a connection is kept, the longest unused first. */
+  /** Addresses with a connection that may be kept, least recently used first. */
   private readonly recentlyUsedAddrs = new Set<string>();
 
-  /** `maxConcurrentCalls` at a time; `maxIdleConnections`: how many idle connections may be kept right now. */
+  /** `maxIdleConnections` is called for the current limit whenever a connection is used. */
   constructor(
     private readonly maxConcurrentCalls: number,
     private readonly maxIdleConnections: () => number,
@@ -48,12 +48,12 @@
     this.callPermits = Effect.unsafeMakeSemaphore(maxConcurrentCalls);
   }
 
-  /** Whether more would be sent in time: what is queued costs memory, and is old when it is sent. */
+  /** Whether another call may be queued. The queue is bounded, since commands that wait use memory and become outdated. */
   hasQueueCapacity(): boolean {
     return this.openCalls < this.maxConcurrentCalls * MAX_OPEN_PER_CONCURRENT_CALL;
   }
 
-  /** Marks the connection as used last, and closes those unused for longest beyond what may be kept. */
+  /** Marks the connection as most recently used, and closes the least recently used ones above the limit. */
   private markConnectionUsed(addr: string): void {
     this.recentlyUsedAddrs.delete(addr);
     this.recentlyUsedAddrs.add(addr);
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Sends a batch. Never fails: the outcome says whether the worker may have executed it. */
+  /** Sends a batch. Never fails: the outcome tells whether the worker executed it. */
   sendCommands(batch: WorkerCommands): Effect.Effect<WorkerAnswer> {
     const { addr, commands, maySend } = batch;
     const body = commandsBody(batch.fencingToken, batch.workerEpoch, commands);
@@ -88,7 +88,7 @@
 
 const withoutHeartbeat = (outcome: CommandOutcome): WorkerAnswer => ({ outcome, report: null });
 
-/** 200: executed; 409: not executed, for the fencing token or the epoch. Both come with the worker's heartbeat. */
+/** 200: executed; 409: rejected for the fencing token or the epoch. Both responses contain the worker's heartbeat. */
 const answerOf = (reply: Reply): WorkerAnswer => {
   const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(parseJson(reply)) : null;
   if (reply.status !== 200) return { outcome: "rejected", report: heartbeat };
