--- a/packages/shards/src/coordinator.ts
+++ b/packages/shards/src/coordinator.ts
@@ -118,7 +118,7 @@
       epoch,
       term,
       startedAt: now,
-      since: now,
+      phaseStartedAt: now,
       writeSentAt: now,
       phase: { kind: "offered" },
     });
@@ -126,7 +126,7 @@
   }
 
   /** Handles the target's answer to an offer; undefined: there was no answer. */
-  offerAnswered(
+  onOfferAnswer(
     shard: ShardId,
     id: string,
     answer: OfferAnswer | undefined,
@@ -143,12 +143,12 @@
     const step = beginHandoff(input.assignment, shard, { id, target: attempt.request.target });
     if ("refusal" in step) return this.end(attempt, step.refusal, input.now);
     const { write } = step;
-    const beginning = { ...attempt, since: input.now };
+    const beginning = { ...attempt, phaseStartedAt: input.now };
     return this.write(beginning, { kind: "beginning", write, failed: false }, write, input.now);
   }
 
   /** Handles the outcome of a write of a handoff. */
-  writeAnswered(
+  onWriteOutcome(
     shard: ShardId,
     id: string,
     write: ShardWrite,
@@ -172,7 +172,7 @@
 
   private startDraining(attempt: HandoffAttempt, now: number): void {
     const phase: HandoffPhase = { kind: "draining", tokensRaised: false, releaseRequestedAt: null };
-    this.attempts.set(attempt.request.shard, { ...attempt, since: now, phase });
+    this.attempts.set(attempt.request.shard, { ...attempt, phaseStartedAt: now, phase });
   }
 
   /** The record has changed since the revision that a write required: continues from what the record says now. */
@@ -185,7 +185,7 @@
     const state = input.assignment.recordOf(shard)?.state;
     if (state !== undefined && state._tag !== "Owned" && state.handoff.id === id) {
       if (state._tag === "Draining") this.startDraining(attempt, input.now);
-      else this.attempts.set(shard, { ...attempt, since: input.now, phase: { kind: "released" } });
+      else this.attempts.set(shard, { ...attempt, phaseStartedAt: input.now, phase: { kind: "released" } });
       return [];
     }
     if (state?._tag === "Owned" && state.owner === target && state.epoch > attempt.epoch)
@@ -195,7 +195,7 @@
   }
 
   /** Handles the owner's answer to a release request. A refusal aborts the handoff. */
-  releaseAnswered(
+  onReleaseAnswer(
     shard: ShardId,
     id: string,
     answer: ReleaseAnswer | undefined,
@@ -229,7 +229,7 @@
     const { phase } = attempt;
     switch (phase.kind) {
       case "offered": {
-        const isLate = now - attempt.since >= this.timeouts.offerMs;
+        const isLate = now - attempt.phaseStartedAt >= this.timeouts.offerMs;
         return isLate ? this.end(attempt, Refusal.NoAnswer({ member: attempt.request.target }), now) : [];
       }
       case "beginning":
@@ -253,7 +253,7 @@
     const revision = assignment.recordOf(shard)?.revision ?? 0;
     if (revision !== phase.write.revision) return this.continueFromRecord(attempt, phase, input);
     // if the write is executed later, repairs end the handoff; the owner is never asked to release the shard
-    if (phase.kind === "beginning" && now - attempt.since >= this.timeouts.drainMs)
+    if (phase.kind === "beginning" && now - attempt.phaseStartedAt >= this.timeouts.drainMs)
       return this.end(attempt, Refusal.NotWritten({ shard }), now);
     if (phase.failed || now - attempt.writeSentAt < this.timeouts.retryMs) return [];
     return this.write(attempt, phase, phase.write, now);
@@ -268,12 +268,12 @@
     const { shard, id } = attempt.request;
     const state = assignment.recordOf(shard)?.state;
     if (state?._tag === "Released" && state.handoff.id === id) {
-      this.attempts.set(shard, { ...attempt, since: now, phase: { kind: "released" } });
+      this.attempts.set(shard, { ...attempt, phaseStartedAt: now, phase: { kind: "released" } });
       return [];
     }
-    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.endFinished(attempt, input);
+    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.endAfterNewOwner(attempt, input);
     const facts = input.facts(shard);
-    if (now - attempt.since >= this.timeouts.drainMs)
+    if (now - attempt.phaseStartedAt >= this.timeouts.drainMs)
       return this.abort(attempt, drainObstacle(attempt, facts), input);
     if (!phase.tokensRaised) {
       this.attempts.set(shard, { ...attempt, phase: { ...phase, tokensRaised: true } });
@@ -291,12 +291,12 @@
     const { now, assignment } = input;
     const { shard, target } = attempt.request;
     const state = assignment.recordOf(shard)?.state;
-    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.endFinished(attempt, input);
-    if (now - attempt.since < this.timeouts.takeMs) return [];
+    if (state?._tag === "Owned" && state.epoch > attempt.epoch) return this.endAfterNewOwner(attempt, input);
+    if (now - attempt.phaseStartedAt < this.timeouts.takeMs) return [];
     return this.abort(attempt, Refusal.NotTaken({ member: target }), input);
   }
 
-  private endFinished(attempt: HandoffAttempt, input: CoordinatorInput): readonly CoordinatorAction[] {
+  private endAfterNewOwner(attempt: HandoffAttempt, input: CoordinatorInput): readonly CoordinatorAction[] {
     const { shard, target } = attempt.request;
     const isTaken = input.assignment.ownershipOf(shard)?.owner === target;
     return this.end(attempt, isTaken ? null : Refusal.Overtaken({ shard }), input.now);
--- a/packages/shards/src/handoff-attempt.ts
+++ b/packages/shards/src/handoff-attempt.ts
@@ -61,7 +61,7 @@
   /** When the offer was sent to the target. */
   readonly startedAt: number;
   /** When the current phase began. */
-  readonly since: number;
+  readonly phaseStartedAt: number;
   /** When the last write was sent. */
   readonly writeSentAt: number;
   readonly phase: HandoffPhase;
--- a/packages/shards/src/owner-view.ts
+++ b/packages/shards/src/owner-view.ts
@@ -38,8 +38,8 @@
   ) {}
 
   /** The view of a process that has sent nothing yet. */
-  static create(me: string, assignment: Assignment): OwnerView {
-    return new OwnerView(me, assignment, HashMap.empty(), null);
+  static create(self: string, assignment: Assignment): OwnerView {
+    return new OwnerView(self, assignment, HashMap.empty(), null);
   }
 
   /** The view after this process has read newer records. */
@@ -132,7 +132,7 @@
    * To be called right before a release is sent: from then on the shard isn't counted until a newer record is read. If the
    * write fails, that proves nothing, since an earlier copy of it may be what changed the record.
    */
-  releaseSent(write: ShardWrite): OwnerView {
+  markReleaseSent(write: ShardWrite): OwnerView {
     const releasing = HashMap.set(this.sentReleases, write.shard, write.revision);
     return new OwnerView(this.self, this.assignment, releasing, this.previousTermView);
   }
--- a/packages/shards/src/rebalancer.ts
+++ b/packages/shards/src/rebalancer.ts
@@ -40,11 +40,11 @@
 }
 
 /** In messages a second: a machine causes this load by its connection and index entries, even without messages. */
-const MACHINE_WEIGHT = 0.01;
+const MACHINE_WEIGHT_PER_SECOND = 0.01;
 
 /** The load of a shard as one number, in messages a second. */
 export const weightOf = (load: ShardLoad): number =>
-  load.heartbeatsPerSecond + load.commandsPerSecond + load.machines * MACHINE_WEIGHT;
+  load.heartbeatsPerSecond + load.commandsPerSecond + load.machines * MACHINE_WEIGHT_PER_SECOND;
 
 /** The moves planned so far, and the owners and loads that result from them. */
 class MovePlan {
--- a/packages/shards/src/repairs.ts
+++ b/packages/shards/src/repairs.ts
@@ -7,7 +7,7 @@
  * Without a record, a shard's owner changes with the members, which costs no writes and moves few machines. A shard with at
  * least this many machines gets a record, so that it keeps its owner when members join or leave.
  */
-export const MACHINES_WORTH_A_RECORD = 4;
+export const MIN_MACHINES_FOR_RECORD = 4;
 
 /**
  * At most `maxWrites` writes that make the records consistent with the term. `machines`: number of machines by shard.
@@ -28,7 +28,7 @@
     if (write !== null) writes.push(write);
   }
   for (const [shard, count] of machines) {
-    if (count < MACHINES_WORTH_A_RECORD || assignment.recordOf(shard) !== null || isMoving(shard)) continue;
+    if (count < MIN_MACHINES_FOR_RECORD || assignment.recordOf(shard) !== null || isMoving(shard)) continue;
     const write = pinShard(assignment, shard);
     if (write !== null) writes.push(write);
   }
--- a/packages/shards/src/shard-id.ts
+++ b/packages/shards/src/shard-id.ts
@@ -13,12 +13,12 @@
  */
 export const SHARDS_PER_ZONE = 16;
 
-const DIGITS = 2;
+const INDEX_DIGITS = 2;
 const SHARD_ID = /^([A-Za-z0-9%~!*'()_-][A-Za-z0-9.%~!*'()_-]*)\.([0-9]{2})$/;
 
 /** The shard `index` of a zone. Zone names are escaped, since keys of the state service can't contain spaces. */
 export const shardAt = (zone: string, index: number): ShardId =>
-  shardId(`${encodeURIComponent(zone)}.${String(index).padStart(DIGITS, "0")}`);
+  shardId(`${encodeURIComponent(zone)}.${String(index).padStart(INDEX_DIGITS, "0")}`);
 
 /** The shard of a machine. It depends only on the machine's name and zone and never changes. */
 export const shardOf = (machine: string, zone: string): ShardId =>
@@ -42,4 +42,4 @@
 
 /** The zone of a shard's machines. */
 export const zoneOfShard = (shard: ShardId): string =>
-  decodeURIComponent(shard.slice(0, shard.length - DIGITS - 1));
+  decodeURIComponent(shard.slice(0, shard.length - INDEX_DIGITS - 1));
--- a/packages/shards/test/assignment.test.ts
+++ b/packages/shards/test/assignment.test.ts
@@ -183,7 +183,7 @@
   assert.ok(ownerView.ownsForCertain(SHARD, true));
   const step = ownerView.answerRelease({ id: "move-1", term: 7, shard: SHARD, epoch: 3 });
   assert.ok("write" in step);
-  const sent = ownerView.releaseSent(step.write);
+  const sent = ownerView.markReleaseSent(step.write);
   assert.ok(!sent.ownsForCertain(SHARD, true));
   assert.ok(!sent.withAssignment(draining).ownsForCertain(SHARD, true));
   const value = encodeShardState(ShardState.Owned({ epoch: 3, owner: "north" }));
--- a/packages/shards/test/handoffs.property.test.ts
+++ b/packages/shards/test/handoffs.property.test.ts
@@ -71,7 +71,7 @@
     .map(
       (slow) =>
         new Step(`workers(${slow.toFixed(2)})`, (world) =>
-          Object.assign(world.network, { slowWorkers: slow }),
+          Object.assign(world.network, { slowWorkerShare: slow }),
         ),
     ),
   fc
@@ -106,7 +106,7 @@
     .map(
       ({ loss, slow }) =>
         new Step(`network(${loss.toFixed(2)}, ${slow.toFixed(2)})`, (world) =>
-          Object.assign(world.network, { loss, slow, copies: slow }),
+          Object.assign(world.network, { lossShare: loss, slowShare: slow, duplicateShare: slow }),
         ),
     ),
 ];
@@ -116,9 +116,9 @@
   readonly outcomes: Map<string, number>;
 }
 
-const historyProperty = (disabledGuard: Guard | null, totals: RunTotals) =>
+const historyProperty = (disabled: Guard | null, totals: RunTotals) =>
   fc.property(fc.commands(steps, { maxCommands: 60, size: "max" }), fc.nat(1e9), (commands, seed) => {
-    const world = new World(seed, disabledGuard, NODES, MACHINES);
+    const world = new World(seed, disabled, NODES, MACHINES);
     for (const [name] of NODES) world.faults.restart(name, true);
     world.advance(5000);
     fc.modelRun(() => ({ model: {}, real: world }), commands);
--- a/packages/shards/test/interleavings.ts
+++ b/packages/shards/test/interleavings.ts
@@ -37,17 +37,17 @@
 const TIMEOUT_MS = 3500;
 const MAX_STATES = 200_000;
 
-const newWorld = (disabledGuard: Guard | null): World => {
+const newWorld = (disabled: Guard | null): World => {
   const nodes = [
     [NAMES.leader, "west"],
     [NAMES.source, "east"],
     [NAMES.target, "east"],
   ] as const;
-  const world = new World(1, disabledGuard, nodes, new Map([["n-4", "east"]]));
-  world.busy = false;
+  const world = new World(1, disabled, nodes, new Map([["n-4", "east"]]));
+  world.sendsCommands = false;
   for (const [name] of nodes) world.faults.restart(name, true);
   world.advance(5000);
-  for (const node of world.nodes.values()) node.fencingWindowEnd = node.leaseUntil = Infinity;
+  for (const node of world.nodes.values()) node.windowEnd = node.leaseUntil = Infinity;
   return world;
 };
 
@@ -55,11 +55,11 @@
 export class Interleavings {
   constructor(
     private readonly bounds: Bounds,
-    private readonly disabledGuard: Guard | null = null,
+    private readonly disabled: Guard | null = null,
   ) {}
 
   explore(shard: ShardId): SearchResult {
-    const first = newWorld(this.disabledGuard);
+    const first = newWorld(this.disabled);
     const leader = first.node(NAMES.leader);
     // without a heartbeat of the machine the handoff couldn't begin
     first.requestHeartbeats(leader, shard);
@@ -87,8 +87,8 @@
             return {
               states: seen.size,
               violations: world.invariants.violations,
-              finalOwners: finalOwners,
-              openHandoffs: openHandoffs,
+              finalOwners,
+              openHandoffs,
             };
         }
         const fresh = successors.filter((successor) => {
@@ -107,23 +107,23 @@
       }
       queue = next;
     }
-    return { states: seen.size, violations: [], finalOwners: finalOwners, openHandoffs: openHandoffs };
+    return { states: seen.size, violations: [], finalOwners, openHandoffs };
   }
 
   private successors(state: State): State[] {
-    const { world, remaining: remaining } = state;
+    const { world, remaining } = state;
     const states: State[] = [];
     const addSuccessor = (change: (copy: World) => void, bounds: Partial<Bounds> = {}): void => {
       const copy = world.copy();
       change(copy);
       states.push({ world: copy, remaining: { ...remaining, ...bounds } });
     };
-    world.network.inFlight.forEach((mail, index) => {
+    world.network.inFlight.forEach((message, index) => {
       addSuccessor((copy) => deliver(copy, index, true));
       if (remaining.losses > 0)
         addSuccessor((copy) => deliver(copy, index, false), { losses: remaining.losses - 1 });
       if (remaining.copies > 0)
-        addSuccessor((copy) => void copy.network.inFlight.push(mail), { copies: remaining.copies - 1 });
+        addSuccessor((copy) => void copy.network.inFlight.push(message), { copies: remaining.copies - 1 });
     });
     for (const name of world.nodes.keys()) this.ownSteps(name, world, addSuccessor);
     if (mayBeSettled(world)) addSuccessor(settle);
@@ -158,12 +158,12 @@
 const deliver = (world: World, index: number, isAnswered: boolean): void => {
   const known = new Set(world.network.inFlight);
   world.deliver(index);
-  const isReply = (mail: Message): boolean =>
-    mail.kind === "written" ||
-    mail.kind === "offered" ||
-    mail.kind === "releaseAnswer" ||
-    mail.kind === "commandAnswer";
-  const reply = world.network.inFlight.findIndex((mail) => !known.has(mail) && isReply(mail));
+  const isReply = (message: Message): boolean =>
+    message.kind === "written" ||
+    message.kind === "offered" ||
+    message.kind === "releaseAnswer" ||
+    message.kind === "commandAnswer";
+  const reply = world.network.inFlight.findIndex((message) => !known.has(message) && isReply(message));
   if (reply < 0) return;
   if (isAnswered) world.deliver(reply);
   else world.network.inFlight.splice(reply, 1);
@@ -199,7 +199,7 @@
   for (const write of world.repairs(node))
     if (!world.isInFlight(node, write)) world.sendWrite(node, null, write);
   world.network.inFlight = world.network.inFlight.filter(
-    (mail, index) => index < known || !before.has(messageKey(mail)),
+    (message, index) => index < known || !before.has(messageKey(message)),
   );
   node.nextRepair = 0;
 };
@@ -215,7 +215,7 @@
   const wasLeader = world.leader?.node === name;
   world.faults.restart(name, true);
   const node = world.node(name);
-  node.fencingWindowEnd = node.leaseUntil = Infinity;
+  node.windowEnd = node.leaseUntil = Infinity;
   if (!wasLeader) return;
   world.leader = node.process;
   world.startLeading(node);
--- a/packages/shards/test/rebalancer.test.ts
+++ b/packages/shards/test/rebalancer.test.ts
@@ -85,8 +85,8 @@
 });
 
 test("what is blocked isn't proposed, and others are in its place", () => {
-  const blocked = (shard: ShardId): boolean => shard === SHARDS[0];
-  const moves = planMoves(input(owned(home), { draining: new Set(["a"]), isBlocked: blocked }));
+  const isBlocked = (shard: ShardId): boolean => shard === SHARDS[0];
+  const moves = planMoves(input(owned(home), { draining: new Set(["a"]), isBlocked }));
   assert.equal(moves.filter((move) => move.reason === "drain").length, 7);
   assert.ok(moves.every((move) => move.shard !== SHARDS[0]));
 });
@@ -98,13 +98,13 @@
     maxLength: SHARDS.length,
   });
   fc.assert(
-    fc.property(weights, owners, fc.integer({ min: 1, max: 4 }), (machines, names, most) => {
+    fc.property(weights, owners, fc.integer({ min: 1, max: 4 }), (machines, names, maxMoves) => {
       const loads = new Map(SHARDS.map((shard, i) => [shard, load(machines[i]!)]));
       let assignment = owned((_, i) => names[i]!);
       for (let round = 0; ; round++) {
-        const asked = input(assignment, { loads, maxMoves: most });
+        const asked = input(assignment, { loads, maxMoves });
         const moves = planMoves(asked);
-        assert.ok(moves.length <= most);
+        assert.ok(moves.length <= maxMoves);
         assert.deepEqual(planMoves(asked), moves);
         if (moves.length === 0) break;
         assert.ok(round < 2 * SHARDS.length, "it goes on for ever");
--- a/packages/shards/test/world-network.ts
+++ b/packages/shards/test/world-network.ts
@@ -66,23 +66,23 @@
 export type Message = MessageBody & { readonly due: number };
 
 /** A message as text, without its arrival time: messages with the same key have the same content. */
-export const messageKey = (mail: Message): string => JSON.stringify({ ...mail, due: 0 });
+export const messageKey = (message: Message): string => JSON.stringify({ ...message, due: 0 });
 
 /** The longest delay of a slow message, and of a duplicate after the original. */
-const SLOW_MS = 8000;
-const SHORTEST_MS = 2;
-const SPREAD_MS = 40;
+const MAX_SLOW_DELAY_MS = 8000;
+const MIN_DELAY_MS = 2;
+const DELAY_SPREAD_MS = 40;
 
 /** The messages in flight between processes, state service and workers. */
 export class Network {
   /** Share of messages that are lost. */
-  loss = 0;
+  lossShare = 0;
   /** Share of messages that are duplicated. */
-  copies = 0;
-  /** Share of messages that are delayed by up to `SLOW_MS`. */
-  slow = 0;
-  /** The share of slow messages to and from workers, if larger than `slow`. */
-  slowWorkers = 0;
+  duplicateShare = 0;
+  /** Share of messages that are delayed by up to `MAX_SLOW_DELAY_MS`. */
+  slowShare = 0;
+  /** The share of slow messages to and from workers, if larger than `slowShare`. */
+  slowWorkerShare = 0;
   inFlight: Message[] = [];
   private readonly generator: ReturnType<typeof xoroshiro128plus>;
 
@@ -104,29 +104,30 @@
 
   /** Sends a message at the time `now`, subject to the faults. */
   send(message: MessageBody, now: number): void {
-    if (this.random() < this.loss) return;
+    if (this.random() < this.lossShare) return;
     const isWorkers = message.kind === "command" || message.kind === "commandAnswer";
-    const isSlow = this.random() < Math.max(this.slow, isWorkers ? this.slowWorkers : 0);
-    const due = now + SHORTEST_MS + this.random() * (isSlow ? SLOW_MS : SPREAD_MS);
+    const isSlow = this.random() < Math.max(this.slowShare, isWorkers ? this.slowWorkerShare : 0);
+    const due = now + MIN_DELAY_MS + this.random() * (isSlow ? MAX_SLOW_DELAY_MS : DELAY_SPREAD_MS);
     this.inFlight.push({ ...message, due });
-    if (this.random() < this.copies) this.inFlight.push({ ...message, due: due + this.random() * SLOW_MS });
+    if (this.random() < this.duplicateShare)
+      this.inFlight.push({ ...message, due: due + this.random() * MAX_SLOW_DELAY_MS });
   }
 
   /** Postpones a message to the time `due`. */
-  postpone(mail: Message, due: number): void {
-    this.inFlight.push({ ...mail, due });
+  postpone(message: Message, due: number): void {
+    this.inFlight.push({ ...message, due });
   }
 
   /** Removes a message and returns it. */
   remove(index: number): Message {
-    const mail = this.inFlight[index];
-    if (mail === undefined) throw new Error(`there is no message ${index}`);
+    const message = this.inFlight[index];
+    if (message === undefined) throw new Error(`there is no message ${index}`);
     this.inFlight = this.inFlight.filter((_, other) => other !== index);
-    return mail;
+    return message;
   }
 
   /** Ends all faults; messages in flight keep their arrival times. */
   clearFaults(): void {
-    this.loss = this.copies = this.slow = this.slowWorkers = 0;
+    this.lossShare = this.duplicateShare = this.slowShare = this.slowWorkerShare = 0;
   }
 }
--- a/packages/shards/test/world-nodes.ts
+++ b/packages/shards/test/world-nodes.ts
@@ -3,7 +3,7 @@
 import type { Process } from "./world-network.js";
 
 /** The number of fencing tokens per term: within a term, the leader raises each machine's token step by step. */
-const STEPS_PER_TERM = 1000;
+const FENCING_TOKENS_PER_TERM = 1000;
 
 /** What a leader knows of a machine. */
 export interface MachineView {
@@ -22,7 +22,7 @@
   knowsShards = true;
   ownerView: OwnerView;
   /** The end of its fencing window. */
-  fencingWindowEnd = -1;
+  windowEnd = -1;
   leaseUntil = -1;
   nextRenew = 0;
   nextRead = 0;
@@ -81,7 +81,7 @@
 
   /** The lowest fencing token of the term that the process knows. */
   get firstFencingToken(): number {
-    return (this.assignment.term?.number ?? 0) * STEPS_PER_TERM;
+    return (this.assignment.term?.number ?? 0) * FENCING_TOKENS_PER_TERM;
   }
 
   /** The fencing token with which the process sends to a machine now. */
--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -37,9 +37,9 @@
 
 const LEASE_MS = 3000;
 const FENCING_WINDOW_MS = 2000;
-const RENEW_MS = 500;
+const RENEWAL_INTERVAL_MS = 500;
 const STEP_MS = 50;
-const REPAIR_MS = 1000;
+const REPAIR_INTERVAL_MS = 1000;
 /** A command without an answer for this long is in doubt. */
 const COMMAND_IN_DOUBT_AFTER_MS = 200;
 /** A worker: the highest fencing token that it has seen, and whether it has stopped answering. */
@@ -59,7 +59,7 @@
   invariants = new Invariants();
   readonly faults = new Faults(this);
   /** Whether the leader sends commands and tries moves on its own. */
-  busy = true;
+  sendsCommands = true;
   records = new Map<ShardId, StoredShard>();
   memberKeys = new Map<string, number>();
   leader: Process | null = null;
@@ -72,7 +72,7 @@
 
   constructor(
     seed: number,
-    private readonly disabledGuard: Guard | null,
+    private readonly disabled: Guard | null,
     nodes: readonly (readonly [string, string])[],
     private readonly machineZones: ReadonlyMap<string, string>,
   ) {
@@ -87,9 +87,9 @@
 
   /** An independent copy, with a network without faults and without the requested moves. */
   copy(): World {
-    const copy = new World(0, this.disabledGuard, [], this.machineZones);
-    const { now, revision, term, enabledTerm, busy, leader } = this;
-    Object.assign(copy, { now, revision, term, enabledTerm, busy, leader });
+    const copy = new World(0, this.disabled, [], this.machineZones);
+    const { now, revision, term, enabledTerm, sendsCommands, leader } = this;
+    Object.assign(copy, { now, revision, term, enabledTerm, sendsCommands, leader });
     copy.records = new Map(this.records);
     copy.memberKeys = new Map(this.memberKeys);
     copy.nodes = new Map([...this.nodes].map(([name, node]) => [name, node.copy()]));
@@ -136,7 +136,7 @@
       this.expireLeases();
       for (const node of this.nodes.values()) this.runNode(node);
       for (;;) {
-        const index = this.network.inFlight.findIndex((mail) => mail.due <= this.now);
+        const index = this.network.inFlight.findIndex((message) => message.due <= this.now);
         if (index < 0) break;
         this.deliver(index);
       }
@@ -167,9 +167,7 @@
     return node.alive && this.now >= node.frozenUntil && this.now >= node.stateRefusedUntil;
   }
   mayAct(node: Node): boolean {
-    return (
-      node.alive && node.isMember && (this.disabledGuard === "window" || this.now < node.fencingWindowEnd)
-    );
+    return node.alive && node.isMember && (this.disabled === "window" || this.now < node.windowEnd);
   }
 
   private runNode(node: Node): void {
@@ -186,9 +184,9 @@
   }
 
   private renewLease(node: Node): void {
-    node.nextRenew = this.now + RENEW_MS;
+    node.nextRenew = this.now + RENEWAL_INTERVAL_MS;
     node.leaseUntil = this.now + LEASE_MS;
-    node.fencingWindowEnd = this.now + FENCING_WINDOW_MS;
+    node.windowEnd = this.now + FENCING_WINDOW_MS;
     if (this.term !== null) this.learnTerm(node, this.term);
   }
 
@@ -196,8 +194,8 @@
     if ((node.assignment.term?.number ?? 0) >= term.number) return;
     node.ownerView = node.ownerView.withTerm(term);
     node.termLearnedAt = this.now;
-    if (this.disabledGuard === "settle") node.ownerView = node.ownerView.settle();
-    if (this.disabledGuard === "fresh") this.markRecordsFresh(node);
+    if (this.disabled === "settle") node.ownerView = node.ownerView.settle();
+    if (this.disabled === "fresh") this.markRecordsFresh(node);
     for (const view of node.machines.values()) view.fencingTokenStep = 0;
   }
 
@@ -211,7 +209,7 @@
 
   /** Reads all records; until the next read the process knows nothing newer. */
   readRecords(node: Node): void {
-    node.nextRead = this.now + 50 + this.network.random() * (this.network.slow > 0 ? 3000 : 100);
+    node.nextRead = this.now + 50 + this.network.random() * (this.network.slowShare > 0 ? 3000 : 100);
     const rows = [...this.records].map(([shard, { revision, state }]) => ({
       shard,
       revision,
@@ -238,26 +236,23 @@
     if (this.membersChanged()) this.writeTerm(node);
     if (!this.mayAct(node) || node.coordinator === null) return;
     this.carryOut(node, node.coordinator.step(this.inputOf(node)));
-    if (this.disabledGuard !== "repair")
-      for (const write of this.repairs(node)) this.sendWrite(node, null, write);
-    if (!this.busy) return;
+    if (this.disabled !== "repair") for (const write of this.repairs(node)) this.sendWrite(node, null, write);
+    if (!this.sendsCommands) return;
     this.sendCommands(node);
     this.attemptMoves(node);
   }
 
   repairs(node: Node): readonly ShardWrite[] {
     if (this.now < node.nextRepair) return [];
-    node.nextRepair = this.now + REPAIR_MS;
-    const isTried = (shard: ShardId): boolean => node.leadingCoordinator.isMoving(shard);
-    return repairsOf(node.assignment, this.machineCounts(), isTried, 8);
+    node.nextRepair = this.now + REPAIR_INTERVAL_MS;
+    const isMoving = (shard: ShardId): boolean => node.leadingCoordinator.isMoving(shard);
+    return repairsOf(node.assignment, this.machineCounts(), isMoving, 8);
   }
 
   /** A new leader starts without knowledge of moves and machines. */
   startLeading(node: Node): void {
-    const withoutTimeouts = { ...HANDOFF_TIMEOUTS, drainMs: 1e12, takeMs: 1e12 };
-    node.coordinator = new Coordinator(
-      this.disabledGuard === "patience" ? withoutTimeouts : HANDOFF_TIMEOUTS,
-    );
+    const noTimeouts = { ...HANDOFF_TIMEOUTS, drainMs: 1e12, takeMs: 1e12 };
+    node.coordinator = new Coordinator(this.disabled === "patience" ? noTimeouts : HANDOFF_TIMEOUTS);
     node.machines = new Map();
   }
 
@@ -304,8 +299,7 @@
         : doubted !== undefined
           ? Refusal.CommandInDoubt({ machine: doubted })
           : null;
-    const fenced =
-      this.disabledGuard === "fencingToken" || (unfenced === undefined && unanswered === undefined);
+    const fenced = this.disabled === "fencingToken" || (unfenced === undefined && unanswered === undefined);
     return { machines: machines.length, obstacle, fenced, unfencedMachine: unfenced ?? unanswered ?? null };
   }
 
@@ -365,7 +359,7 @@
   commandMachine(node: Node, machine: string): boolean {
     const shard = this.shardOfMachine(machine);
     const isPaused = node.leadingCoordinator.isPaused(node.assignment, shard);
-    if (isPaused && this.disabledGuard !== "pause") return false;
+    if (isPaused && this.disabled !== "pause") return false;
     const view = node.viewOf(machine);
     view.unansweredCommands.push({ fencingToken: node.fencingTokenOf(machine), sentAt: this.now });
     const epoch = node.assignment.inForce ? (node.assignment.ownershipOf(shard)?.epoch ?? null) : null;
@@ -395,9 +389,10 @@
 
   /** Whether a write of the same shard by this node, or the answer to one, is in flight. */
   isInFlight(node: Node, write: ShardWrite): boolean {
-    return this.network.inFlight.some((mail) => {
-      const by = mail.kind === "write" ? mail.from.node : mail.kind === "written" ? mail.to.node : null;
-      return by === node.name && "write" in mail && mail.write.shard === write.shard;
+    return this.network.inFlight.some((message) => {
+      const by =
+        message.kind === "write" ? message.from.node : message.kind === "written" ? message.to.node : null;
+      return by === node.name && "write" in message && message.write.shard === write.shard;
     });
   }
 
@@ -416,39 +411,40 @@
 
   /** Delivers one message, or postpones it if its process is frozen. */
   deliver(index: number): void {
-    const mail = this.network.remove(index);
-    const addressee = "to" in mail ? (typeof mail.to === "string" ? mail.to : mail.to.node) : null;
+    const message = this.network.remove(index);
+    const addressee =
+      "to" in message ? (typeof message.to === "string" ? message.to : message.to.node) : null;
     const frozenUntil = addressee === null ? 0 : this.node(addressee).frozenUntil;
-    if (frozenUntil > this.now) this.network.postpone(mail, frozenUntil);
-    else this.receive(mail);
+    if (frozenUntil > this.now) this.network.postpone(message, frozenUntil);
+    else this.receive(message);
   }
 
-  private receive(mail: Message): void {
-    switch (mail.kind) {
+  private receive(msg: Message): void {
+    switch (msg.kind) {
       case "write":
-        return this.applyWrite(mail);
+        return this.applyWrite(msg);
       case "command":
-        return this.receiveCommand(mail);
+        return this.receiveCommand(msg);
       case "offer":
-        return this.receiveOffer(mail);
+        return this.receiveOffer(msg);
       case "release":
-        return this.receiveReleaseRequest(mail);
+        return this.receiveReleaseRequest(msg);
     }
-    const node = this.processOf(mail.to);
+    const node = this.processOf(msg.to);
     if (node === null) return;
     const coordinator = node.coordinator;
-    switch (mail.kind) {
+    switch (msg.kind) {
       case "written": {
         if (this.now < node.answersLostUntil) return;
-        const { write, revision, outcome } = mail;
+        const { write, revision, outcome } = msg;
         if (outcome === "written")
           node.ownerView = node.ownerView.withAssignment(
             node.assignment.withOwnWrite(write.shard, { revision, state: write.state }),
           );
-        if (coordinator !== null && mail.id !== null)
+        if (coordinator !== null && msg.id !== null)
           this.carryOut(
             node,
-            coordinator.writeAnswered(write.shard, mail.id, write, outcome, this.inputOf(node)),
+            coordinator.onWriteOutcome(write.shard, msg.id, write, outcome, this.inputOf(node)),
           );
         return;
       }
@@ -456,22 +452,22 @@
         if (coordinator !== null)
           this.carryOut(
             node,
-            coordinator.offerAnswered(mail.offer.shard, mail.offer.id, mail.answer, this.inputOf(node)),
+            coordinator.onOfferAnswer(msg.offer.shard, msg.offer.id, msg.answer, this.inputOf(node)),
           );
         return;
       case "releaseAnswer":
         if (coordinator !== null)
           this.carryOut(
             node,
-            coordinator.releaseAnswered(mail.request.shard, mail.request.id, mail.answer, this.inputOf(node)),
+            coordinator.onReleaseAnswer(msg.request.shard, msg.request.id, msg.answer, this.inputOf(node)),
           );
         return;
       case "commandAnswer": {
-        const view = node.viewOf(mail.machine);
-        view.seenFencingToken = Math.max(view.seenFencingToken, mail.seenFencingToken);
+        const view = node.viewOf(msg.machine);
+        view.seenFencingToken = Math.max(view.seenFencingToken, msg.seenFencingToken);
         view.unansweredCommands = view.unansweredCommands.filter(
           ({ fencingToken, sentAt }) =>
-            !(mail.isCommand && sentAt === mail.sentAt) && fencingToken >= view.seenFencingToken,
+            !(msg.isCommand && sentAt === msg.sentAt) && fencingToken >= view.seenFencingToken,
         );
       }
     }
@@ -480,8 +476,8 @@
   private applyWrite({ from, id, write }: Extract<Message, { kind: "write" }>): void {
     const before = this.records.get(write.shard);
     const isCarriedOut =
-      (this.disabledGuard === "revision" || (before?.revision ?? 0) === write.revision) &&
-      (this.disabledGuard === "term" || this.term?.revision === write.termRevision);
+      (this.disabled === "revision" || (before?.revision ?? 0) === write.revision) &&
+      (this.disabled === "term" || this.term?.revision === write.termRevision);
     if (isCarriedOut) {
       this.records.set(write.shard, { revision: ++this.revision, state: write.state });
       this.invariants.recordWrite(write, before);
@@ -504,19 +500,20 @@
     const step = node.ownerView.answerRelease(request);
     const answer = "refusal" in step ? step.refusal : null;
     if ("write" in step && this.reachesState(node)) {
-      if (this.disabledGuard !== "releasing") node.ownerView = node.ownerView.releaseSent(step.write);
+      if (this.disabled !== "releasing") node.ownerView = node.ownerView.markReleaseSent(step.write);
       this.sendWrite(node, null, step.write);
     }
     this.send({ kind: "releaseAnswer", to: from, request, answer });
   }
 
-  private receiveCommand(mail: Extract<Message, { kind: "command" }>): void {
-    const worker = this.worker(mail.machine);
+  private receiveCommand(message: Extract<Message, { kind: "command" }>): void {
+    const worker = this.worker(message.machine);
     if (worker.silent) return;
-    const accepted = mail.fencingToken >= worker.fencingToken;
-    worker.fencingToken = Math.max(worker.fencingToken, mail.fencingToken);
-    if (accepted && mail.epoch !== null) this.commandExecuted(mail.machine, mail.term, mail.epoch);
-    const { from: to, machine, isCommand, sentAt } = mail;
+    const accepted = message.fencingToken >= worker.fencingToken;
+    worker.fencingToken = Math.max(worker.fencingToken, message.fencingToken);
+    if (accepted && message.epoch !== null)
+      this.commandExecuted(message.machine, message.term, message.epoch);
+    const { from: to, machine, isCommand, sentAt } = message;
     this.send({
       kind: "commandAnswer",
       to,
@@ -543,7 +540,7 @@
       node.coordinator?.stateKey() ?? null,
       [...node.machines],
     ]);
-    const mail = this.network.inFlight.map(messageKey).sort();
+    const messages = this.network.inFlight.map(messageKey).sort();
     return JSON.stringify([
       now,
       [...records],
@@ -553,7 +550,7 @@
       leader,
       nodes,
       [...this.workers],
-      mail,
+      messages,
     ]);
   }
 
--- a/src/io/call.ts
+++ b/src/io/call.ts
@@ -13,7 +13,7 @@
 /** No response arrived. `sent`: the request may have reached the server, which may have executed it or may do so yet. */
 export class CallFailed extends Data.TaggedError("CallFailed")<{
   readonly sent: boolean;
-  readonly why: string;
+  readonly reason: string;
 }> {}
 
 /** A request. `contentType` describes the body; the default is JSON. */
@@ -43,7 +43,7 @@
 
 const MAX_REPLY_BYTES = 64 * 1024 * 1024;
 
-const headersOf = ({ body, contentType: contentType }: Call): http.OutgoingHttpHeaders =>
+const headersOf = ({ body, contentType }: Call): http.OutgoingHttpHeaders =>
   body === undefined
     ? {}
     : { "content-type": contentType ?? "application/json", "content-length": Buffer.byteLength(body) };
@@ -83,7 +83,7 @@
       clearTimeout(timer);
       resume(result);
     };
-    const fail = (reason: string): void => finish(Effect.fail(new CallFailed({ sent, why: reason })));
+    const fail = (reason: string): void => finish(Effect.fail(new CallFailed({ sent, reason })));
     const outgoing = http.request({
       agent,
       ...endpoint(request.addr),
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -22,7 +22,7 @@
 /** A failed request. `sent`: the cloud may have executed it, or may do so yet. */
 export class CloudFailed extends Data.TaggedError("CloudFailed")<{
   readonly sent: boolean;
-  readonly why: string;
+  readonly reason: string;
 }> {}
 
 /** Every method waits until the rate limiter admits its request. */
@@ -54,7 +54,7 @@
         ...(body === undefined ? {} : { body }),
       }),
     ).pipe(
-      Effect.mapError((failed) => new CloudFailed({ sent: failed.sent, why: failed.why })),
+      Effect.mapError((failed) => new CloudFailed({ sent: failed.sent, reason: failed.reason })),
       Effect.tap((reply) =>
         Effect.sync(() => {
           if (reply.status === 429) this.rateLimiter.refused(now(), Duration.seconds(1));
@@ -68,7 +68,7 @@
     return Effect.flatMap(this.send("GET", machineTypesPath), (reply) => {
       const rows = reply.status === 200 ? parseMachineTypes(parseJson(reply)) : null;
       return rows === null
-        ? Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` }))
+        ? Effect.fail(new CloudFailed({ sent: false, reason: `status ${reply.status}` }))
         : Effect.succeed(rows);
     });
   }
@@ -87,10 +87,10 @@
     return Effect.flatMap(this.send("POST", rentPath, rentBody(name, type, zone, spot, count)), (reply) => {
       const body = parseJson(reply);
       if (reply.status === 200) return Effect.succeed(parseRentedMachines(body));
-      const why = (body as { error?: string } | undefined)?.error ?? `status ${reply.status}`;
-      if (reply.status === 400 || (reply.status === 503 && why === "no capacity"))
+      const reason = (body as { error?: string } | undefined)?.error ?? `status ${reply.status}`;
+      if (reply.status === 400 || (reply.status === 503 && reason === "no capacity"))
         return Effect.succeed(null);
-      return Effect.fail(new CloudFailed({ sent: false, why }));
+      return Effect.fail(new CloudFailed({ sent: false, reason }));
     });
   }
 
@@ -99,7 +99,7 @@
     return Effect.flatMap(this.send("POST", releasePath, releaseBody(machines)), (reply) =>
       reply.status === 200
         ? Effect.void
-        : Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` })),
+        : Effect.fail(new CloudFailed({ sent: false, reason: `status ${reply.status}` })),
     );
   }
 
@@ -109,7 +109,7 @@
       Effect.flatMap(this.send("GET", machineListPath(from)), (reply) => {
         const listed = reply.status === 200 ? parseMachineList(parseJson(reply)) : null;
         if (listed === null)
-          return Effect.fail(new CloudFailed({ sent: false, why: `status ${reply.status}` }));
+          return Effect.fail(new CloudFailed({ sent: false, reason: `status ${reply.status}` }));
         rows.push(...listed.rows);
         const last = rows.at(-1);
         return listed.more && last !== undefined ? page(last.id, rows) : Effect.succeed(rows);
--- a/src/io/codec/state-service.ts
+++ b/src/io/codec/state-service.ts
@@ -70,7 +70,7 @@
     const page = body as { rows: WireRow[]; more: boolean; ledger: number };
     return { rows: page.rows.map(rowOf), more: page.more, revision: page.ledger };
   },
-  revision: (body: unknown) => (body as { ledger: number }).ledger,
+  parseRevision: (body: unknown) => (body as { ledger: number }).ledger,
   parseFailedKeys: (body: unknown) => (body as { failed?: string[] } | undefined)?.failed ?? [],
   parseEvents: (body: unknown) => {
     const answer = body as { ledger: number; news?: WireEvent[] };
--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -19,14 +19,14 @@
   ) {}
 }
 
-/** Holds the field in `property`; its Avro name is the key in `record`. */
+/** Holds the field in `property`; its Avro name is the key in `avroRecord`. */
 export const as = (property: string, type: unknown): Renamed => new Renamed(property, type);
 
 /** An Avro array type. */
-export const array = (items: unknown) => ({ type: "array", items });
+export const avroArray = (items: unknown) => ({ type: "array", items });
 
 /** An Avro record type; the keys of `fields` are Avro names. */
-export const record = (name: string, fields: Record<string, unknown>) => ({
+export const avroRecord = (name: string, fields: Record<string, unknown>) => ({
   type: "record",
   name,
   fields: Object.entries(fields).map(([field, type]): AvroField =>
@@ -36,14 +36,14 @@
   ),
 });
 
-const task = record("Task", {
+const taskSchema = avroRecord("Task", {
   job: "string",
   index: "int",
   attempt: "long",
   state: "string",
   why: as("exitReason", ["null", "string"]),
 });
-const heartbeat = record("Report", {
+const heartbeatSchema = avroRecord("Report", {
   machine: "string",
   addr: "string",
   type: "string",
@@ -53,9 +53,9 @@
   seq: as("sequence", "long"),
   token: as("fencingToken", "long"),
   noticeS: as("reclaimNoticeSeconds", ["null", "double"]),
-  tasks: array(task),
+  tasks: avroArray(taskSchema),
 });
-const command = record("Order", {
+const commandSchema = avroRecord("Order", {
   op: "string",
   job: "string",
   index: "int",
@@ -145,7 +145,7 @@
  * A codec for messages of type `T`. Avro's binary form holds the values in the order of the fields, without names, so the
  * property names never leave the process.
  */
-export const codec = <T>(schema: unknown): Codec<T> => {
+export const avroCodec = <T>(schema: unknown): Codec<T> => {
   const type = avroType(schemaNamedBy(schema, (field) => field.property));
   return {
     schema: avroType(schemaNamedBy(schema, (field) => field.name)).schema(),
@@ -155,8 +155,8 @@
 };
 
 /** Codec of members' updates. */
-export const syncRequestCodec = codec<SyncRequest>(
-  record("Sync", {
+export const syncRequestCodec = avroCodec<SyncRequest>(
+  avroRecord("Sync", {
     token: as("termNumber", "long"),
     member: "string",
     incarnation: "long",
@@ -165,20 +165,26 @@
     stateOk: as("reachesStateService", "boolean"),
     seen: as(
       "contacts",
-      array(
-        record("Seen", {
+      avroArray(
+        avroRecord("Seen", {
           machine: "string",
           answeredMs: as("answerAgeMs", "double"),
           heardMs: as("heartbeatAgeMs", "double"),
         }),
       ),
     ),
-    reports: as("heartbeats", array(record("Aged", { report: as("heartbeat", heartbeat), ageMs: "double" }))),
-    stored: as("storedFinishes", array(record("Stored", { job: "string", ranges: array(array("int")) }))),
+    reports: as(
+      "heartbeats",
+      avroArray(avroRecord("Aged", { report: as("heartbeat", heartbeatSchema), ageMs: "double" })),
+    ),
+    stored: as(
+      "storedFinishes",
+      avroArray(avroRecord("Stored", { job: "string", ranges: avroArray(avroArray("int")) })),
+    ),
     outcomes: as(
       "commandResults",
-      array(
-        record("Outcome", {
+      avroArray(
+        avroRecord("Outcome", {
           id: "long",
           outcome: "string",
           session: as("workerEpoch", "long"),
@@ -190,36 +196,38 @@
 );
 
 /** Codec of the leader's responses to updates. */
-export const syncResponseCodec = codec<SyncResponse>(
-  record("SyncAnswer", {
+export const syncResponseCodec = avroCodec<SyncResponse>(
+  avroRecord("SyncAnswer", {
     token: as("termNumber", "long"),
     ok: as("accepted", "boolean"),
     mark: as("leaderClockMark", "double"),
     version: as("progressVersion", "long"),
     stateOk: as("reachesStateService", "boolean"),
-    progress: array(record("Progress", { job: "string", done: "int", running: "int", over: "boolean" })),
+    progress: avroArray(
+      avroRecord("Progress", { job: "string", done: "int", running: "int", over: "boolean" }),
+    ),
   }),
 );
 
 /** Codec of deliveries of commands to members. */
-export const commandDeliveryCodec = codec<CommandDelivery>(
-  record("Deliver", {
-    term: record("Term", {
+export const commandDeliveryCodec = avroCodec<CommandDelivery>(
+  avroRecord("Deliver", {
+    term: avroRecord("Term", {
       token: as("number", "long"),
       key: as("leaderRevision", "long"),
       leader: "string",
-      members: array(record("Member", { name: "string", incarnation: "long", zone: "string" })),
+      members: avroArray(avroRecord("Member", { name: "string", incarnation: "long", zone: "string" })),
     }),
     items: as(
       "batches",
-      array(
-        record("Delivery", {
+      avroArray(
+        avroRecord("Delivery", {
           id: "long",
           machine: "string",
           addr: "string",
           session: as("workerEpoch", "long"),
           token: as("fencingToken", "long"),
-          orders: as("commands", array(command)),
+          orders: as("commands", avroArray(commandSchema)),
         }),
       ),
     ),
@@ -227,7 +235,9 @@
 );
 
 /** Codec of members' responses to deliveries. */
-export const deliveryReceiptCodec = codec<DeliveryReceipt>(record("Delivered", { accepted: "boolean" }));
+export const deliveryReceiptCodec = avroCodec<DeliveryReceipt>(
+  avroRecord("Delivered", { accepted: "boolean" }),
+);
 
 /** Sent by a node whose lease renewals fail, to ask another whether its term is still current. */
 export interface TermConfirmationRequest {
@@ -240,12 +250,12 @@
 }
 
 /** Codec of term confirmation requests. */
-export const termConfirmationRequestCodec = codec<TermConfirmationRequest>(
-  record("Word", { token: as("termNumber", "long") }),
+export const termConfirmationRequestCodec = avroCodec<TermConfirmationRequest>(
+  avroRecord("Word", { token: as("termNumber", "long") }),
 );
 /** Codec of the responses to them. */
-export const termConfirmationCodec = codec<TermConfirmation>(
-  record("WordAnswer", { noneNewer: as("knowsNoNewerTerm", "boolean") }),
+export const termConfirmationCodec = avroCodec<TermConfirmation>(
+  avroRecord("WordAnswer", { noneNewer: as("knowsNoNewerTerm", "boolean") }),
 );
 
 /** HTTP paths of these messages. */
--- a/src/io/settings.ts
+++ b/src/io/settings.ts
@@ -46,10 +46,10 @@
 /** Settings of the explicit ownership of machines by controllers. */
 export interface ShardSettings {
   readonly enabled: boolean;
-  readonly movesAtOnce: number;
+  readonly maxConcurrentMoves: number;
   readonly hysteresis: number;
   /** How often a shard is moved as a rehearsal; null: never. */
-  readonly rehearseEvery: Duration.Duration | null;
+  readonly rehearsalInterval: Duration.Duration | null;
 }
 
 interface StateLimits {
@@ -150,9 +150,9 @@
   warmFor: Duration.seconds(file.warm_s),
   shards: {
     enabled: file.shards.enabled,
-    movesAtOnce: file.shards.moves_at_once,
+    maxConcurrentMoves: file.shards.moves_at_once,
     hysteresis: file.shards.hysteresis,
-    rehearseEvery: file.shards.rehearsal_s > 0 ? Duration.seconds(file.shards.rehearsal_s) : null,
+    rehearsalInterval: file.shards.rehearsal_s > 0 ? Duration.seconds(file.shards.rehearsal_s) : null,
   },
   operatorsSocket: file.operators_socket === "" ? null : file.operators_socket,
 });
--- a/src/io/shard-codec.ts
+++ b/src/io/shard-codec.ts
@@ -1,6 +1,6 @@
 /** Messages between controllers about shards, in Avro. Versions without shards answer these paths with 404. */
 import { isRefusal, type Offer, Refusal, type ReleaseRequest } from "#shards";
-import { array, codec, record } from "./peer-codec.js";
+import { avroArray, avroCodec, avroRecord } from "./peer-codec.js";
 
 /** A worker of an offered shard, which the target of the handoff tries to reach. */
 export interface SampleWorker {
@@ -39,29 +39,29 @@
 }
 
 /** Codec of the leader's offer of a shard to the target of a handoff. */
-export const offerCodec = codec<ShardOffer>(
-  record("ShardOffer", {
+export const offerCodec = avroCodec<ShardOffer>(
+  avroRecord("ShardOffer", {
     id: "string",
     term: "long",
     shard: "string",
     epoch: "long",
     machines: "int",
-    workers: array(record("SampleWorker", { addr: "string", session: "long", token: "long" })),
+    workers: avroArray(avroRecord("SampleWorker", { addr: "string", session: "long", token: "long" })),
   }),
 );
 /** Codec of the leader's request to the owner to release a drained shard. */
-export const releaseCodec = codec<ReleaseRequest>(
-  record("ReleaseRequest", { id: "string", term: "long", shard: "string", epoch: "long" }),
+export const releaseCodec = avroCodec<ReleaseRequest>(
+  avroRecord("ReleaseRequest", { id: "string", term: "long", shard: "string", epoch: "long" }),
 );
 /** Codec of the answer to an offer and to a request to release. */
-export const refusalCodec = codec<RefusalText>(record("RefusalText", { refusal: "string" }));
+export const refusalCodec = avroCodec<RefusalText>(avroRecord("RefusalText", { refusal: "string" }));
 /** Codec of operators' requests that are forwarded to the leader. */
-export const operatorRequestCodec = codec<OperatorRequest>(
-  record("OperatorRequest", { verb: "string", name: "string", target: "string", epoch: "long" }),
+export const operatorRequestCodec = avroCodec<OperatorRequest>(
+  avroRecord("OperatorRequest", { verb: "string", name: "string", target: "string", epoch: "long" }),
 );
 /** Codec of the leader's answers to forwarded requests. */
-export const operatorAnswerCodec = codec<OperatorAnswer>(
-  record("OperatorAnswer", { status: "int", body: "string" }),
+export const operatorAnswerCodec = avroCodec<OperatorAnswer>(
+  avroRecord("OperatorAnswer", { status: "int", body: "string" }),
 );
 
 /** HTTP paths of these messages. */
--- a/src/io/state-client.ts
+++ b/src/io/state-client.ts
@@ -5,17 +5,11 @@
 import type { Instant } from "../core/time.js";
 import { type Call, call, type CallFailed, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
 import { now } from "./clock.js";
-import { type Change, type Condition, type Row, stateServiceApi as wire, type WatchEvent } from "./codec.js";
-import { rateLimited, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
+import { type Change, type Condition, type Row, stateServiceApi, type WatchEvent } from "./codec.js";
+import { rateLimitedError, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
 import { type RateLimits, StatePacer, type Urgency } from "./state-pacer.js";
 
-export {
-  isRateLimited as isOverTheRate,
-  type StateError,
-  TooOld,
-  Unanswered,
-  Unavailable,
-} from "./state-errors.js";
+export { isRateLimited, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
 export type { Urgency } from "./state-pacer.js";
 
 /**
@@ -52,9 +46,9 @@
 const LIST_TIMEOUT = Duration.seconds(3);
 /** How long after the end of its wait the response to a watch may arrive. */
 const WATCH_GRACE = Duration.seconds(3);
-const MAX_ERROR_LENGTH = 200;
+const MAX_ERROR_CHARS = 200;
 
-const unexpected = (reply: Reply): Unavailable => new Unavailable({ why: `status ${reply.status}` });
+const unexpectedStatus = (reply: Reply): Unavailable => new Unavailable({ reason: `status ${reply.status}` });
 
 /** The default urgency of requests is `first`; see `Urgency`. No request is retried. */
 export class StateClient {
@@ -84,10 +78,10 @@
     urgency: Urgency = "first",
     maxWait?: Duration.Duration,
   ): Effect.Effect<Row | null, StateError> {
-    return this.send({ method: "GET", path: wire.keyPath(key), urgency, maxWait: maxWait }).pipe(
+    return this.send({ method: "GET", path: stateServiceApi.keyPath(key), urgency, maxWait }).pipe(
       Effect.flatMap((reply) => {
-        if (reply.status === 200) return Effect.succeed(wire.parseRow(parseJson(reply)));
-        return reply.status === 404 ? Effect.succeed(null) : Effect.fail(unexpected(reply));
+        if (reply.status === 200) return Effect.succeed(stateServiceApi.parseRow(parseJson(reply)));
+        return reply.status === 404 ? Effect.succeed(null) : Effect.fail(unexpectedStatus(reply));
       }),
     );
   }
@@ -99,10 +93,10 @@
       rows: Row[],
       revision: number | null,
     ): Effect.Effect<Listing, StateError> =>
-      this.send({ method: "GET", path: wire.listPath(prefix, from), timeout: LIST_TIMEOUT }).pipe(
+      this.send({ method: "GET", path: stateServiceApi.listPath(prefix, from), timeout: LIST_TIMEOUT }).pipe(
         Effect.flatMap((reply) => {
-          if (reply.status !== 200) return Effect.fail(unexpected(reply));
-          const listed = wire.parseRows(parseJson(reply));
+          if (reply.status !== 200) return Effect.fail(unexpectedStatus(reply));
+          const listed = stateServiceApi.parseRows(parseJson(reply));
           rows.push(...listed.rows);
           // a watch from the first page's revision also reports what changed while the other pages were read
           const first = revision ?? listed.revision;
@@ -122,51 +116,62 @@
     urgency: Urgency = "first",
     maxWait?: Duration.Duration,
   ): Effect.Effect<CommitResult, StateError> {
-    const body = wire.commitBody(conditions, operations);
+    const body = stateServiceApi.commitBody(conditions, operations);
     const changeCount = operations.length;
     return this.send({
       method: "POST",
-      path: wire.commitPath,
+      path: stateServiceApi.commitPath,
       body,
       urgency,
-      changeCount: changeCount,
-      maxWait: maxWait,
+      changeCount,
+      maxWait,
     }).pipe(
       Effect.flatMap((reply): Effect.Effect<CommitResult, StateError> => {
         const value = parseJson(reply);
-        if (reply.status === 200) return Effect.succeed({ ok: true, revision: wire.revision(value) });
-        if (reply.status === 409) return Effect.succeed({ ok: false, failed: wire.parseFailedKeys(value) });
+        if (reply.status === 200)
+          return Effect.succeed({ ok: true, revision: stateServiceApi.parseRevision(value) });
+        if (reply.status === 409)
+          return Effect.succeed({ ok: false, failed: stateServiceApi.parseFailedKeys(value) });
         if (reply.status === 400)
-          return Effect.succeed({ ok: null, error: reply.body.toString("utf8").slice(0, MAX_ERROR_LENGTH) });
-        return Effect.fail(new Unanswered({ why: `status ${reply.status}` }));
+          return Effect.succeed({ ok: null, error: reply.body.toString("utf8").slice(0, MAX_ERROR_CHARS) });
+        return Effect.fail(new Unanswered({ reason: `status ${reply.status}` }));
       }),
     );
   }
 
   /** Creates a lease, which expires unless it is renewed in time; returns its id. */
   grantLease(ttl: Duration.Duration): Effect.Effect<number, StateError> {
-    return this.send({ method: "POST", path: wire.leasesPath, body: wire.leaseBody(ttl) }).pipe(
+    return this.send({
+      method: "POST",
+      path: stateServiceApi.leasesPath,
+      body: stateServiceApi.leaseBody(ttl),
+    }).pipe(
       Effect.flatMap((reply) =>
         reply.status === 200
-          ? Effect.succeed(wire.parseLeaseId(parseJson(reply)))
-          : Effect.fail(unexpected(reply)),
+          ? Effect.succeed(stateServiceApi.parseLeaseId(parseJson(reply)))
+          : Effect.fail(unexpectedStatus(reply)),
       ),
     );
   }
 
   /** Renews a lease for its full time to live; false if it has expired. */
   renewLease(leaseId: number, timeout: Duration.Duration): Effect.Effect<boolean, StateError> {
-    return this.send({ method: "POST", path: wire.leaseRenewalPath(leaseId), body: "{}", timeout }).pipe(
+    return this.send({
+      method: "POST",
+      path: stateServiceApi.leaseRenewalPath(leaseId),
+      body: "{}",
+      timeout,
+    }).pipe(
       Effect.flatMap((reply) => {
         if (reply.status === 200) return Effect.succeed(true);
-        return reply.status === 404 ? Effect.succeed(false) : Effect.fail(unexpected(reply));
+        return reply.status === 404 ? Effect.succeed(false) : Effect.fail(unexpectedStatus(reply));
       }),
     );
   }
 
   /** Ends a lease and deletes the keys attached to it. */
   revokeLease(leaseId: number): Effect.Effect<void, StateError> {
-    return Effect.asVoid(this.send({ method: "DELETE", path: wire.leasePath(leaseId) }));
+    return Effect.asVoid(this.send({ method: "DELETE", path: stateServiceApi.leasePath(leaseId) }));
   }
 
   /** Waits up to `wait` for changes after the revision `from` to keys with the prefix. */
@@ -175,13 +180,13 @@
     from: number,
     wait: Duration.Duration,
   ): Effect.Effect<WatchedEvents, StateError | TooOld> {
-    const path = wire.watchPath(prefix, from, Duration.toMillis(wait));
+    const path = stateServiceApi.watchPath(prefix, from, Duration.toMillis(wait));
     const timeout = Duration.sum(wait, WATCH_GRACE);
     return this.send({ method: "GET", path, timeout, agent: this.watchAgent }).pipe(
       Effect.flatMap((reply): Effect.Effect<WatchedEvents, StateError | TooOld> => {
         if (reply.status === 410) return Effect.fail(new TooOld());
-        if (reply.status !== 200) return Effect.fail(unexpected(reply));
-        return Effect.succeed(wire.parseEvents(parseJson(reply)));
+        if (reply.status !== 200) return Effect.fail(unexpectedStatus(reply));
+        return Effect.succeed(stateServiceApi.parseEvents(parseJson(reply)));
       }),
     );
   }
@@ -189,10 +194,10 @@
   private send(request: StateRequest): Effect.Effect<Reply, StateError> {
     const {
       urgency = "first",
-      changeCount: changeCount = 0,
+      changeCount = 0,
       timeout = REQUEST_TIMEOUT,
       agent = this.agent,
-      maxWait: maxWait,
+      maxWait,
     } = request;
     const { method, path, body } = request;
     const response = call(agent, {
@@ -200,25 +205,27 @@
       ...(body === undefined ? {} : { body }),
     });
     return Effect.zipRight(
-      this.pacer.admit({ urgency, changeCount: changeCount, maxWait: maxWait }),
-      Effect.mapError(response, (failed) => this.callFailed(failed)),
+      this.pacer.admit({ urgency, changeCount, maxWait }),
+      Effect.mapError(response, (failed) => this.toStateError(failed)),
     ).pipe(Effect.flatMap((reply) => this.checkStatus(reply)));
   }
 
-  private callFailed(failed: CallFailed): StateError {
+  private toStateError(failed: CallFailed): StateError {
     this.failingSince ??= now();
-    return failed.sent ? new Unanswered({ why: failed.why }) : new Unavailable({ why: failed.why });
+    return failed.sent
+      ? new Unanswered({ reason: failed.reason })
+      : new Unavailable({ reason: failed.reason });
   }
 
   /** Handles the statuses that mean the same for all requests: with 503 or 429 nothing was executed. */
   private checkStatus(reply: Reply): Effect.Effect<Reply, StateError> {
     if (reply.status === 503) {
       this.failingSince ??= now();
-      return Effect.fail(new Unavailable({ why: "503" }));
+      return Effect.fail(new Unavailable({ reason: "503" }));
     }
     this.failingSince = null;
     if (reply.status !== 429) return Effect.succeed(reply);
     this.pacer.onRateLimited();
-    return Effect.fail(rateLimited());
+    return Effect.fail(rateLimitedError());
   }
 }
--- a/src/io/state-errors.ts
+++ b/src/io/state-errors.ts
@@ -2,9 +2,9 @@
 import * as Data from "effect/Data";
 
 /** The request was not executed and won't be: the response was 429 or 503, or it was never sent. */
-export class Unavailable extends Data.TaggedError("Unavailable")<{ readonly why: string }> {}
+export class Unavailable extends Data.TaggedError("Unavailable")<{ readonly reason: string }> {}
 /** No usable response: the request may have been executed, or may be executed yet. */
-export class Unanswered extends Data.TaggedError("Unanswered")<{ readonly why: string }> {}
+export class Unanswered extends Data.TaggedError("Unanswered")<{ readonly reason: string }> {}
 /** The service no longer keeps the changes since the watched revision: the keys have to be listed again. */
 export class TooOld extends Data.TaggedError("TooOld")<object> {}
 
@@ -14,8 +14,8 @@
 const RATE_LIMITED = "429";
 
 /** The failure of a request that was refused with 429. */
-export const rateLimited = (): Unavailable => new Unavailable({ why: RATE_LIMITED });
+export const rateLimitedError = (): Unavailable => new Unavailable({ reason: RATE_LIMITED });
 
 /** Whether the request was refused with 429, so that it may succeed a moment later. */
 export const isRateLimited = (error: StateError): boolean =>
-  error._tag === "Unavailable" && error.why === RATE_LIMITED;
+  error._tag === "Unavailable" && error.reason === RATE_LIMITED;
--- a/src/io/state-pacer.ts
+++ b/src/io/state-pacer.ts
@@ -28,7 +28,7 @@
   readonly maxWait: Duration.Duration | undefined;
 }
 
-const MAX_QUEUED = 500;
+const MAX_QUEUED_REQUESTS = 500;
 /** For this long after a refusal no `later` request is sent. */
 const PAUSE_AFTER_REFUSAL = Duration.millis(300);
 /** The leader sends most requests: it gets this share of the request rate, and the other nodes divide the rest. */
@@ -95,29 +95,29 @@
     if (admission.maxWait === undefined) return admitted;
     return Effect.timeoutFail(admitted, {
       duration: admission.maxWait,
-      onTimeout: () => new Unavailable({ why: "this node's share of requests is used up" }),
+      onTimeout: () => new Unavailable({ reason: "this node's share of requests is used up" }),
     });
   }
 
   /** Overdraws the share rather than wait, except that after a refusal `first` requests keep to the change rate. */
   private admitWithPriority({
     urgency,
-    changeCount: changeCount,
-    maxWait: maxWait,
+    changeCount,
+    maxWait,
   }: AdmissionRequest): Effect.Effect<void, Unavailable> {
     const wait =
       urgency === "first" && changeCount > 0
         ? this.changeLimiter.urgentDelay(now(), changeCount, maxWait)
         : Duration.zero;
-    if (wait === null) return Effect.fail(new Unavailable({ why: "too many changes wait" }));
+    if (wait === null) return Effect.fail(new Unavailable({ reason: "too many changes wait" }));
     this.requestLimiter.takeUrgent(now());
     if (changeCount > 0) this.changeLimiter.takeUrgent(now(), changeCount);
     return isZero(wait) ? Effect.void : Effect.sleep(wait);
   }
 
   private admitWithinShare(changeCount: number): Effect.Effect<void, Unavailable> {
-    if (this.queuedCount >= MAX_QUEUED)
-      return Effect.fail(new Unavailable({ why: "too many requests wait" }));
+    if (this.queuedCount >= MAX_QUEUED_REQUESTS)
+      return Effect.fail(new Unavailable({ reason: "too many requests wait" }));
     this.queuedCount++;
     const attempt: Effect.Effect<void> = Effect.suspend(() => {
       let wait = changeCount > 0 ? this.changeLimiter.take(now(), changeCount) : Duration.zero;
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -27,7 +27,7 @@
 /** The outcome of a batch, and the heartbeat that the worker responded with. */
 export interface WorkerAnswer {
   readonly outcome: CommandOutcome;
-  readonly report: Heartbeat | null;
+  readonly heartbeat: Heartbeat | null;
 }
 
 /** Calls workers, any of which may hang: concurrency is limited and timeouts are short. */
@@ -80,17 +80,19 @@
       .withPermits(1)(send)
       .pipe(
         Effect.ensuring(Effect.sync(() => this.openCalls--)),
-        Effect.map((reply) => (reply === null ? withoutHeartbeat("barred") : answerOf(reply))),
-        Effect.catchAll((failed) => Effect.succeed(withoutHeartbeat(failed.sent ? "unknown" : "unsent"))),
+        Effect.map((reply) => (reply === null ? answerWithoutHeartbeat("barred") : answerOf(reply))),
+        Effect.catchAll((failed) =>
+          Effect.succeed(answerWithoutHeartbeat(failed.sent ? "unknown" : "unsent")),
+        ),
       );
   }
 }
 
-const withoutHeartbeat = (outcome: CommandOutcome): WorkerAnswer => ({ outcome, report: null });
+const answerWithoutHeartbeat = (outcome: CommandOutcome): WorkerAnswer => ({ outcome, heartbeat: null });
 
 /** 200: executed; 409: rejected for the fencing token or the epoch. Both responses contain the worker's heartbeat. */
 const answerOf = (reply: Reply): WorkerAnswer => {
   const heartbeat = reply.status === 200 || reply.status === 409 ? parseHeartbeat(parseJson(reply)) : null;
-  if (reply.status !== 200) return { outcome: "rejected", report: heartbeat };
-  return { outcome: heartbeat === null ? "unknown" : "done", report: heartbeat };
+  if (reply.status !== 200) return { outcome: "rejected", heartbeat };
+  return { outcome: heartbeat === null ? "unknown" : "done", heartbeat };
 };
--- a/src/service/api/api-server.ts
+++ b/src/service/api/api-server.ts
@@ -96,7 +96,7 @@
     response.once("close", () => this.openUserRequests--);
     readBody(request, MAX_USER_BODY_BYTES, (body) => {
       const handled = this.userRequests.handle({ url, method: request.method ?? "", body }).pipe(
-        Effect.catchAll((error) => Effect.succeed(retryLater(error.why))),
+        Effect.catchAll((error) => Effect.succeed(retryLater(error.reason))),
         Effect.catchAllCause((cause) =>
           Effect.sync(() => {
             this.log.error({ cause: cause.toString() }, "request failed");
--- a/src/service/api/cancel-propagation.ts
+++ b/src/service/api/cancel-propagation.ts
@@ -36,7 +36,7 @@
       const commit: CommitRecord = { outcome: "cancelled", tasks };
       // the same write would be refused again: neither the leader's rounds nor each question of a user may repeat it
       if (now() < (this.retryNotBefore.get(id) ?? 0))
-        return yield* new Unavailable({ why: "its cancel was refused a moment ago" });
+        return yield* new Unavailable({ reason: "its cancel was refused a moment ago" });
       const result = yield* this.state.commit(
         [{ key: keys.commit(id), revision: 0 }],
         [
@@ -47,7 +47,7 @@
       );
       if (result.ok === null) {
         this.retryNotBefore.set(id, plus(now(), this.rejections.rejected(WRITE_KIND, result.error, id)));
-        return yield* new Unavailable({ why: result.error });
+        return yield* new Unavailable({ reason: result.error });
       }
       this.rejections.accepted(WRITE_KIND, id);
       this.retryNotBefore.delete(id);
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -14,7 +14,7 @@
   type Submission,
 } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
-import { isOverTheRate, type StateClient, type StateError } from "../../io/state-client.js";
+import { isRateLimited, type StateClient, type StateError } from "../../io/state-client.js";
 import type { JobCache } from "../job-cache.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 import type { JobStatusReader } from "./job-status.js";
@@ -70,9 +70,9 @@
   /** Accepts the job, unless it is known already or depends on one that was never accepted. */
   accept(submission: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.catchAll(this.tryToAccept(submission), (error) => {
-      const retryAnswer = retryLater(error.why);
+      const retryAnswer = retryLater(error.reason);
       // over the rate, the question for its status would only keep the user from coming again
-      if (error._tag !== "TooManyQuestions" && isOverTheRate(error)) return Effect.succeed(retryAnswer);
+      if (error._tag !== "TooManyQuestions" && isRateLimited(error)) return Effect.succeed(retryAnswer);
       // a repeat of an accepted job gets its answer also when a parent's record can't be read
       return this.statusQueries.refuseUnlessAccepted(submission.spec.id, retryAnswer);
     });
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -16,7 +16,8 @@
   readonly maxWait: Duration.Duration | undefined;
 }
 
-const unreadable = (id: string): Unavailable => new Unavailable({ why: `the record of ${id} can't be read` });
+const unreadable = (id: string): Unavailable =>
+  new Unavailable({ reason: `the record of ${id} can't be read` });
 
 /** Reads that keep what they find in the cache of jobs and among the known outcomes. */
 export class JobRecordReader {
--- a/src/service/api/status-query-batcher.ts
+++ b/src/service/api/status-query-batcher.ts
@@ -56,7 +56,7 @@
   /** The status of a job, whose outcome isn't known here, as of a moment after the call. */
   ask(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.gen(this, function* () {
-      if (this.queued.length >= MAX_QUEUED) return yield* new TooManyQueries({ why: "busy" });
+      if (this.queued.length >= MAX_QUEUED) return yield* new TooManyQueries({ reason: "busy" });
       const answer = yield* Deferred.make<JobStatus, StateError>();
       const isUnfinished = this.jobCache.isUnfinished(id);
       this.queued.push({
--- a/src/service/api/status-types.ts
+++ b/src/service/api/status-types.ts
@@ -10,4 +10,4 @@
   | { readonly kind: "absent" };
 
 /** Too many questions are queued already: the user is to ask again. */
-export class TooManyQueries extends Data.TaggedError("TooManyQuestions")<{ readonly why: string }> {}
+export class TooManyQueries extends Data.TaggedError("TooManyQuestions")<{ readonly reason: string }> {}
--- a/src/service/api/user-writes.ts
+++ b/src/service/api/user-writes.ts
@@ -9,7 +9,7 @@
 import type { Change, Condition } from "../../io/codec.js";
 import {
   type CommitResult,
-  isOverTheRate,
+  isRateLimited,
   type StateClient,
   type StateError,
 } from "../../io/state-client.js";
@@ -25,6 +25,6 @@
   apply: readonly Change[],
 ): Effect.Effect<CommitResult, StateError> =>
   Effect.retry(state.commit(when, apply, "vital"), {
-    while: isOverTheRate,
+    while: isRateLimited,
     schedule: Schedule.intersect(Schedule.spaced(RETRY_INTERVAL), Schedule.recurs(MAX_RETRIES)),
   });
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -65,7 +65,7 @@
 
   private handleFailure(id: string, error: StateError): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      this.context.services.log.info({ job: id, reason: error.why }, "commit delayed");
+      this.context.services.log.info({ job: id, reason: error.reason }, "commit delayed");
       yield* Effect.sleep(RETRY_PAUSE);
       this.context.schedulerLock?.with((scheduler) => scheduler.commitFailed(id));
       this.context.stepRequested.notify();
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -112,7 +112,7 @@
       Effect.catchAll((error) =>
         Effect.sync(() => {
           this.failedChecks.add(id);
-          this.log.debug({ job: id, reason: error.why }, "join delayed");
+          this.log.debug({ job: id, reason: error.reason }, "join delayed");
         }),
       ),
     );
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -144,7 +144,7 @@
     return this.watchOnce.pipe(
       Effect.catchAll((error) =>
         Effect.zipRight(
-          Effect.sync(() => log.info({ reason: error.why }, "leading delayed")),
+          Effect.sync(() => log.info({ reason: error.reason }, "leading delayed")),
           Effect.sleep(RETRY_PAUSE),
         ),
       ),
--- a/src/service/members/command-deliverer.ts
+++ b/src/service/members/command-deliverer.ts
@@ -21,9 +21,9 @@
 
 interface CommandReply {
   readonly outcome: CommandOutcome;
-  readonly report: Heartbeat | null;
+  readonly heartbeat: Heartbeat | null;
 }
-const BARRED: CommandReply = { outcome: "barred", report: null };
+const BARRED: CommandReply = { outcome: "barred", heartbeat: null };
 
 const waitUntil = (isReady: () => boolean): Effect.Effect<void> =>
   Effect.gen(function* () {
@@ -72,7 +72,7 @@
     const reply = Effect.suspend((): Effect.Effect<CommandReply> =>
       maySend() ? this.workers.sendCommands({ ...batch, maySend }) : Effect.succeed(BARRED),
     );
-    return Effect.map(reply, ({ outcome, report: heartbeat }) => {
+    return Effect.map(reply, ({ outcome, heartbeat }) => {
       this.partition.commandsAnswered(batch.id, outcome, heartbeat, now());
       this.onOutcome();
     });
--- a/src/service/members/finish-writer.ts
+++ b/src/service/members/finish-writer.ts
@@ -74,7 +74,7 @@
         return result.ok ? { kind: "stored" } : { kind: "conflict", failedKeys: result.failed };
       }),
       Effect.catchAll((error) =>
-        Effect.succeed<TransactionResult>({ kind: "unanswered", reason: error.why }),
+        Effect.succeed<TransactionResult>({ kind: "unanswered", reason: error.reason }),
       ),
     );
   }
--- a/src/service/members/lease-keeper.ts
+++ b/src/service/members/lease-keeper.ts
@@ -124,7 +124,9 @@
     const { timings, log } = this.options;
     const startedAt = now();
     yield* this.renew.pipe(
-      Effect.catchAll((error) => Effect.sync(() => log.debug({ reason: error.why }, "lease renewal failed"))),
+      Effect.catchAll((error) =>
+        Effect.sync(() => log.debug({ reason: error.reason }, "lease renewal failed")),
+      ),
     );
     const remainingMs = Duration.toMillis(timings.renewalInterval) - (now() - startedAt);
     yield* Effect.sleep(Duration.millis(MIN_RENEWAL_PAUSE_MS));
--- a/src/service/shards/shard-leader.ts
+++ b/src/service/shards/shard-leader.ts
@@ -248,7 +248,7 @@
     const workers = leading.machines.sampleWorkers(offer.shard, term);
     return Effect.map(this.requests.offer(to, { ...offer, workers }), (answer) =>
       this.applyAnswer(leading, (input) =>
-        leading.coordinator.offerAnswered(offer.shard, offer.id, answer, input),
+        leading.coordinator.onOfferAnswer(offer.shard, offer.id, answer, input),
       ),
     );
   }
@@ -259,7 +259,7 @@
   ): Effect.Effect<void> {
     return Effect.map(this.requests.release(to, request), (answer) =>
       this.applyAnswer(leading, (input) =>
-        leading.coordinator.releaseAnswered(request.shard, request.id, answer, input),
+        leading.coordinator.onReleaseAnswer(request.shard, request.id, answer, input),
       ),
     );
   }
@@ -270,7 +270,7 @@
   ): Effect.Effect<void> {
     return Effect.map(this.writer.write([write]), (outcome: WriteOutcome) =>
       this.applyAnswer(leading, (input) =>
-        leading.coordinator.writeAnswered(write.shard, id, write, outcome, input),
+        leading.coordinator.onWriteOutcome(write.shard, id, write, outcome, input),
       ),
     );
   }
--- a/src/service/shards/shard-operator.ts
+++ b/src/service/shards/shard-operator.ts
@@ -205,7 +205,7 @@
       Effect.map((result) =>
         result.ok === true ? answer(OK, done) : answer(UNAVAILABLE, { reason: "the state service refused" }),
       ),
-      Effect.catchAll((error) => Effect.succeed(answer(UNAVAILABLE, { reason: error.why }))),
+      Effect.catchAll((error) => Effect.succeed(answer(UNAVAILABLE, { reason: error.reason }))),
     );
   }
 }
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -84,7 +84,7 @@
 
   /** A release is about to be sent: from now on this controller doesn't count the shard. */
   releaseSent(write: ShardWrite): void {
-    this.current = this.current.releaseSent(write);
+    this.current = this.current.markReleaseSent(write);
   }
 
   /** A record that this process wrote. */
--- a/src/service/shards/shards.ts
+++ b/src/service/shards/shards.ts
@@ -85,11 +85,11 @@
     this.view = new ShardView(me, timings.fencingWindow, state, log);
     const writer = new ShardWriter(state, this.view, log);
     this.member = new ShardMember(this.view, writer, membership, workers, options.freeConnections, log);
-    const exerciseInterval = settings.rehearseEvery;
+    const exerciseInterval = settings.rehearsalInterval;
     this.leader = new ShardLeader(
       {
         me,
-        maxConcurrentMoves: settings.movesAtOnce,
+        maxConcurrentMoves: settings.maxConcurrentMoves,
         hysteresis: settings.hysteresis,
         heartbeatInterval: timings.heartbeatInterval,
         txnOps,
--- a/test/call.test.ts
+++ b/test/call.test.ts
@@ -31,7 +31,7 @@
 const post = (addr: string, timeout: Duration.Duration): Promise<Reply | string> =>
   Effect.runPromise(
     call(makeKeepAliveAgent(1), { addr, method: "POST", path: "/orders", body: "{}", timeout }).pipe(
-      Effect.catchAll(({ sent, why }) => Effect.succeed(`${why}, ${sent ? "sent" : "not sent"}`)),
+      Effect.catchAll(({ sent, reason }) => Effect.succeed(`${reason}, ${sent ? "sent" : "not sent"}`)),
     ),
   );
 
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -48,7 +48,12 @@
 
 test("shards and the operators' socket are off by default, and deploy/shards.json turns both on", () => {
   const load = (settings?: string) => loadSettings(file("shards.json", platform), settings).operator;
-  assert.deepEqual(load().shards, { enabled: false, movesAtOnce: 2, hysteresis: 0.3, rehearseEvery: null });
+  assert.deepEqual(load().shards, {
+    enabled: false,
+    maxConcurrentMoves: 2,
+    hysteresis: 0.3,
+    rehearsalInterval: null,
+  });
   assert.equal(load().operatorsSocket, null);
   const on = load(join(ROOT, "deploy/shards.json"));
   assert.deepEqual([on.shards.enabled, on.operatorsSocket], [true, "127.0.0.1:7070"]);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -96,7 +96,7 @@
     commit: (when: { key: string }[]) => {
       asked.push(when.map((c) => c.key));
       return refuse
-        ? Effect.fail(new Unavailable({ why: "no share left" }))
+        ? Effect.fail(new Unavailable({ reason: "no share left" }))
         : Effect.succeed({ ok: true, revision: 1 } as const);
     },
   } as unknown as StateClient;
--- a/test/user-writes.test.ts
+++ b/test/user-writes.test.ts
@@ -5,7 +5,7 @@
 import * as Either from "effect/Either";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import { isOverTheRate, StateClient } from "../src/io/state-client.js";
+import { isRateLimited, StateClient } from "../src/io/state-client.js";
 import { commitForUser, MAX_RETRIES } from "../src/service/api/user-writes.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
 
@@ -38,7 +38,7 @@
       assert.ok(Either.isRight(result) && result.right.ok === true, `seed ${seed}: not carried out`);
       assert.equal(fakeState.rows.get(key)?.value, "accepted");
     } else {
-      assert.ok(Either.isLeft(result) && isOverTheRate(result.left), `seed ${seed}: not refused`);
+      assert.ok(Either.isLeft(result) && isRateLimited(result.left), `seed ${seed}: not refused`);
       assert.equal(fakeState.rows.has(key), false);
       assert.equal(left, refusals - MAX_RETRIES - 1, `seed ${seed}: sent more often than the bound allows`);
     }
@@ -54,7 +54,7 @@
     // a second attempt would find the truth
     fakeState.failing = [{ status, carriedOut }];
     const result = await write(key);
-    assert.ok(Either.isLeft(result) && result.left._tag === tag && !isOverTheRate(result.left));
+    assert.ok(Either.isLeft(result) && result.left._tag === tag && !isRateLimited(result.left));
     assert.equal(fakeState.rows.has(key), carriedOut);
   }
 });
