--- a/packages/shards/src/coordinator.ts
+++ b/packages/shards/src/coordinator.ts
@@ -6,11 +6,11 @@
  */
 import type { Assignment } from "./assignment.js";
 import {
-  type HandoffAttempt,
   HANDOFF_TIMEOUTS,
+  type HandoffAttempt,
+  type HandoffPhase,
   type HandoffTimeouts,
   type MoveRequest,
-  type HandoffPhase,
 } from "./handoff-attempt.js";
 import type { Offer, OfferAnswer, ReleaseAnswer, ReleaseRequest } from "./messages.js";
 import { Refusal } from "./refusal.js";
@@ -106,11 +106,11 @@
     const { shard, target } = request;
     if (this.attempts.has(shard)) return Refusal.InHandoff({ shard });
     if (assignment.term === null) return Refusal.NotInForce();
-    const step = beginHandoff(assignment, shard, { id: request.id, target });
-    if ("refusal" in step) return step.refusal;
+    const transition = beginHandoff(assignment, shard, { id: request.id, target });
+    if ("refusal" in transition) return transition.refusal;
     const { machines, obstacle } = input.facts(shard);
     if (obstacle !== null) return obstacle;
-    const { epoch, owner } = step.write.state;
+    const { epoch, owner } = transition.write.state;
     const term = assignment.term.number;
     this.attempts.set(shard, {
       request,
@@ -140,9 +140,9 @@
     // commands may have been sent since the offer
     const { obstacle } = input.facts(shard);
     if (obstacle !== null) return this.end(attempt, obstacle, input.now);
-    const step = beginHandoff(input.assignment, shard, { id, target: attempt.request.target });
-    if ("refusal" in step) return this.end(attempt, step.refusal, input.now);
-    const { write } = step;
+    const transition = beginHandoff(input.assignment, shard, { id, target: attempt.request.target });
+    if ("refusal" in transition) return this.end(attempt, transition.refusal, input.now);
+    const { write } = transition;
     const beginning = { ...attempt, phaseStartedAt: input.now };
     return this.write(beginning, { kind: "beginning", write, failed: false }, write, input.now);
   }
--- a/packages/shards/src/owner-view.ts
+++ b/packages/shards/src/owner-view.ts
@@ -9,7 +9,7 @@
 import type { Offer, OfferAnswer, ReleaseRequest } from "./messages.js";
 import { Refusal } from "./refusal.js";
 import type { ShardId } from "./shard-id.js";
-import { releaseShard, type ShardWrite, type TransitionResult, takeShard } from "./transitions.js";
+import { releaseShard, type ShardWrite, takeShard, type TransitionResult } from "./transitions.js";
 
 /** What the target of a handoff checks before it accepts an offer. */
 export interface TargetReadiness {
@@ -44,11 +44,11 @@
 
   /** The view after this process has read newer records. */
   withAssignment(assignment: Assignment): OwnerView {
-    const releasing = HashMap.filter(
+    const sentReleases = HashMap.filter(
       this.sentReleases,
       (revision, shard) => (assignment.recordOf(shard)?.revision ?? 0) === revision,
     );
-    return new OwnerView(this.self, assignment, releasing, this.previousTermView);
+    return new OwnerView(this.self, assignment, sentReleases, this.previousTermView);
   }
 
   /** The view in a new term, until `settle` is called. */
@@ -83,17 +83,17 @@
   }
 
   /** Whether this process has kept its membership since then: a gap would have given it another incarnation. */
-  private sameMemberAs(before: OwnerView): boolean {
-    return this.incarnation !== null && this.incarnation === before.incarnation;
+  private sameMemberAs(previous: OwnerView): boolean {
+    return this.incarnation !== null && this.incarnation === previous.incarnation;
   }
 
   /** The state as text: two views with the same key behave the same. */
   stateKey(): string {
     const { revision, term, enabledTerm } = this.assignment;
-    const releasing = [...this.sentReleases].sort();
-    const before: string = this.previousTermView?.stateKey() ?? "settled";
+    const sentReleases = [...this.sentReleases].sort();
+    const previousTerm: string = this.previousTermView?.stateKey() ?? "settled";
     const records = JSON.stringify(this.assignment.recordedShards());
-    return JSON.stringify([revision, term?.number, enabledTerm, records, releasing, before]);
+    return JSON.stringify([revision, term?.number, enabledTerm, records, sentReleases, previousTerm]);
   }
 
   /** Whether a release of the shard may have been executed without this process knowing. */
@@ -133,8 +133,8 @@
    * write fails, that proves nothing, since an earlier copy of it may be what changed the record.
    */
   markReleaseSent(write: ShardWrite): OwnerView {
-    const releasing = HashMap.set(this.sentReleases, write.shard, write.revision);
-    return new OwnerView(this.self, this.assignment, releasing, this.previousTermView);
+    const sentReleases = HashMap.set(this.sentReleases, write.shard, write.revision);
+    return new OwnerView(this.self, this.assignment, sentReleases, this.previousTermView);
   }
 
   /** The writes by which this process takes the shards that were released to it. */
--- a/packages/shards/src/rebalancer.ts
+++ b/packages/shards/src/rebalancer.ts
@@ -39,12 +39,12 @@
   readonly maxMoves: number;
 }
 
-/** In messages a second: a machine causes this load by its connection and index entries, even without messages. */
-const MACHINE_WEIGHT_PER_SECOND = 0.01;
+/** The load of a machine's connection and index entries, which it causes even without messages. */
+const MACHINE_OVERHEAD_MESSAGES_PER_SECOND = 0.01;
 
 /** The load of a shard as one number, in messages a second. */
 export const weightOf = (load: ShardLoad): number =>
-  load.heartbeatsPerSecond + load.commandsPerSecond + load.machines * MACHINE_WEIGHT_PER_SECOND;
+  load.heartbeatsPerSecond + load.commandsPerSecond + load.machines * MACHINE_OVERHEAD_MESSAGES_PER_SECOND;
 
 /** The moves planned so far, and the owners and loads that result from them. */
 class MovePlan {
--- a/packages/shards/src/repairs.ts
+++ b/packages/shards/src/repairs.ts
@@ -1,7 +1,7 @@
 /** Repairs of shard records by the leader: it replaces owners that are gone and ends abandoned handoffs. */
 import type { Assignment } from "./assignment.js";
 import type { ShardId } from "./shard-id.js";
-import { endHandoff, pinShard, type ShardWrite } from "./transitions.js";
+import { endHandoff, recordOwner, type ShardWrite } from "./transitions.js";
 
 /**
  * Without a record, a shard's owner changes with the members, which costs no writes and moves few machines. A shard with at
@@ -24,12 +24,12 @@
   const writes: ShardWrite[] = [];
   for (const [shard, { state }] of assignment.recordedShards()) {
     if (isMoving(shard)) continue;
-    const write = state._tag === "Owned" ? pinShard(assignment, shard) : endHandoff(assignment, shard);
+    const write = state._tag === "Owned" ? recordOwner(assignment, shard) : endHandoff(assignment, shard);
     if (write !== null) writes.push(write);
   }
   for (const [shard, count] of machines) {
     if (count < MIN_MACHINES_FOR_RECORD || assignment.recordOf(shard) !== null || isMoving(shard)) continue;
-    const write = pinShard(assignment, shard);
+    const write = recordOwner(assignment, shard);
     if (write !== null) writes.push(write);
   }
   return writes.slice(0, Math.max(0, maxWrites));
--- a/packages/shards/src/transitions.ts
+++ b/packages/shards/src/transitions.ts
@@ -115,7 +115,7 @@
  * The leader records the present owner of a shard, either because the recorded owner is gone, or because the shard has no
  * record and should keep its owner when members join. null: the record is right already, or a handoff is in progress.
  */
-export const pinShard = (assignment: Assignment, shard: ShardId): ShardWrite | null => {
+export const recordOwner = (assignment: Assignment, shard: ShardId): ShardWrite | null => {
   const { term } = assignment;
   if (term === null || !assignment.inForce || assignment.isInHandoff(shard)) return null;
   const record = assignment.recordOf(shard);
--- a/packages/shards/test/assignment.test.ts
+++ b/packages/shards/test/assignment.test.ts
@@ -14,15 +14,15 @@
   endHandoff,
   OwnerView,
   parseShardId,
-  pinShard,
+  recordOwner,
   Refusal,
   releaseShard,
   repairsOf,
   type ShardId,
   shardOf,
-  ShardState,
   SHARDS_PER_ZONE,
   shardsOfZone,
+  ShardState,
   takeShard,
   zoneOfShard,
 } from "../src/index.js";
@@ -98,7 +98,7 @@
   const assignment = Assignment.empty
     .withTerm({ number: 7, revision: 50, members: MEMBERS })
     .withSnapshot([{ shard: SHARD, revision: 60, value: { epoch: "x" } }], 7, 99);
-  const write = pinShard(assignment, SHARD);
+  const write = recordOwner(assignment, SHARD);
   assert.equal(write?.state.owner, assignment.defaultOwner(SHARD));
   assert.equal(write?.state.epoch, 61);
 });
@@ -157,7 +157,7 @@
   );
   assert.deepEqual({ ...endHandoff(open, SHARD)?.state }, { _tag: "Owned", epoch: 4, owner: "north" });
   assert.deepEqual({ ...endHandoff(draining, SHARD)?.state }, { _tag: "Owned", epoch: 3, owner: "north" });
-  assert.equal(pinShard(open, SHARD), null);
+  assert.equal(recordOwner(open, SHARD), null);
 });
 
 test("repairs: an owner that is gone is replaced by the one that the machines went to, in a new epoch", () => {
--- a/packages/shards/test/handoffs.property.test.ts
+++ b/packages/shards/test/handoffs.property.test.ts
@@ -40,7 +40,7 @@
   if (chosen === undefined) throw new Error("the world has no shards");
   return chosen;
 });
-const ms = (most: number) => fc.integer({ min: 1, max: most });
+const ms = (max: number) => fc.integer({ min: 1, max });
 const move = fc
   .tuple(shard, node)
   .map(([shardIn, target]) => new Step(`move(${target})`, (world) => world.move(shardIn(world), target)));
@@ -64,7 +64,7 @@
     .tuple(node, ms(6000))
     .map(
       ([name, duration]) =>
-        new Step(`refuse(${name}, ${duration})`, (world) => world.faults.refuseState(name, duration)),
+        new Step(`refuseState(${name}, ${duration})`, (world) => world.faults.refuseState(name, duration)),
     ),
   fc
     .double({ min: 0, max: 0.5, noNaN: true })
@@ -78,17 +78,17 @@
     .tuple(node, ms(4000))
     .map(
       ([name, duration]) =>
-        new Step(`deafen(${name}, ${duration})`, (world) => world.faults.loseAnswers(name, duration)),
+        new Step(`loseAnswers(${name}, ${duration})`, (world) => world.faults.loseAnswers(name, duration)),
     ),
   fc
     .tuple(node, ms(8000))
     .map(
       ([name, duration]) =>
-        new Step(`lag(${name}, ${duration})`, (world) => world.faults.delayReads(name, duration)),
+        new Step(`delayReads(${name}, ${duration})`, (world) => world.faults.delayReads(name, duration)),
     ),
   fc
     .constantFrom("n-13", "n-15")
-    .map((id) => new Step(`silence(${id})`, (world) => world.faults.silenceWorker(id))),
+    .map((id) => new Step(`silenceWorker(${id})`, (world) => world.faults.silenceWorker(id))),
   node.map((name) => new Step(`crash(${name})`, (world) => world.faults.crash(name))),
   fc
     .tuple(node, fc.integer({ min: 0, max: 9 }))
@@ -157,8 +157,8 @@
 ];
 for (const [guard, expected, seed] of GUARDS)
   test(`without the guard "${guard}" a property fails`, () => {
-    const without = historyProperty(guard, { executedCount: 0, outcomes: new Map() });
-    const result = fc.check(without, { seed, numRuns: 120, endOnFailure: true });
+    const property = historyProperty(guard, { executedCount: 0, outcomes: new Map() });
+    const result = fc.check(property, { seed, numRuns: 120, endOnFailure: true });
     assert.ok(result.failed, `not noticed in ${result.numRuns} runs`);
     const { errorInstance } = result;
     assert.match(errorInstance instanceof Error ? errorInstance.message : String(errorInstance), expected);
--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -497,11 +497,11 @@
   private receiveReleaseRequest({ from, to, request }: Extract<Message, { kind: "release" }>): void {
     const node = this.node(to);
     if (!node.alive) return;
-    const step = node.ownerView.answerRelease(request);
-    const answer = "refusal" in step ? step.refusal : null;
-    if ("write" in step && this.reachesState(node)) {
-      if (this.disabled !== "releasing") node.ownerView = node.ownerView.markReleaseSent(step.write);
-      this.sendWrite(node, null, step.write);
+    const transition = node.ownerView.answerRelease(request);
+    const answer = "refusal" in transition ? transition.refusal : null;
+    if ("write" in transition && this.reachesState(node)) {
+      if (this.disabled !== "releasing") node.ownerView = node.ownerView.markReleaseSent(transition.write);
+      this.sendWrite(node, null, transition.write);
     }
     this.send({ kind: "releaseAnswer", to: from, request, answer });
   }
--- a/src/io/call.ts
+++ b/src/io/call.ts
@@ -70,8 +70,8 @@
 };
 
 /**
- * Makes a request. Interrupting it ends it. It may be held up in this process for long, so a request that wasn't sent by
- * its timeout is never sent.
+ * Sends a request; interrupting the effect aborts it. A request may be delayed for long in this process; one that hasn't
+ * been sent by its timeout is never sent.
  */
 export const call = (agent: http.Agent, request: Call): Effect.Effect<Reply, CallFailed> =>
   Effect.async<Reply, CallFailed>((resume) => {
@@ -92,7 +92,7 @@
       headers: headersOf(request),
     });
     const timer = setTimeout(() => {
-      // after a stall of this process the connection may have been established, but the request is too old to be sent on it
+      // after a stall of this process the connection may be established by now, but the request is too old to be sent
       if (!sent) {
         fail("timeout");
         outgoing.destroy();
--- a/src/io/cloud-client.ts
+++ b/src/io/cloud-client.ts
@@ -3,19 +3,19 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { RateLimiter } from "../core/rates/rate-limiter.js";
-import { call, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
+import { call, makeKeepAliveAgent, parseJson, type Reply } from "./call.js";
 import { now } from "./clock.js";
 import {
-  parseMachineList,
   type ListedMachine,
   machineListPath,
+  machineTypesPath,
+  parseMachineList,
+  parseMachineTypes,
+  parseRentedMachines,
   releaseBody,
   releasePath,
   rentBody,
-  parseRentedMachines,
   rentPath,
-  machineTypesPath,
-  parseMachineTypes,
   type WireMachineType,
 } from "./codec.js";
 
--- a/src/io/state-client.ts
+++ b/src/io/state-client.ts
@@ -3,7 +3,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Instant } from "../core/time.js";
-import { type Call, call, type CallFailed, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
+import { type Call, call, type CallFailed, makeKeepAliveAgent, parseJson, type Reply } from "./call.js";
 import { now } from "./clock.js";
 import { type Change, type Condition, type Row, stateServiceApi, type WatchEvent } from "./codec.js";
 import { rateLimitedError, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
--- a/src/io/state-pacer.ts
+++ b/src/io/state-pacer.ts
@@ -2,7 +2,7 @@
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import { RateLimiter } from "../core/rates/rate-limiter.js";
-import { type RequestRates, RateLimitSelector } from "../core/rates/rate-limit-selector.js";
+import { RateLimitSelector, type RequestRates } from "../core/rates/rate-limit-selector.js";
 import { now } from "./clock.js";
 import { Unavailable } from "./state-errors.js";
 
--- a/src/io/worker-client.ts
+++ b/src/io/worker-client.ts
@@ -3,7 +3,7 @@
 import * as Effect from "effect/Effect";
 import type { Command, Heartbeat } from "../core/records.js";
 import type { CommandOutcome } from "../core/scheduler/scheduler.js";
-import { call, closeIdleConnections, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
+import { call, closeIdleConnections, makeKeepAliveAgent, parseJson, type Reply } from "./call.js";
 import { commandsBody, commandsPath, parseHeartbeat } from "./codec.js";
 
 const COMMAND_TIMEOUT = Duration.seconds(2);
