--- a/packages/shards/test/handoffs.property.test.ts
+++ b/packages/shards/test/handoffs.property.test.ts
@@ -1,4 +1,4 @@
-/** Random histories of moves, troubles and restarts; fast-check shrinks what fails to a short one. */
+/** Random histories of moves, faults and restarts; fast-check shrinks a failing one. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -10,14 +10,14 @@
   ["south", "west"],
   ["inland", "east"],
 ] as const;
-/** Two machines in one shard of the east, one in another, and one in the west. */
+/** Two machines in one shard of the zone east, one in another shard of east, and one in west. */
 const MACHINES = new Map([
   ["n-4", "east"],
   ["n-9", "east"],
   ["n-13", "east"],
   ["n-15", "west"],
 ]);
-/** After this long without troubles every handoff has ended. */
+/** Within this time after the last fault every handoff ends. */
 const RECOVERY_MS = 20_000;
 
 class Step implements fc.Command<object, World> {
@@ -40,13 +40,13 @@
   if (chosen === undefined) throw new Error("the world has no shards");
   return chosen;
 });
-const ms = (most: number) => fc.integer({ min: 1, max: most });
+const ms = (max: number) => fc.integer({ min: 1, max });
 const move = fc
   .tuple(shard, node)
   .map(([shardIn, target]) => new Step(`move(${target})`, (world) => world.move(shardIn(world), target)));
 const wait = ms(2500).map((duration) => new Step(`advance(${duration})`, (world) => world.advance(duration)));
 const steps = [
-  // what comes more than once comes more often
+  // entries are repeated to be drawn more often
   wait,
   wait,
   wait,
@@ -64,31 +64,31 @@
     .tuple(node, ms(6000))
     .map(
       ([name, duration]) =>
-        new Step(`refuse(${name}, ${duration})`, (world) => world.faults.refuseState(name, duration)),
+        new Step(`refuseState(${name}, ${duration})`, (world) => world.faults.refuseState(name, duration)),
     ),
   fc
     .double({ min: 0, max: 0.5, noNaN: true })
     .map(
       (slow) =>
         new Step(`workers(${slow.toFixed(2)})`, (world) =>
-          Object.assign(world.network, { slowWorkers: slow }),
+          Object.assign(world.network, { slowWorkerShare: slow }),
         ),
     ),
   fc
     .tuple(node, ms(4000))
     .map(
       ([name, duration]) =>
-        new Step(`deafen(${name}, ${duration})`, (world) => world.faults.loseAnswers(name, duration)),
+        new Step(`loseAnswers(${name}, ${duration})`, (world) => world.faults.loseAnswers(name, duration)),
     ),
   fc
     .tuple(node, ms(8000))
     .map(
       ([name, duration]) =>
-        new Step(`lag(${name}, ${duration})`, (world) => world.faults.delayReads(name, duration)),
+        new Step(`delayReads(${name}, ${duration})`, (world) => world.faults.delayReads(name, duration)),
     ),
   fc
     .constantFrom("n-13", "n-15")
-    .map((id) => new Step(`silence(${id})`, (world) => world.faults.silenceWorker(id))),
+    .map((id) => new Step(`silenceWorker(${id})`, (world) => world.faults.silenceWorker(id))),
   node.map((name) => new Step(`crash(${name})`, (world) => world.faults.crash(name))),
   fc
     .tuple(node, fc.integer({ min: 0, max: 9 }))
@@ -106,7 +106,7 @@
     .map(
       ({ loss, slow }) =>
         new Step(`network(${loss.toFixed(2)}, ${slow.toFixed(2)})`, (world) =>
-          Object.assign(world.network, { loss, slow, copies: slow }),
+          Object.assign(world.network, { lossShare: loss, slowShare: slow, duplicateShare: slow }),
         ),
     ),
 ];
@@ -116,9 +116,9 @@
   readonly outcomes: Map<string, number>;
 }
 
-const historyProperty = (disabledGuard: Guard | null, totals: RunTotals) =>
+const historyProperty = (disabled: Guard | null, totals: RunTotals) =>
   fc.property(fc.commands(steps, { maxCommands: 60, size: "max" }), fc.nat(1e9), (commands, seed) => {
-    const world = new World(seed, disabledGuard, NODES, MACHINES);
+    const world = new World(seed, disabled, NODES, MACHINES);
     for (const [name] of NODES) world.faults.restart(name, true);
     world.advance(5000);
     fc.modelRun(() => ({ model: {}, real: world }), commands);
@@ -128,19 +128,22 @@
     for (const outcome of world.moveOutcomes)
       totals.outcomes.set(outcome, (totals.outcomes.get(outcome) ?? 0) + 1);
     assert.deepEqual(world.invariants.violations, []);
-    assert.deepEqual(world.unfinished(), [], "once troubles are over every handoff ends");
+    assert.deepEqual(world.unfinished(), [], "every handoff ends once there are no more faults");
   });
 
 test("no shard has two owners, no machine is counted twice, no old command is carried out, every handoff ends", () => {
   const totals: RunTotals = { executedCount: 0, outcomes: new Map() };
   fc.assert(historyProperty(null, totals), { seed: 27, numRuns: 200, endOnFailure: true });
-  // the runs were no idle ones
+  // the runs did enough work to be meaningful
   assert.ok(totals.executedCount > 10_000, `${totals.executedCount} commands`);
   for (const outcome of ["done", "CommandInDoubt", "TermChanged", "NotTaken", "MachineNotHeard", "NotHolder"])
     assert.ok((totals.outcomes.get(outcome) ?? 0) > 0, `${outcome}: ${JSON.stringify([...totals.outcomes])}`);
 });
 
-/** Each guard, what its absence breaks, and a seed that shows it soon. "fencingToken" is left to the search of all interleavings. */
+/**
+ * Each guard, the violation reported without it, and a seed that finds one within few runs. The guard "fencingToken" is
+ * tested by the search of all interleavings.
+ */
 const GUARDS: readonly (readonly [Guard, RegExp, number])[] = [
   ["revision", /epoch|counted by|carried out|handoff/, 3],
   ["term", /epoch|counted by/, 306],
@@ -154,8 +157,8 @@
 ];
 for (const [guard, expected, seed] of GUARDS)
   test(`without the guard "${guard}" a property fails`, () => {
-    const without = historyProperty(guard, { executedCount: 0, outcomes: new Map() });
-    const result = fc.check(without, { seed, numRuns: 120, endOnFailure: true });
+    const property = historyProperty(guard, { executedCount: 0, outcomes: new Map() });
+    const result = fc.check(property, { seed, numRuns: 120, endOnFailure: true });
     assert.ok(result.failed, `not noticed in ${result.numRuns} runs`);
     const { errorInstance } = result;
     assert.match(errorInstance instanceof Error ? errorInstance.message : String(errorInstance), expected);
--- a/packages/shards/test/interleavings.ts
+++ b/packages/shards/test/interleavings.ts
@@ -1,21 +1,21 @@
-/** A breadth-first search through everything that can happen during one handoff, within stated bounds. */
+/** A breadth-first search of everything that can happen during one handoff, within stated bounds. */
 import type { ShardId } from "../src/index.js";
 import { type Message, messageKey } from "./world-network.js";
 import type { Node } from "./world-nodes.js";
 import { type Guard, World } from "./world.js";
 
-/** The parties of the handoff that is looked at. */
+/** The parties of the handoff. */
 export type Party = "source" | "target" | "leader";
 const NAMES: Readonly<Record<Party, string>> = { source: "inland", target: "north", leader: "south" };
 
-/** How often each trouble may come in one history. */
+/** How often each event may occur in one history. */
 export interface Bounds {
   readonly crashes: readonly Party[];
   readonly losses: number;
   readonly copies: number;
-  /** Commands that the leader sends besides. */
+  /** Commands that the leader sends to the shard's machine. */
   readonly commands: number;
-  /** How often so much time passes that whatever waits for an answer gives up. */
+  /** How often so much time passes that every phase of the handoff times out. */
   readonly timeouts: number;
 }
 
@@ -24,44 +24,44 @@
   readonly remaining: Bounds;
 }
 
-/** What a search found. */
+/** The result of a search. */
 export interface SearchResult {
   readonly states: number;
   readonly violations: readonly string[];
-  /** Who owns the shard where nothing more can happen. */
+  /** The number of final states by the shard's owner. In a final state nothing more can happen. */
   readonly finalOwners: ReadonlyMap<string, number>;
-  /** Final states in which the handoff is still open. */
+  /** The number of final states in which the handoff is still in progress. */
   readonly openHandoffs: number;
 }
 
 const TIMEOUT_MS = 3500;
 const MAX_STATES = 200_000;
 
-const newWorld = (disabledGuard: Guard | null): World => {
+const newWorld = (disabled: Guard | null): World => {
   const nodes = [
     [NAMES.leader, "west"],
     [NAMES.source, "east"],
     [NAMES.target, "east"],
   ] as const;
-  const world = new World(1, disabledGuard, nodes, new Map([["n-4", "east"]]));
-  world.busy = false;
+  const world = new World(1, disabled, nodes, new Map([["n-4", "east"]]));
+  world.sendsCommands = false;
   for (const [name] of nodes) world.faults.restart(name, true);
   world.advance(5000);
-  for (const node of world.nodes.values()) node.fencingWindowEnd = node.leaseUntil = Infinity;
+  for (const node of world.nodes.values()) node.windowEnd = node.leaseUntil = Infinity;
   return world;
 };
 
-/** The search from one bound. */
+/** A search within the given bounds. */
 export class Interleavings {
   constructor(
     private readonly bounds: Bounds,
-    private readonly disabledGuard: Guard | null = null,
+    private readonly disabled: Guard | null = null,
   ) {}
 
   explore(shard: ShardId): SearchResult {
-    const first = newWorld(this.disabledGuard);
+    const first = newWorld(this.disabled);
     const leader = first.node(NAMES.leader);
-    // the machine has sent a heartbeat, so that nothing stands against a handoff
+    // without a heartbeat of the machine the handoff couldn't begin
     first.requestHeartbeats(leader, shard);
     while (first.network.inFlight.length > 0) first.deliver(0);
     const request = { id: "move-1", shard, target: NAMES.target, by: "operator" } as const;
@@ -80,15 +80,15 @@
       const next: State[] = [];
       for (const state of queue) {
         const successors = this.successors(state);
-        // before known states are left out: a property may break on one of two ways to the same state
+        // checked before known states are dropped, since only one of two paths to the same state may violate an invariant
         for (const { world } of successors) {
           world.check();
           if (world.invariants.violations.length > 0)
             return {
               states: seen.size,
               violations: world.invariants.violations,
-              finalOwners: finalOwners,
-              openHandoffs: openHandoffs,
+              finalOwners,
+              openHandoffs,
             };
         }
         const fresh = successors.filter((successor) => {
@@ -107,23 +107,23 @@
       }
       queue = next;
     }
-    return { states: seen.size, violations: [], finalOwners: finalOwners, openHandoffs: openHandoffs };
+    return { states: seen.size, violations: [], finalOwners, openHandoffs };
   }
 
   private successors(state: State): State[] {
-    const { world, remaining: remaining } = state;
+    const { world, remaining } = state;
     const states: State[] = [];
     const addSuccessor = (change: (copy: World) => void, bounds: Partial<Bounds> = {}): void => {
       const copy = world.copy();
       change(copy);
       states.push({ world: copy, remaining: { ...remaining, ...bounds } });
     };
-    world.network.inFlight.forEach((mail, index) => {
+    world.network.inFlight.forEach((message, index) => {
       addSuccessor((copy) => deliver(copy, index, true));
       if (remaining.losses > 0)
         addSuccessor((copy) => deliver(copy, index, false), { losses: remaining.losses - 1 });
       if (remaining.copies > 0)
-        addSuccessor((copy) => void copy.network.inFlight.push(mail), { copies: remaining.copies - 1 });
+        addSuccessor((copy) => void copy.network.inFlight.push(message), { copies: remaining.copies - 1 });
     });
     for (const name of world.nodes.keys()) this.ownSteps(name, world, addSuccessor);
     if (mayBeSettled(world)) addSuccessor(settle);
@@ -137,7 +137,7 @@
     return states;
   }
 
-  /** What a process does by itself, where that changes anything. */
+  /** The steps that a process takes on its own, as far as they change anything. */
   private ownSteps(name: string, world: World, addSuccessor: (change: (copy: World) => void) => void): void {
     const node = world.node(name);
     const known = node.assignment.term?.number ?? 0;
@@ -152,24 +152,24 @@
 }
 
 /**
- * A request arrives, however late, and is answered at once; or its answer is lost. That a request itself is lost is no other
- * than that it never arrives. What is for a process that is over is dropped.
+ * Delivers a request, and either delivers its answer at once or drops it. A lost request needs no step of its own: it is the
+ * same as one that never arrives.
  */
 const deliver = (world: World, index: number, isAnswered: boolean): void => {
   const known = new Set(world.network.inFlight);
   world.deliver(index);
-  const isReply = (mail: Message): boolean =>
-    mail.kind === "written" ||
-    mail.kind === "offered" ||
-    mail.kind === "releaseAnswer" ||
-    mail.kind === "commandAnswer";
-  const reply = world.network.inFlight.findIndex((mail) => !known.has(mail) && isReply(mail));
+  const isReply = (message: Message): boolean =>
+    message.kind === "written" ||
+    message.kind === "offered" ||
+    message.kind === "releaseAnswer" ||
+    message.kind === "commandAnswer";
+  const reply = world.network.inFlight.findIndex((message) => !known.has(message) && isReply(message));
   if (reply < 0) return;
   if (isAnswered) world.deliver(reply);
   else world.network.inFlight.splice(reply, 1);
 };
 
-/** Whether a process would learn nothing by reading the records. */
+/** Whether reading the records would tell a process nothing new. */
 const knowsRecords = (world: World, node: Node): boolean => {
   const { assignment } = node;
   const isSame = [...world.records].every(
@@ -178,7 +178,7 @@
   return isSame && (assignment.isFresh || (assignment.term?.number ?? 0) !== world.term?.number);
 };
 
-/** Whether every process knows the term, so that nobody acts under an earlier one, and some have yet to count that in. */
+/** Whether all processes know the term, so that none acts in an earlier one, and at least one view isn't settled yet. */
 const mayBeSettled = (world: World): boolean => {
   const nodes = [...world.nodes.values()];
   const allKnow = nodes.every(({ assignment }) => assignment.term?.number === world.term?.number);
@@ -189,7 +189,7 @@
   for (const node of world.nodes.values()) node.ownerView = node.ownerView.settle();
 };
 
-/** A step of the leader. What is on its way already isn't sent again, so that the search ends. */
+/** A step of the leader. Messages that are already in flight aren't sent again, so that the search terminates. */
 const lead = (world: World, node: Node): void => {
   if (!world.mayAct(node) || node.coordinator === null) return;
   const before = new Set(world.network.inFlight.map(messageKey));
@@ -199,7 +199,7 @@
   for (const write of world.repairs(node))
     if (!world.isInFlight(node, write)) world.sendWrite(node, null, write);
   world.network.inFlight = world.network.inFlight.filter(
-    (mail, index) => index < known || !before.has(messageKey(mail)),
+    (message, index) => index < known || !before.has(messageKey(message)),
   );
   node.nextRepair = 0;
 };
@@ -210,12 +210,12 @@
   world.commandMachine(leader, "n-4");
 };
 
-/** The process ends and is back at once, in the middle of an election if it led. */
+/** The process crashes and restarts at once; a leader is elected again, but hasn't written a new term yet. */
 const crash = (world: World, name: string): void => {
   const wasLeader = world.leader?.node === name;
   world.faults.restart(name, true);
   const node = world.node(name);
-  node.fencingWindowEnd = node.leaseUntil = Infinity;
+  node.windowEnd = node.leaseUntil = Infinity;
   if (!wasLeader) return;
   world.leader = node.process;
   world.startLeading(node);
--- a/packages/shards/test/rebalancer.test.ts
+++ b/packages/shards/test/rebalancer.test.ts
@@ -1,4 +1,4 @@
-/** Which moves are proposed: none for noise, all for a drain, few at a time, always to a calmer state. */
+/** Which moves are planned: none for small differences, all shards for a drain, few at a time, always towards balance. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import fc from "fast-check";
@@ -47,7 +47,7 @@
 const home = (shard: ShardId, i: number): string =>
   shard.startsWith("west") ? "c" : i % 2 === 0 ? "a" : "b";
 
-/** The owners after the moves. */
+/** The assignment after the moves. */
 const after = (before: Assignment, moves: readonly { shard: ShardId; target: string }[]): Assignment => {
   const targets = new Map(moves.map((move) => [move.shard, move.target]));
   return owned((shard) => targets.get(shard) ?? before.ownershipOf(shard)!.owner);
@@ -85,8 +85,8 @@
 });
 
 test("what is blocked isn't proposed, and others are in its place", () => {
-  const blocked = (shard: ShardId): boolean => shard === SHARDS[0];
-  const moves = planMoves(input(owned(home), { draining: new Set(["a"]), isBlocked: blocked }));
+  const isBlocked = (shard: ShardId): boolean => shard === SHARDS[0];
+  const moves = planMoves(input(owned(home), { draining: new Set(["a"]), isBlocked }));
   assert.equal(moves.filter((move) => move.reason === "drain").length, 7);
   assert.ok(moves.every((move) => move.shard !== SHARDS[0]));
 });
@@ -98,13 +98,13 @@
     maxLength: SHARDS.length,
   });
   fc.assert(
-    fc.property(weights, owners, fc.integer({ min: 1, max: 4 }), (machines, names, most) => {
+    fc.property(weights, owners, fc.integer({ min: 1, max: 4 }), (machines, names, maxMoves) => {
       const loads = new Map(SHARDS.map((shard, i) => [shard, load(machines[i]!)]));
       let assignment = owned((_, i) => names[i]!);
       for (let round = 0; ; round++) {
-        const asked = input(assignment, { loads, maxMoves: most });
+        const asked = input(assignment, { loads, maxMoves });
         const moves = planMoves(asked);
-        assert.ok(moves.length <= most);
+        assert.ok(moves.length <= maxMoves);
         assert.deepEqual(planMoves(asked), moves);
         if (moves.length === 0) break;
         assert.ok(round < 2 * SHARDS.length, "it goes on for ever");
--- a/packages/shards/test/world.ts
+++ b/packages/shards/test/world.ts
@@ -1,6 +1,6 @@
 /**
- * A model of controllers, state service, network and workers round the real package, in virtual time. Properties are checked
- * after each step; each guard can be taken out. Worlds can be copied, for a search through all interleavings.
+ * A simulation of controllers, state service, network and workers around the real package, in virtual time. Invariants are
+ * checked after each step, and single guards can be disabled. A world can be copied, to search all interleavings.
  */
 import {
   Coordinator,
@@ -22,7 +22,7 @@
 import { type Message, type MessageBody, messageKey, Network, type Process } from "./world-network.js";
 import { Node } from "./world-nodes.js";
 
-/** What may be taken out, to show that a property then fails. */
+/** The guards that can be disabled, to show that an invariant then fails. */
 export type Guard =
   | "revision"
   | "term"
@@ -37,18 +37,18 @@
 
 const LEASE_MS = 3000;
 const FENCING_WINDOW_MS = 2000;
-const RENEW_MS = 500;
+const RENEWAL_INTERVAL_MS = 500;
 const STEP_MS = 50;
-const REPAIR_MS = 1000;
-/** A command is in doubt once it had no answer for so long. */
+const REPAIR_INTERVAL_MS = 1000;
+/** A command without an answer for this long is in doubt. */
 const COMMAND_IN_DOUBT_AFTER_MS = 200;
-/** A worker: the highest fencing token that it has seen, and whether it answers. */
+/** A worker: the highest fencing token that it has seen, and whether it has stopped answering. */
 interface ModelWorker {
   fencingToken: number;
   silent: boolean;
 }
 
-/** Controllers, state service and workers, and what they do by themselves. */
+/** The simulated cluster, and what its processes do on their own. */
 export class World {
   now = 0;
   revision = 1;
@@ -58,8 +58,8 @@
   network: Network;
   invariants = new Invariants();
   readonly faults = new Faults(this);
-  /** Whether the leader sends commands by itself. */
-  busy = true;
+  /** Whether the leader sends commands and tries moves on its own. */
+  sendsCommands = true;
   records = new Map<ShardId, StoredShard>();
   memberKeys = new Map<string, number>();
   leader: Process | null = null;
@@ -72,7 +72,7 @@
 
   constructor(
     seed: number,
-    private readonly disabledGuard: Guard | null,
+    private readonly disabled: Guard | null,
     nodes: readonly (readonly [string, string])[],
     private readonly machineZones: ReadonlyMap<string, string>,
   ) {
@@ -85,11 +85,11 @@
     }
   }
 
-  /** A copy that goes on by itself. It draws no random numbers of its own. */
+  /** An independent copy, with a network without faults and without the requested moves. */
   copy(): World {
-    const copy = new World(0, this.disabledGuard, [], this.machineZones);
-    const { now, revision, term, enabledTerm, busy, leader } = this;
-    Object.assign(copy, { now, revision, term, enabledTerm, busy, leader });
+    const copy = new World(0, this.disabled, [], this.machineZones);
+    const { now, revision, term, enabledTerm, sendsCommands, leader } = this;
+    Object.assign(copy, { now, revision, term, enabledTerm, sendsCommands, leader });
     copy.records = new Map(this.records);
     copy.memberKeys = new Map(this.memberKeys);
     copy.nodes = new Map([...this.nodes].map(([name, node]) => [name, node.copy()]));
@@ -111,7 +111,7 @@
     if (zone === undefined) throw new Error(`there is no machine ${machine}`);
     return shardOf(machine, zone);
   }
-  /** The latest process of a controller, alive or not. */
+  /** The latest process of a controller, whether alive or not. */
   node(name: string): Node {
     const node = this.nodes.get(name);
     if (node === undefined) throw new Error(`there is no controller ${name}`);
@@ -129,14 +129,14 @@
 
   // --- time ---------------------------------------------------------------------------------
 
-  /** Lets time pass, with all that processes do by themselves. */
+  /** Advances time, runs all processes and delivers messages, until an invariant is violated. */
   advance(ms: number): void {
     for (let left = ms; left > 0 && this.invariants.violations.length === 0; left -= STEP_MS) {
       this.now += STEP_MS;
       this.expireLeases();
       for (const node of this.nodes.values()) this.runNode(node);
       for (;;) {
-        const index = this.network.inFlight.findIndex((mail) => mail.due <= this.now);
+        const index = this.network.inFlight.findIndex((message) => message.due <= this.now);
         if (index < 0) break;
         this.deliver(index);
       }
@@ -167,9 +167,7 @@
     return node.alive && this.now >= node.frozenUntil && this.now >= node.stateRefusedUntil;
   }
   mayAct(node: Node): boolean {
-    return (
-      node.alive && node.isMember && (this.disabledGuard === "window" || this.now < node.fencingWindowEnd)
-    );
+    return node.alive && node.isMember && (this.disabled === "window" || this.now < node.windowEnd);
   }
 
   private runNode(node: Node): void {
@@ -186,9 +184,9 @@
   }
 
   private renewLease(node: Node): void {
-    node.nextRenew = this.now + RENEW_MS;
+    node.nextRenew = this.now + RENEWAL_INTERVAL_MS;
     node.leaseUntil = this.now + LEASE_MS;
-    node.fencingWindowEnd = this.now + FENCING_WINDOW_MS;
+    node.windowEnd = this.now + FENCING_WINDOW_MS;
     if (this.term !== null) this.learnTerm(node, this.term);
   }
 
@@ -196,12 +194,12 @@
     if ((node.assignment.term?.number ?? 0) >= term.number) return;
     node.ownerView = node.ownerView.withTerm(term);
     node.termLearnedAt = this.now;
-    if (this.disabledGuard === "settle") node.ownerView = node.ownerView.settle();
-    if (this.disabledGuard === "fresh") this.markRecordsFresh(node);
+    if (this.disabled === "settle") node.ownerView = node.ownerView.settle();
+    if (this.disabled === "fresh") this.markRecordsFresh(node);
     for (const view of node.machines.values()) view.fencingTokenStep = 0;
   }
 
-  /** Takes what was read before the term for all that there is. */
+  /** Marks the records read before the term as up to date. */
   private markRecordsFresh(node: Node): void {
     const { assignment } = node;
     node.ownerView = node.ownerView.withAssignment(
@@ -209,9 +207,9 @@
     );
   }
 
-  /** Reads all records. How long ago that was is how far behind a process is. */
+  /** Reads all records; until the next read the process knows nothing newer. */
   readRecords(node: Node): void {
-    node.nextRead = this.now + 50 + this.network.random() * (this.network.slow > 0 ? 3000 : 100);
+    node.nextRead = this.now + 50 + this.network.random() * (this.network.slowShare > 0 ? 3000 : 100);
     const rows = [...this.records].map(([shard, { revision, state }]) => ({
       shard,
       revision,
@@ -238,30 +236,27 @@
     if (this.membersChanged()) this.writeTerm(node);
     if (!this.mayAct(node) || node.coordinator === null) return;
     this.carryOut(node, node.coordinator.step(this.inputOf(node)));
-    if (this.disabledGuard !== "repair")
-      for (const write of this.repairs(node)) this.sendWrite(node, null, write);
-    if (!this.busy) return;
+    if (this.disabled !== "repair") for (const write of this.repairs(node)) this.sendWrite(node, null, write);
+    if (!this.sendsCommands) return;
     this.sendCommands(node);
     this.attemptMoves(node);
   }
 
   repairs(node: Node): readonly ShardWrite[] {
     if (this.now < node.nextRepair) return [];
-    node.nextRepair = this.now + REPAIR_MS;
-    const isTried = (shard: ShardId): boolean => node.leadingCoordinator.isMoving(shard);
-    return repairsOf(node.assignment, this.machineCounts(), isTried, 8);
+    node.nextRepair = this.now + REPAIR_INTERVAL_MS;
+    const isMoving = (shard: ShardId): boolean => node.leadingCoordinator.isMoving(shard);
+    return repairsOf(node.assignment, this.machineCounts(), isMoving, 8);
   }
 
-  /** A new leader knows no moves and no machines. */
+  /** A new leader starts without knowledge of moves and machines. */
   startLeading(node: Node): void {
-    const withoutTimeouts = { ...HANDOFF_TIMEOUTS, drainMs: 1e12, takeMs: 1e12 };
-    node.coordinator = new Coordinator(
-      this.disabledGuard === "patience" ? withoutTimeouts : HANDOFF_TIMEOUTS,
-    );
+    const noTimeouts = { ...HANDOFF_TIMEOUTS, drainMs: 1e12, takeMs: 1e12 };
+    node.coordinator = new Coordinator(this.disabled === "patience" ? noTimeouts : HANDOFF_TIMEOUTS);
     node.machines = new Map();
   }
 
-  /** Every machine of the model stands for two, so that one shard is worth a record of its own and the others aren't. */
+  /** Each machine is counted as two, so that only one shard has enough of them for repairs to give it a record. */
   private machineCounts(): Map<ShardId, number> {
     return new Map(this.shards.map((shard) => [shard, 2 * this.machinesOf(shard).length]));
   }
@@ -304,12 +299,11 @@
         : doubted !== undefined
           ? Refusal.CommandInDoubt({ machine: doubted })
           : null;
-    const fenced =
-      this.disabledGuard === "fencingToken" || (unfenced === undefined && unanswered === undefined);
+    const fenced = this.disabled === "fencingToken" || (unfenced === undefined && unanswered === undefined);
     return { machines: machines.length, obstacle, fenced, unfencedMachine: unfenced ?? unanswered ?? null };
   }
 
-  /** An operator wants a shard elsewhere. It is tried again, whoever leads, until it is there. */
+  /** An operator requests a move. Whoever leads retries it until the target owns the shard. */
   move(shard: ShardId, target: string): void {
     this.requestedMoves.set(shard, target);
   }
@@ -346,12 +340,12 @@
       }
   }
 
-  /** Questions to machines that weren't seen under their fencing token, and commands to others now and then. */
+  /** Requests heartbeats from machines that haven't shown their current fencing token, and now and then commands others. */
   private sendCommands(node: Node): void {
     for (const machine of this.machineZones.keys()) {
       const view = node.viewOf(machine);
       const fencingToken = node.fencingTokenOf(machine);
-      // a command without an answer is settled by a raised fencing token
+      // once the worker has seen a raised fencing token, an unanswered command is certainly not executed any more
       if (view.unansweredCommands.length > 0 && this.network.random() < 0.02) view.fencingTokenStep++;
       if (view.seenFencingToken < fencingToken || view.unansweredCommands.length > 0) {
         if (this.network.random() < 0.3) this.sendCommand(node, machine, null);
@@ -361,11 +355,11 @@
     }
   }
 
-  /** A start or stop, unless the shard is paused. */
+  /** Sends a start or stop unless the shard's commands are paused; returns whether it was sent. */
   commandMachine(node: Node, machine: string): boolean {
     const shard = this.shardOfMachine(machine);
     const isPaused = node.leadingCoordinator.isPaused(node.assignment, shard);
-    if (isPaused && this.disabledGuard !== "pause") return false;
+    if (isPaused && this.disabled !== "pause") return false;
     const view = node.viewOf(machine);
     view.unansweredCommands.push({ fencingToken: node.fencingTokenOf(machine), sentAt: this.now });
     const epoch = node.assignment.inForce ? (node.assignment.ownershipOf(shard)?.epoch ?? null) : null;
@@ -373,7 +367,7 @@
     return true;
   }
 
-  /** Asks the machines of a shard for heartbeats, under their present fencing tokens. */
+  /** Requests heartbeats from the machines of a shard, under their current fencing tokens. */
   requestHeartbeats(node: Node, shard: ShardId): void {
     for (const id of this.machinesOf(shard)) this.sendCommand(node, id, null);
   }
@@ -393,11 +387,12 @@
       if (!this.isInFlight(node, write)) this.sendWrite(node, null, write);
   }
 
-  /** Whether such a write, or the answer to one, is on its way. */
+  /** Whether a write of the same shard by this node, or the answer to one, is in flight. */
   isInFlight(node: Node, write: ShardWrite): boolean {
-    return this.network.inFlight.some((mail) => {
-      const by = mail.kind === "write" ? mail.from.node : mail.kind === "written" ? mail.to.node : null;
-      return by === node.name && "write" in mail && mail.write.shard === write.shard;
+    return this.network.inFlight.some((message) => {
+      const by =
+        message.kind === "write" ? message.from.node : message.kind === "written" ? message.to.node : null;
+      return by === node.name && "write" in message && message.write.shard === write.shard;
     });
   }
 
@@ -408,47 +403,48 @@
 
   // --- messages ------------------------------------------------------------------------------------------
 
-  /** The process that a message is for; null: it is over. */
+  /** The process that a message is addressed to; null if it has ended. */
   private processOf({ node, incarnation }: Process): Node | null {
     const found = this.node(node);
     return found.alive && found.incarnation === incarnation ? found : null;
   }
 
-  /** Delivers one message; one for a process that stands still waits. */
+  /** Delivers one message, or postpones it if its process is frozen. */
   deliver(index: number): void {
-    const mail = this.network.remove(index);
-    const addressee = "to" in mail ? (typeof mail.to === "string" ? mail.to : mail.to.node) : null;
+    const message = this.network.remove(index);
+    const addressee =
+      "to" in message ? (typeof message.to === "string" ? message.to : message.to.node) : null;
     const frozenUntil = addressee === null ? 0 : this.node(addressee).frozenUntil;
-    if (frozenUntil > this.now) this.network.postpone(mail, frozenUntil);
-    else this.receive(mail);
+    if (frozenUntil > this.now) this.network.postpone(message, frozenUntil);
+    else this.receive(message);
   }
 
-  private receive(mail: Message): void {
-    switch (mail.kind) {
+  private receive(msg: Message): void {
+    switch (msg.kind) {
       case "write":
-        return this.applyWrite(mail);
+        return this.applyWrite(msg);
       case "command":
-        return this.receiveCommand(mail);
+        return this.receiveCommand(msg);
       case "offer":
-        return this.receiveOffer(mail);
+        return this.receiveOffer(msg);
       case "release":
-        return this.receiveReleaseRequest(mail);
+        return this.receiveReleaseRequest(msg);
     }
-    const node = this.processOf(mail.to);
+    const node = this.processOf(msg.to);
     if (node === null) return;
     const coordinator = node.coordinator;
-    switch (mail.kind) {
+    switch (msg.kind) {
       case "written": {
         if (this.now < node.answersLostUntil) return;
-        const { write, revision, outcome } = mail;
+        const { write, revision, outcome } = msg;
         if (outcome === "written")
           node.ownerView = node.ownerView.withAssignment(
             node.assignment.withOwnWrite(write.shard, { revision, state: write.state }),
           );
-        if (coordinator !== null && mail.id !== null)
+        if (coordinator !== null && msg.id !== null)
           this.carryOut(
             node,
-            coordinator.writeAnswered(write.shard, mail.id, write, outcome, this.inputOf(node)),
+            coordinator.onWriteOutcome(write.shard, msg.id, write, outcome, this.inputOf(node)),
           );
         return;
       }
@@ -456,22 +452,22 @@
         if (coordinator !== null)
           this.carryOut(
             node,
-            coordinator.offerAnswered(mail.offer.shard, mail.offer.id, mail.answer, this.inputOf(node)),
+            coordinator.onOfferAnswer(msg.offer.shard, msg.offer.id, msg.answer, this.inputOf(node)),
           );
         return;
       case "releaseAnswer":
         if (coordinator !== null)
           this.carryOut(
             node,
-            coordinator.releaseAnswered(mail.request.shard, mail.request.id, mail.answer, this.inputOf(node)),
+            coordinator.onReleaseAnswer(msg.request.shard, msg.request.id, msg.answer, this.inputOf(node)),
           );
         return;
       case "commandAnswer": {
-        const view = node.viewOf(mail.machine);
-        view.seenFencingToken = Math.max(view.seenFencingToken, mail.seenFencingToken);
+        const view = node.viewOf(msg.machine);
+        view.seenFencingToken = Math.max(view.seenFencingToken, msg.seenFencingToken);
         view.unansweredCommands = view.unansweredCommands.filter(
           ({ fencingToken, sentAt }) =>
-            !(mail.isCommand && sentAt === mail.sentAt) && fencingToken >= view.seenFencingToken,
+            !(msg.isCommand && sentAt === msg.sentAt) && fencingToken >= view.seenFencingToken,
         );
       }
     }
@@ -480,8 +476,8 @@
   private applyWrite({ from, id, write }: Extract<Message, { kind: "write" }>): void {
     const before = this.records.get(write.shard);
     const isCarriedOut =
-      (this.disabledGuard === "revision" || (before?.revision ?? 0) === write.revision) &&
-      (this.disabledGuard === "term" || this.term?.revision === write.termRevision);
+      (this.disabled === "revision" || (before?.revision ?? 0) === write.revision) &&
+      (this.disabled === "term" || this.term?.revision === write.termRevision);
     if (isCarriedOut) {
       this.records.set(write.shard, { revision: ++this.revision, state: write.state });
       this.invariants.recordWrite(write, before);
@@ -501,22 +497,23 @@
   private receiveReleaseRequest({ from, to, request }: Extract<Message, { kind: "release" }>): void {
     const node = this.node(to);
     if (!node.alive) return;
-    const step = node.ownerView.answerRelease(request);
-    const answer = "refusal" in step ? step.refusal : null;
-    if ("write" in step && this.reachesState(node)) {
-      if (this.disabledGuard !== "releasing") node.ownerView = node.ownerView.releaseSent(step.write);
-      this.sendWrite(node, null, step.write);
+    const transition = node.ownerView.answerRelease(request);
+    const answer = "refusal" in transition ? transition.refusal : null;
+    if ("write" in transition && this.reachesState(node)) {
+      if (this.disabled !== "releasing") node.ownerView = node.ownerView.markReleaseSent(transition.write);
+      this.sendWrite(node, null, transition.write);
     }
     this.send({ kind: "releaseAnswer", to: from, request, answer });
   }
 
-  private receiveCommand(mail: Extract<Message, { kind: "command" }>): void {
-    const worker = this.worker(mail.machine);
+  private receiveCommand(message: Extract<Message, { kind: "command" }>): void {
+    const worker = this.worker(message.machine);
     if (worker.silent) return;
-    const accepted = mail.fencingToken >= worker.fencingToken;
-    worker.fencingToken = Math.max(worker.fencingToken, mail.fencingToken);
-    if (accepted && mail.epoch !== null) this.commandExecuted(mail.machine, mail.term, mail.epoch);
-    const { from: to, machine, isCommand, sentAt } = mail;
+    const accepted = message.fencingToken >= worker.fencingToken;
+    worker.fencingToken = Math.max(worker.fencingToken, message.fencingToken);
+    if (accepted && message.epoch !== null)
+      this.commandExecuted(message.machine, message.term, message.epoch);
+    const { from: to, machine, isCommand, sentAt } = message;
     this.send({
       kind: "commandAnswer",
       to,
@@ -527,12 +524,12 @@
     });
   }
 
-  /** No more moves are wanted. */
+  /** Drops all requested moves. */
   clearRequestedMoves(): void {
     this.requestedMoves.clear();
   }
 
-  /** The state as text, without the times of messages. */
+  /** The state as text, without the arrival times of messages. */
   stateKey(): string {
     const { now, records, term, enabledTerm, memberKeys, leader } = this;
     const nodes = [...this.nodes.values()].map((node) => [
@@ -543,7 +540,7 @@
       node.coordinator?.stateKey() ?? null,
       [...node.machines],
     ]);
-    const mail = this.network.inFlight.map(messageKey).sort();
+    const messages = this.network.inFlight.map(messageKey).sort();
     return JSON.stringify([
       now,
       [...records],
@@ -553,11 +550,11 @@
       leader,
       nodes,
       [...this.workers],
-      mail,
+      messages,
     ]);
   }
 
-  // --- properties ----------------------------------------------------------------------------------------
+  // --- invariants ----------------------------------------------------------------------------------------
 
   private commandExecuted(machine: string, term: number, epoch: number): void {
     const shard = this.shardOfMachine(machine);
@@ -569,7 +566,7 @@
     );
   }
 
-  /** Checks what holds after each step. */
+  /** Checks the invariants that hold after each step. */
   check(): void {
     this.invariants.check(
       this.shards,
@@ -580,7 +577,7 @@
     );
   }
 
-  /** What is left of handoffs; empty: every one has ended. */
+  /** Handoffs and moves still in progress, and shards without exactly one owner; empty once all handoffs have ended. */
   unfinished(): string[] {
     const open = [...this.records].filter(([, { state }]) => state._tag !== "Owned").map(([shard]) => shard);
     const leading = this.leader === null ? null : this.node(this.leader.node);
@@ -593,8 +590,8 @@
     });
     return [
       ...open.map((shard) => `${shard} is in a handoff`),
-      ...(tried > 0 ? [`${tried} moves are tried`] : []),
-      ...unowned.map((shard) => `${shard} has no ownerView`),
+      ...(tried > 0 ? [`${tried} moves are in progress`] : []),
+      ...unowned.map((shard) => `${shard} doesn't have exactly one owner`),
     ];
   }
 }
--- a/src/io/state-client.ts
+++ b/src/io/state-client.ts
@@ -1,45 +1,39 @@
-/** The state service. Says whether a change was refused, was not carried out, or may be carried out yet. */
+/** Client of the state service. Its failures tell whether a request may have been executed. */
 import type http from "node:http";
 import * as Duration from "effect/Duration";
 import * as Effect from "effect/Effect";
 import type { Instant } from "../core/time.js";
-import { type Call, call, type CallFailed, parseJson, makeKeepAliveAgent, type Reply } from "./call.js";
+import { type Call, call, type CallFailed, makeKeepAliveAgent, parseJson, type Reply } from "./call.js";
 import { now } from "./clock.js";
-import { type Change, type Condition, type Row, stateServiceApi as wire, type WatchEvent } from "./codec.js";
-import { rateLimited, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
+import { type Change, type Condition, type Row, stateServiceApi, type WatchEvent } from "./codec.js";
+import { rateLimitedError, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
 import { type RateLimits, StatePacer, type Urgency } from "./state-pacer.js";
 
-export {
-  isRateLimited as isOverTheRate,
-  type StateError,
-  TooOld,
-  Unanswered,
-  Unavailable,
-} from "./state-errors.js";
+export { isRateLimited, type StateError, TooOld, Unanswered, Unavailable } from "./state-errors.js";
 export type { Urgency } from "./state-pacer.js";
 
 /**
- * What became of a transaction. `false`: the keys `parseFailedKeys` haven't the revision of their condition. `null`: the service
- * refuses it as it is, without having compared anything, and would refuse it again.
+ * The result of a transaction. `ok` true: committed; false: the conditions on the keys `failed` don't hold; null: the
+ * service considers the request invalid and didn't check its conditions, so a retry would be refused as well.
  */
 export type CommitResult =
   | { readonly ok: true; readonly revision: number }
   | { readonly ok: false; readonly failed: readonly string[] }
   | { readonly ok: null; readonly error: string };
 
-/** Keys with a prefix, and the revision from which a watch misses no change of them. */
+/** All keys with a prefix; a watch from `revision` reports every change after this listing. */
 export interface Listing {
   readonly rows: Row[];
   readonly revision: number;
 }
 
-/** Changes in their order, and the revision to watch from next. */
+/** Changes in order, and the revision to watch from next. */
 export interface WatchedEvents {
   readonly revision: number;
   readonly events: WatchEvent[];
 }
 
-/** A request, and how it keeps to this node's share of the rates. */
+/** A request, and how it is paced. */
 interface StateRequest extends Pick<Call, "method" | "path" | "body"> {
   readonly urgency?: Urgency;
   readonly changeCount?: number;
@@ -50,21 +44,21 @@
 
 const REQUEST_TIMEOUT = Duration.seconds(1.5);
 const LIST_TIMEOUT = Duration.seconds(3);
-/** How much later than its end the answer to a watch may come. */
+/** How long after the end of its wait the response to a watch may arrive. */
 const WATCH_GRACE = Duration.seconds(3);
-const MAX_ERROR_LENGTH = 200;
+const MAX_ERROR_CHARS = 200;
 
-const unexpected = (reply: Reply): Unavailable => new Unavailable({ why: `status ${reply.status}` });
+const unexpectedStatus = (reply: Reply): Unavailable => new Unavailable({ reason: `status ${reply.status}` });
 
-/** Requests are `first` in urgency unless they say otherwise; see `Urgency`. None is repeated. */
+/** The default urgency of requests is `first`; see `Urgency`. No request is retried. */
 export class StateClient {
-  /** Since when requests fail; null: the last one got an answer other than 503. */
+  /** When requests began to fail; null if the last response had a status other than 503. */
   failingSince: Instant | null = null;
   private readonly agent: http.Agent = makeKeepAliveAgent(24);
   private readonly watchAgent: http.Agent = makeKeepAliveAgent(4);
   private readonly pacer: StatePacer;
 
-  /** `limits` are those of all nodes together. */
+  /** `limits` apply to all nodes together. */
   constructor(
     private readonly addr: string,
     limits: RateLimits,
@@ -73,38 +67,38 @@
     this.pacer = new StatePacer(limits, nodes);
   }
 
-  /** Whether this node leads: the leader's share of the rates is larger. */
+  /** Adjusts this node's share of the rates to whether it leads. */
   setLeading(leading: boolean): void {
     this.pacer.setLeading(leading);
   }
 
-  /** A key as it is now; null: it doesn't exist. */
+  /** Reads a key; null if it doesn't exist. */
   get(
     key: string,
     urgency: Urgency = "first",
     maxWait?: Duration.Duration,
   ): Effect.Effect<Row | null, StateError> {
-    return this.send({ method: "GET", path: wire.keyPath(key), urgency, maxWait: maxWait }).pipe(
+    return this.send({ method: "GET", path: stateServiceApi.keyPath(key), urgency, maxWait }).pipe(
       Effect.flatMap((reply) => {
-        if (reply.status === 200) return Effect.succeed(wire.parseRow(parseJson(reply)));
-        return reply.status === 404 ? Effect.succeed(null) : Effect.fail(unexpected(reply));
+        if (reply.status === 200) return Effect.succeed(stateServiceApi.parseRow(parseJson(reply)));
+        return reply.status === 404 ? Effect.succeed(null) : Effect.fail(unexpectedStatus(reply));
       }),
     );
   }
 
-  /** Every key with the prefix, and the revision from which a watch misses nothing. */
+  /** Lists all keys with the prefix. */
   list(prefix: string): Effect.Effect<Listing, StateError> {
     const page = (
       from: string | null,
       rows: Row[],
       revision: number | null,
     ): Effect.Effect<Listing, StateError> =>
-      this.send({ method: "GET", path: wire.listPath(prefix, from), timeout: LIST_TIMEOUT }).pipe(
+      this.send({ method: "GET", path: stateServiceApi.listPath(prefix, from), timeout: LIST_TIMEOUT }).pipe(
         Effect.flatMap((reply) => {
-          if (reply.status !== 200) return Effect.fail(unexpected(reply));
-          const listed = wire.parseRows(parseJson(reply));
+          if (reply.status !== 200) return Effect.fail(unexpectedStatus(reply));
+          const listed = stateServiceApi.parseRows(parseJson(reply));
           rows.push(...listed.rows);
-          // a watch from the first page's revision tells what changed while the others were read
+          // a watch from the first page's revision also reports what changed while the other pages were read
           const first = revision ?? listed.revision;
           const last = listed.rows.at(-1);
           return listed.more && last !== undefined
@@ -115,73 +109,84 @@
     return page(null, [], null);
   }
 
-  /** Compare-and-swap of all keys at once. Fails as `Unanswered` where it may have been carried out, or may be yet. */
+  /** Applies all operations atomically if all conditions hold. Fails with `Unanswered` if it may have been executed. */
   commit(
     conditions: readonly Condition[],
     operations: readonly Change[],
     urgency: Urgency = "first",
     maxWait?: Duration.Duration,
   ): Effect.Effect<CommitResult, StateError> {
-    const body = wire.commitBody(conditions, operations);
+    const body = stateServiceApi.commitBody(conditions, operations);
     const changeCount = operations.length;
     return this.send({
       method: "POST",
-      path: wire.commitPath,
+      path: stateServiceApi.commitPath,
       body,
       urgency,
-      changeCount: changeCount,
-      maxWait: maxWait,
+      changeCount,
+      maxWait,
     }).pipe(
       Effect.flatMap((reply): Effect.Effect<CommitResult, StateError> => {
         const value = parseJson(reply);
-        if (reply.status === 200) return Effect.succeed({ ok: true, revision: wire.revision(value) });
-        if (reply.status === 409) return Effect.succeed({ ok: false, failed: wire.parseFailedKeys(value) });
+        if (reply.status === 200)
+          return Effect.succeed({ ok: true, revision: stateServiceApi.parseRevision(value) });
+        if (reply.status === 409)
+          return Effect.succeed({ ok: false, failed: stateServiceApi.parseFailedKeys(value) });
         if (reply.status === 400)
-          return Effect.succeed({ ok: null, error: reply.body.toString("utf8").slice(0, MAX_ERROR_LENGTH) });
-        return Effect.fail(new Unanswered({ why: `status ${reply.status}` }));
+          return Effect.succeed({ ok: null, error: reply.body.toString("utf8").slice(0, MAX_ERROR_CHARS) });
+        return Effect.fail(new Unanswered({ reason: `status ${reply.status}` }));
       }),
     );
   }
 
-  /** A new lease, which ends unless it is extended in time; gives its id. */
+  /** Creates a lease, which expires unless it is renewed in time; returns its id. */
   grantLease(ttl: Duration.Duration): Effect.Effect<number, StateError> {
-    return this.send({ method: "POST", path: wire.leasesPath, body: wire.leaseBody(ttl) }).pipe(
+    return this.send({
+      method: "POST",
+      path: stateServiceApi.leasesPath,
+      body: stateServiceApi.leaseBody(ttl),
+    }).pipe(
       Effect.flatMap((reply) =>
         reply.status === 200
-          ? Effect.succeed(wire.parseLeaseId(parseJson(reply)))
-          : Effect.fail(unexpected(reply)),
+          ? Effect.succeed(stateServiceApi.parseLeaseId(parseJson(reply)))
+          : Effect.fail(unexpectedStatus(reply)),
       ),
     );
   }
 
-  /** Renews a lease for its whole time; false: it has ended. */
+  /** Renews a lease for its full time to live; false if it has expired. */
   renewLease(leaseId: number, timeout: Duration.Duration): Effect.Effect<boolean, StateError> {
-    return this.send({ method: "POST", path: wire.leaseRenewalPath(leaseId), body: "{}", timeout }).pipe(
+    return this.send({
+      method: "POST",
+      path: stateServiceApi.leaseRenewalPath(leaseId),
+      body: "{}",
+      timeout,
+    }).pipe(
       Effect.flatMap((reply) => {
         if (reply.status === 200) return Effect.succeed(true);
-        return reply.status === 404 ? Effect.succeed(false) : Effect.fail(unexpected(reply));
+        return reply.status === 404 ? Effect.succeed(false) : Effect.fail(unexpectedStatus(reply));
       }),
     );
   }
 
-  /** Ends a lease at once, and with it the keys that are attached to it. */
+  /** Ends a lease and deletes the keys attached to it. */
   revokeLease(leaseId: number): Effect.Effect<void, StateError> {
-    return Effect.asVoid(this.send({ method: "DELETE", path: wire.leasePath(leaseId) }));
+    return Effect.asVoid(this.send({ method: "DELETE", path: stateServiceApi.leasePath(leaseId) }));
   }
 
-  /** Waits until a key with the prefix has changed after the revision, or `wait` is over. */
+  /** Waits up to `wait` for changes after the revision `from` to keys with the prefix. */
   watch(
     prefix: string,
     from: number,
     wait: Duration.Duration,
   ): Effect.Effect<WatchedEvents, StateError | TooOld> {
-    const path = wire.watchPath(prefix, from, Duration.toMillis(wait));
+    const path = stateServiceApi.watchPath(prefix, from, Duration.toMillis(wait));
     const timeout = Duration.sum(wait, WATCH_GRACE);
     return this.send({ method: "GET", path, timeout, agent: this.watchAgent }).pipe(
       Effect.flatMap((reply): Effect.Effect<WatchedEvents, StateError | TooOld> => {
         if (reply.status === 410) return Effect.fail(new TooOld());
-        if (reply.status !== 200) return Effect.fail(unexpected(reply));
-        return Effect.succeed(wire.parseEvents(parseJson(reply)));
+        if (reply.status !== 200) return Effect.fail(unexpectedStatus(reply));
+        return Effect.succeed(stateServiceApi.parseEvents(parseJson(reply)));
       }),
     );
   }
@@ -189,10 +194,10 @@
   private send(request: StateRequest): Effect.Effect<Reply, StateError> {
     const {
       urgency = "first",
-      changeCount: changeCount = 0,
+      changeCount = 0,
       timeout = REQUEST_TIMEOUT,
       agent = this.agent,
-      maxWait: maxWait,
+      maxWait,
     } = request;
     const { method, path, body } = request;
     const response = call(agent, {
@@ -200,25 +205,27 @@
       ...(body === undefined ? {} : { body }),
     });
     return Effect.zipRight(
-      this.pacer.admit({ urgency, changeCount: changeCount, maxWait: maxWait }),
-      Effect.mapError(response, (failed) => this.callFailed(failed)),
+      this.pacer.admit({ urgency, changeCount, maxWait }),
+      Effect.mapError(response, (failed) => this.toStateError(failed)),
     ).pipe(Effect.flatMap((reply) => this.checkStatus(reply)));
   }
 
-  private callFailed(failed: CallFailed): StateError {
+  private toStateError(failed: CallFailed): StateError {
     this.failingSince ??= now();
-    return failed.sent ? new Unanswered({ why: failed.why }) : new Unavailable({ why: failed.why });
+    return failed.sent
+      ? new Unanswered({ reason: failed.reason })
+      : new Unavailable({ reason: failed.reason });
   }
 
-  /** What is the same for all requests: 503 and 429 say that nothing was carried out. */
+  /** Handles the statuses that mean the same for all requests: with 503 or 429 nothing was executed. */
   private checkStatus(reply: Reply): Effect.Effect<Reply, StateError> {
     if (reply.status === 503) {
       this.failingSince ??= now();
-      return Effect.fail(new Unavailable({ why: "503" }));
+      return Effect.fail(new Unavailable({ reason: "503" }));
     }
     this.failingSince = null;
     if (reply.status !== 429) return Effect.succeed(reply);
     this.pacer.onRateLimited();
-    return Effect.fail(rateLimited());
+    return Effect.fail(rateLimitedError());
   }
 }
--- a/src/service/api/dependent-submissions.ts
+++ b/src/service/api/dependent-submissions.ts
@@ -21,7 +21,7 @@
   type Submission,
 } from "../../io/codec.js";
 import type { Log } from "../../io/log.js";
-import { isOverTheRate, type StateClient, type StateError } from "../../io/state-client.js";
+import { isRateLimited, type StateClient, type StateError } from "../../io/state-client.js";
 import type { JobCache } from "../job-cache.js";
 import { type Answer, answer, refusal, retryLater } from "./answers.js";
 import type { JobStatusReader } from "./job-status.js";
@@ -77,9 +77,9 @@
   /** Accepts the job, unless it was accepted before or depends on a job that was never accepted. */
   accept(submission: Submission): Effect.Effect<Answer, StatusQueryFailure> {
     return Effect.catchAll(this.tryToAccept(submission), (error) => {
-      const retryAnswer = retryLater(error.why);
+      const retryAnswer = retryLater(error.reason);
       // if the state service's rate is exceeded, a status query would only delay the answer
-      if (error._tag !== "TooManyQueries" && isOverTheRate(error)) return Effect.succeed(retryAnswer);
+      if (error._tag !== "TooManyQueries" && isRateLimited(error)) return Effect.succeed(retryAnswer);
       // a repeated submission of an accepted job gets its answer even if a parent's record can't be read
       return this.statusQueries.refuseUnlessAccepted(submission.spec.id, retryAnswer);
     });
--- a/src/service/api/job-record-reader.ts
+++ b/src/service/api/job-record-reader.ts
@@ -17,7 +17,7 @@
 }
 
 const unreadableRecord = (id: string): Unavailable =>
-  new Unavailable({ why: `the record of ${id} can't be read` });
+  new Unavailable({ reason: `the record of ${id} can't be read` });
 
 /** Reads job records, and caches what it finds. */
 export class JobRecordReader {
--- a/src/service/api/status-query-batcher.ts
+++ b/src/service/api/status-query-batcher.ts
@@ -55,7 +55,7 @@
   /** The status, at some moment after the call, of a job whose outcome isn't known here. */
   statusOf(id: string): Effect.Effect<JobStatus, StateError | TooManyQueries> {
     return Effect.gen(this, function* () {
-      if (this.queued.length >= MAX_QUEUED_QUERIES) return yield* new TooManyQueries({ why: "busy" });
+      if (this.queued.length >= MAX_QUEUED_QUERIES) return yield* new TooManyQueries({ reason: "busy" });
       const answer = yield* Deferred.make<JobStatus, StateError>();
       const isUnfinished = this.jobCache.isUnfinished(id);
       this.queued.push({
--- a/src/service/leader/job-committer.ts
+++ b/src/service/leader/job-committer.ts
@@ -66,7 +66,7 @@
 
   private handleFailure(id: string, error: StateError): Effect.Effect<void> {
     return Effect.gen(this, function* () {
-      this.context.services.log.info({ job: id, reason: error.why }, "commit of the job failed, retrying");
+      this.context.services.log.info({ job: id, reason: error.reason }, "commit of the job failed, retrying");
       yield* Effect.sleep(RETRY_PAUSE);
       this.context.schedulerLock?.with((scheduler) => scheduler.commitFailed(id));
       this.context.stepRequested.notify();
--- a/src/service/leader/job-releaser.ts
+++ b/src/service/leader/job-releaser.ts
@@ -114,7 +114,7 @@
       Effect.catchAll((error) =>
         Effect.sync(() => {
           this.failedChecks.add(id);
-          this.log.debug({ job: id, reason: error.why }, "check of a blocked job failed, retrying");
+          this.log.debug({ job: id, reason: error.reason }, "check of a blocked job failed, retrying");
         }),
       ),
     );
--- a/src/service/leader/leader.ts
+++ b/src/service/leader/leader.ts
@@ -145,7 +145,7 @@
       Effect.catchAll((error) =>
         Effect.zipRight(
           Effect.sync(() =>
-            log.info({ reason: error.why }, "leader loop: state service request failed, retrying"),
+            log.info({ reason: error.reason }, "leader loop: state service request failed, retrying"),
           ),
           Effect.sleep(RETRY_PAUSE),
         ),
--- a/src/service/shards/shard-view.ts
+++ b/src/service/shards/shard-view.ts
@@ -86,7 +86,7 @@
 
   /** Notes that a release is about to be sent: from now on this controller doesn't count the shard as its own. */
   markReleaseSent(write: ShardWrite): void {
-    this.current = this.current.releaseSent(write);
+    this.current = this.current.markReleaseSent(write);
   }
 
   /** Takes in a record that this process has written. */
