--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -26,7 +26,7 @@
   parseSubmission,
   stateServiceApi,
 } from "../src/io/codec.js";
-import { MachineRecordStore, opsOf, type RewriteLimits } from "../src/service/leader/machine-record-store.js";
+import { MachineRecordStore, opsOf } from "../src/service/leader/machine-record-store.js";
 import { encodeLeader, encodeMember, encodeTerm } from "../src/io/record-codec.js";
 import { fromFragments, fragmentLimits, toFragments } from "../src/service/members/update-relay.js";
 import { maxRangeRecordBytes } from "../src/service/members/member.js";
@@ -308,11 +308,7 @@
     ][seed % 3]!;
     let names = 0;
     const newKey = (): string => `machines/1-${++names}`;
-    const room: RewriteLimits = {
-      valueBytes: maxValueBytes(limits.valueKb),
-      txnBytes: MAX_TXN_BYTES,
-      newKey,
-    };
+    const room = { valueBytes: maxValueBytes(limits.valueKb), txnBytes: MAX_TXN_BYTES, newKey };
     /** The failed conditions; none: it was carried out. */
     const apply = (t: Txn): string[] => {
       const failed = t.absent.filter((key) => store.has(key));
