--- a/packages/shards/test/world-nodes.ts
+++ b/packages/shards/test/world-nodes.ts
@@ -45,7 +45,10 @@
     const copy = Object.assign(new Node(this.name, this.zone), this);
     copy.coordinator = this.coordinator?.copy() ?? null;
     copy.machines = new Map(
-      [...this.machines].map(([id, view]) => [id, { ...view, outstanding: [...view.unansweredCommands] }]),
+      [...this.machines].map(([id, view]) => [
+        id,
+        { ...view, unansweredCommands: [...view.unansweredCommands] },
+      ]),
     );
     return copy;
   }
