--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -4,42 +4,42 @@
 import { TaskStarter } from "../src/core/placement/task-starter.js";
 import { attemptNumberOf, ATTEMPTS_PER_TERM } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
-import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { ClusterFixture, EAST_MACHINES } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
-const termOf = (number: number) => ({ number: number, leaderRevision: 10, leader: "a", members: [] });
+const termWithNumber = (number: number) => ({ number, leaderRevision: 10, leader: "a", members: [] });
 
 test("no attempt number of a term is one of the next term's", () => {
   assert.ok(attemptNumberOf(1, ATTEMPTS_PER_TERM) < attemptNumberOf(2, 1));
 });
 
 test("numbers begin anew with each term, and before they are used up a new term is asked for and nothing is started", () => {
-  const scope = { term: termOf(7) } as unknown as ConstructorParameters<typeof TaskStarter>[0];
+  const scope = { term: termWithNumber(7) } as unknown as ConstructorParameters<typeof TaskStarter>[0];
   const starter = new TaskStarter(scope);
   assert.equal(starter.nextAttempt(), attemptNumberOf(7, 1));
   assert.equal(starter.needsNewTerm, false);
-  let last = 0;
-  while (starter.startsLeft > 0) last = starter.nextAttempt();
+  let lastAttempt = 0;
+  while (starter.startsLeft > 0) lastAttempt = starter.nextAttempt();
   assert.equal(starter.needsNewTerm, true);
-  assert.ok(last < attemptNumberOf(8, 1));
-  scope.term = termOf(8);
+  assert.ok(lastAttempt < attemptNumberOf(8, 1));
+  scope.term = termWithNumber(8);
   assert.equal(starter.needsNewTerm, false);
   assert.ok(starter.startsLeft > 0);
   assert.equal(starter.nextAttempt(), attemptNumberOf(8, 1));
 });
 
 test("a leader whose numbers run out asks for a new term, and goes on under it", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.step();
   assert.equal(fixture.scheduler.needsNewTerm, false);
   const { nextAttempt } = TaskStarter.prototype;
-  const numbers: number[] = [];
+  const attemptNumbers: number[] = [];
   TaskStarter.prototype.nextAttempt = function (this: TaskStarter) {
     // as after so many starts
-    if (numbers.length === 0) for (let i = 0; i < 950_000; i++) nextAttempt.call(this);
-    numbers.push(nextAttempt.call(this));
-    return present(numbers.at(-1));
+    if (attemptNumbers.length === 0) for (let i = 0; i < 950_000; i++) nextAttempt.call(this);
+    attemptNumbers.push(nextAttempt.call(this));
+    return present(attemptNumbers.at(-1));
   };
   try {
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
@@ -49,8 +49,8 @@
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 1 }), 21, instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
     assert.equal(fixture.scheduler.needsNewTerm, false);
-    assert.equal(numbers.at(-1), attemptNumberOf(2, 1));
-    assert.equal(new Set(numbers).size, 2);
+    assert.equal(attemptNumbers.at(-1), attemptNumberOf(2, 1));
+    assert.equal(new Set(attemptNumbers).size, 2);
   } finally {
     TaskStarter.prototype.nextAttempt = nextAttempt;
   }
--- a/test/call.test.ts
+++ b/test/call.test.ts
@@ -10,12 +10,14 @@
 const TIMEOUT = Duration.millis(50);
 
 /** Keeps this process busy until long after the timeout, while the kernel goes on. */
-const standStill = (): void => {
+const blockEventLoop = (): void => {
   const until = performance.now() + 4 * Duration.toMillis(TIMEOUT);
   while (performance.now() < until);
 };
 
-const withServer = async (use: (addr: string, taken: () => number) => Promise<void>): Promise<void> => {
+const withServer = async (
+  use: (addr: string, requestCount: () => number) => Promise<void>,
+): Promise<void> => {
   let taken = 0;
   const server = http.createServer((request, response) => {
     taken++;
@@ -39,7 +41,7 @@
   await withServer(async (addr, taken) => {
     const result = post(addr, TIMEOUT);
     // the connection is asked for in the next tick, and stands while this process doesn't run
-    process.nextTick(() => process.nextTick(standStill));
+    process.nextTick(() => process.nextTick(blockEventLoop));
     assert.equal(await result, "timeout, not sent");
     await new Promise((resolve) => setTimeout(resolve, 2 * Duration.toMillis(TIMEOUT)));
     assert.equal(taken(), 0);
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -10,9 +10,9 @@
 
 const MAIN = new URL("../../main.js", import.meta.url).pathname;
 const ROOT = new URL("../../../", import.meta.url).pathname;
-const run = (...args: string[]) => spawnSync(process.execPath, [MAIN, ...args], { encoding: "utf8" });
+const runCli = (...args: string[]) => spawnSync(process.execPath, [MAIN, ...args], { encoding: "utf8" });
 const dir = mkdtempSync(join(tmpdir(), "indigowick-"));
-const file = (name: string, value: unknown): string => {
+const writeTempFile = (name: string, value: unknown): string => {
   const path = join(dir, name);
   writeFileSync(path, typeof value === "string" ? value : JSON.stringify(value));
   return path;
@@ -35,19 +35,19 @@
 };
 
 test("good files are checked and accepted", () => {
-  const result = run(
+  const result = runCli(
     "check",
     "--config",
-    file("good.json", platform),
+    writeTempFile("good.json", platform),
     "--settings",
-    file("own.json", { idle_boots: 1 }),
+    writeTempFile("own.json", { idle_boots: 1 }),
   );
   assert.equal(result.status, 0, result.stderr);
   assert.match(result.stdout, /^ok: one in east/);
 });
 
 test("shards and the operators' socket are off by default, and deploy/shards.json turns both on", () => {
-  const load = (settings?: string) => loadSettings(file("shards.json", platform), settings).operator;
+  const load = (settings?: string) => loadSettings(writeTempFile("shards.json", platform), settings).operator;
   assert.deepEqual(load().shards, {
     enabled: false,
     maxConcurrentMoves: 2,
@@ -62,15 +62,15 @@
 test("limits to come: each may be missing or null, and sizes hold at both", () => {
   const load = (next: unknown) =>
     loadSettings(
-      file("next.json", {
+      writeTempFile("next.json", {
         ...platform,
         params: { ...platform.params, state: { ...platform.params.state, next } },
       }),
       undefined,
     ).stateLimits;
   const today = { rps: 10, writeRps: 10, next: { rps: 10, writeRps: 10 }, valueKb: 16, txnOps: 16 };
-  for (const nothing of [undefined, null, {}, { value_kb: null, txn_ops: null, rps: null, write_rps: null }])
-    assert.deepEqual(load(nothing), today);
+  for (const absent of [undefined, null, {}, { value_kb: null, txn_ops: null, rps: null, write_rps: null }])
+    assert.deepEqual(load(absent), today);
   assert.deepEqual(load({ value_kb: 2 }), { ...today, valueKb: 2 });
   assert.deepEqual(load({ write_rps: 6, txn_ops: 5 }), {
     ...today,
@@ -86,10 +86,10 @@
 test("a bad file ends with one line that names the field, and code 2", () => {
   const bad: [string, string[], RegExp][] = [
     ["missing", ["check", "--config", join(dir, "nothing.json")], /nothing\.json: can't be read/],
-    ["not JSON", ["check", "--config", file("text.json", "{")], /text\.json: not JSON/],
+    ["not JSON", ["check", "--config", writeTempFile("text.json", "{")], /text\.json: not JSON/],
     [
       "a field",
-      ["check", "--config", file("a.json", { ...platform, front: 7 })],
+      ["check", "--config", writeTempFile("a.json", { ...platform, front: 7 })],
       /a\.json: front must be string/,
     ],
     [
@@ -97,13 +97,19 @@
       [
         "check",
         "--config",
-        file("b.json", { ...platform, params: { ...platform.params, state: { rps: 0 } } }),
+        writeTempFile("b.json", { ...platform, params: { ...platform.params, state: { rps: 0 } } }),
       ],
       /b\.json: params\.state/,
     ],
     [
       "an unknown setting",
-      ["check", "--config", file("c.json", platform), "--settings", file("d.json", { idel_s: 5 })],
+      [
+        "check",
+        "--config",
+        writeTempFile("c.json", platform),
+        "--settings",
+        writeTempFile("d.json", { idel_s: 5 }),
+      ],
       /d\.json: .*idel_s/,
     ],
     ...[
@@ -113,15 +119,21 @@
       [{ shards: { enabeld: true } }, /shards .*enabeld/],
       [{ operators_socket: "10.0.0.1:7070" }, /operators_socket must match/],
       [{ operators_socket: "0.0.0.0:7070" }, /operators_socket must match/],
-    ].map(([own, expected], i): [string, string[], RegExp] => [
+    ].map(([ownSettings, expected], i): [string, string[], RegExp] => [
       `shards ${i}`,
-      ["check", "--config", file("c.json", platform), "--settings", file(`shards-${i}.json`, own)],
+      [
+        "check",
+        "--config",
+        writeTempFile("c.json", platform),
+        "--settings",
+        writeTempFile(`shards-${i}.json`, ownSettings),
+      ],
       expected as RegExp,
     ]),
-    ["run as well", ["--config", file("e.json", {})], /e\.json: /],
+    ["run as well", ["--config", writeTempFile("e.json", {})], /e\.json: /],
   ];
   for (const [name, args, expected] of bad) {
-    const result = run(...args);
+    const result = runCli(...args);
     assert.equal(result.status, 2, name);
     assert.match(result.stderr, expected, name);
     assert.equal(result.stderr.trim().split("\n").length, 1, name);
@@ -129,12 +141,12 @@
 });
 
 test("a controller whose operators' socket is taken runs on without it", async () => {
-  const taken = createServer().listen(0, "127.0.0.1");
-  await new Promise((done) => taken.once("listening", done));
-  const { port } = taken.address() as AddressInfo;
-  const own = file("taken.json", { operators_socket: `127.0.0.1:${port}` });
+  const portHolder = createServer().listen(0, "127.0.0.1");
+  await new Promise((done) => portHolder.once("listening", done));
+  const { port } = portHolder.address() as AddressInfo;
+  const own = writeTempFile("taken.json", { operators_socket: `127.0.0.1:${port}` });
   const addresses = { front: `127.0.0.1:${await freePort()}`, peer_bind: `127.0.0.1:${await freePort()}` };
-  const config = file("socket.json", { ...platform, ...addresses });
+  const config = writeTempFile("socket.json", { ...platform, ...addresses });
   const child = spawn(process.execPath, [MAIN, "--config", config, "--settings", own], {
     env: { ...process.env, LOG_LEVEL: "info" },
   });
@@ -144,13 +156,13 @@
   assert.match(log, /can't open the operators' socket/);
   assert.equal(child.exitCode, null);
   child.kill("SIGKILL");
-  taken.close();
+  portHolder.close();
 });
 
 test("help, version and the published schema", () => {
-  assert.match(run("--help").stdout, /Usage: indigowick/);
+  assert.match(runCli("--help").stdout, /Usage: indigowick/);
   const version = (JSON.parse(readFileSync(join(ROOT, "package.json"), "utf8")) as { version: string })
     .version;
-  assert.equal(run("--version").stdout.trim(), version);
-  assert.equal(run("schema").stdout, readFileSync(join(ROOT, "docs/settings.schema.json"), "utf8"));
+  assert.equal(runCli("--version").stdout.trim(), version);
+  assert.equal(runCli("schema").stdout, readFileSync(join(ROOT, "docs/settings.schema.json"), "utf8"));
 });
--- a/test/cluster-fixture.ts
+++ b/test/cluster-fixture.ts
@@ -14,14 +14,14 @@
   /** By machine, the tasks on it. */
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
   /** All commands, in the order they were sent, with their machine and fencing token. */
-  readonly sent: { machine: string; command: Command; fencingToken: number }[] = [];
-  private readonly asked: Extract<Decision, { kind: "commands" }>[] = [];
+  readonly sentCommands: { machine: string; command: Command; fencingToken: number }[] = [];
+  private readonly emptyBatches: Extract<Decision, { kind: "commands" }>[] = [];
   private sequence = 0;
   /** The token that the machines know. */
   private knownToken = fencingTokenOf(1);
 
   /** Machines that get no commands, their shard being handed over. */
-  readonly paused = new Set<string>();
+  readonly pausedMachines = new Set<string>();
 
   constructor(machines: readonly { id: string; zone: string; type?: string }[]) {
     const term = {
@@ -36,7 +36,7 @@
         teams: new Map(TEAMS.map((team) => [team.name, team])),
         fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.zero },
         startLatencyObjectives: new Map(),
-        ownership: { isPaused: (machine) => this.paused.has(machine), routeOverride: () => null },
+        ownership: { isPaused: (machine) => this.pausedMachines.has(machine), routeOverride: () => null },
       },
       term,
       10,
@@ -46,15 +46,15 @@
     for (const { id, zone, type = "small" } of machines) {
       this.scheduler.machineRecorded(id, { type, zone, spot: false, addr: id }, instant(0));
       this.tasks.set(id, new Map());
-      this.report(id, zone);
+      this.sendHeartbeat(id, zone);
     }
   }
 
   /** A machine sends a heartbeat with the tasks that it has. */
-  report(
+  sendHeartbeat(
     id: string,
     zone = present(this.scheduler.cluster.machines.get(id)).zone,
-    more: Partial<Heartbeat> = {},
+    overrides: Partial<Heartbeat> = {},
   ): void {
     const heartbeat: Heartbeat = {
       machine: id,
@@ -67,22 +67,22 @@
       fencingToken: this.knownToken,
       reclaimNoticeSeconds: null,
       tasks: [...present(this.tasks.get(id)).values()],
-      ...more,
+      ...overrides,
     };
     this.scheduler.heartbeatReceived(heartbeat, "a", instant(this.now));
   }
 
-  /** All machines send a heartbeat, and the decisions are carried out; `late` machines don't answer commands. */
-  step(late: readonly string[] = []): Decision[] {
+  /** All machines send a heartbeat, and the decisions are carried out; `unresponsive` machines don't answer commands. */
+  step(unresponsive: readonly string[] = []): Decision[] {
     this.now += 500;
-    for (const id of this.tasks.keys()) if (this.scheduler.cluster.machines.has(id)) this.report(id);
+    for (const id of this.tasks.keys()) if (this.scheduler.cluster.machines.has(id)) this.sendHeartbeat(id);
     const decisions = this.scheduler.step(instant(this.now));
     for (const decision of decisions) {
       if (decision.kind !== "commands") continue;
-      if (decision.commands.length === 0) this.asked.push(decision);
+      if (decision.commands.length === 0) this.emptyBatches.push(decision);
       for (const command of decision.commands)
-        this.sent.push({ machine: decision.machine, command, fencingToken: decision.fencingToken });
-      if (late.includes(decision.machine)) {
+        this.sentCommands.push({ machine: decision.machine, command, fencingToken: decision.fencingToken });
+      if (unresponsive.includes(decision.machine)) {
         this.scheduler.commandsAnswered(
           decision.machine,
           decision.commands,
@@ -93,7 +93,7 @@
         continue;
       }
       for (const command of decision.commands) this.execute(decision.machine, command);
-      this.report(decision.machine);
+      this.sendHeartbeat(decision.machine);
       this.knownToken = Math.max(this.knownToken, decision.fencingToken);
       this.scheduler.commandsAnswered(
         decision.machine,
@@ -127,22 +127,22 @@
   }
 
   /** Tasks that have not exited, on all machines. */
-  live(): TaskStatus[] {
+  activeTasks(): TaskStatus[] {
     return [...this.tasks.values()]
       .flatMap((tasks) => [...tasks.values()])
       .filter((task) => task.state !== "exited");
   }
 
   /** Batches without commands that were sent to the machine: they ask for a heartbeat under their token. */
-  questions(machine: string): { fencingToken: number }[] {
-    return this.asked.filter((batch) => batch.machine === machine);
+  heartbeatRequests(machine: string): { fencingToken: number }[] {
+    return this.emptyBatches.filter((batch) => batch.machine === machine);
   }
 
   /** How many commands of this kind were sent. */
-  ops(op: Command["op"]): number {
-    return this.sent.filter((sent) => sent.command.op === op).length;
+  commandCount(op: Command["op"]): number {
+    return this.sentCommands.filter((sent) => sent.command.op === op).length;
   }
 }
 
 /** Three machines in one zone. */
-export const EAST = ["n-1", "n-2", "n-3"].map((id) => ({ id, zone: "east" }));
+export const EAST_MACHINES = ["n-1", "n-2", "n-3"].map((id) => ({ id, zone: "east" }));
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -39,14 +39,14 @@
   const optional = ["builds", "district", "due_s"];
   for (const name of Object.keys(submission)) {
     const rest = without(name);
-    const isFine = typeof parseSubmission(JSON.stringify(rest)) !== "string";
-    assert.equal(isFine, optional.includes(name), name);
-    const isNull = typeof parseSubmission(JSON.stringify({ ...rest, [name]: null })) !== "string";
-    assert.equal(isNull, optional.includes(name), `${name}: null`);
+    const isValidWithout = typeof parseSubmission(JSON.stringify(rest)) !== "string";
+    assert.equal(isValidWithout, optional.includes(name), name);
+    const isValidWithNull = typeof parseSubmission(JSON.stringify({ ...rest, [name]: null })) !== "string";
+    assert.equal(isValidWithNull, optional.includes(name), `${name}: null`);
   }
-  const old = without("gpus", "loaners", "stash_s");
-  assert.equal(decodeJobRecord("req-000412", old)?.gpus, 0);
-  assert.equal(decodeJobRecord("req-000413", old), null);
+  const storedRecord = without("gpus", "loaners", "stash_s");
+  assert.equal(decodeJobRecord("req-000412", storedRecord)?.gpus, 0);
+  assert.equal(decodeJobRecord("req-000413", storedRecord), null);
 });
 
 test("submissions: null and omitted are the same, and the limits of teams and machines decide", () => {
@@ -56,14 +56,14 @@
   assert.equal(parsed.spec.gpus, 0);
   assert.equal(Duration.toSeconds(present(parsed.spec.deadline)), 90);
   const teams = new Map(TEAMS.map((team) => [team.name, team]));
-  const why = (more: object) => unschedulableReason({ ...parsed.spec, ...more }, teams, TYPES);
-  assert.equal(why({}), null);
-  assert.match(present(why({ team: "green" })), /no such team/);
-  assert.match(present(why({ cpus: 17 })), /no allowed machine/);
-  assert.match(present(why({ cpus: 10, types: ["small"] })), /no allowed machine/);
-  assert.match(present(why({ tasks: 13 })), /limit/);
-  assert.equal(why({ tasks: 13, kind: "array" }), null);
-  assert.equal(why({ tasks: 13, team: "blue" }), null);
+  const refusalReason = (more: object) => unschedulableReason({ ...parsed.spec, ...more }, teams, TYPES);
+  assert.equal(refusalReason({}), null);
+  assert.match(present(refusalReason({ team: "green" })), /no such team/);
+  assert.match(present(refusalReason({ cpus: 17 })), /no allowed machine/);
+  assert.match(present(refusalReason({ cpus: 10, types: ["small"] })), /no allowed machine/);
+  assert.match(present(refusalReason({ tasks: 13 })), /limit/);
+  assert.equal(refusalReason({ tasks: 13, kind: "array" }), null);
+  assert.equal(refusalReason({ tasks: 13, team: "blue" }), null);
 });
 
 test("reports that are no reports are refused, and never end a process", () => {
--- a/test/concurrent-faults-silence.test.ts
+++ b/test/concurrent-faults-silence.test.ts
@@ -5,104 +5,117 @@
 import assert from "node:assert/strict";
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
-import { playAll, type Scenario } from "./scenarios.js";
+import { runScenarios, type Scenario } from "./scenarios.js";
 
-const LEASE = Duration.toMillis(TIMINGS.workerLease);
-const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
-const led = (world: World): boolean => world.until(() => world.led(), 30_000);
+const WORKER_LEASE_MS = Duration.toMillis(TIMINGS.workerLease);
+const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
+const waitForLeader = (world: World): boolean => world.runUntil(() => world.hasLeader(), 30_000);
 
 /** Jobs whose tasks run for long; they are at work when this returns. */
-const longJobs = (world: World): string[] => {
+const submitLongJobs = (world: World): string[] => {
   const jobs = world.submit(4, { tasks: 3, cpus: 2 }, [90_000, 90_000, 90_000]);
-  world.until(() => world.running(jobs) >= 6, 20_000);
+  world.runUntil(() => world.runningTaskCount(jobs) >= 6, 20_000);
   return jobs;
 };
 
-const cancelAll = (world: World, jobs: readonly string[], apart: number): void => {
+const cancelAll = (world: World, jobs: readonly string[], intervalMs: number): void => {
   for (const id of jobs) {
-    world.wait(apart);
+    world.wait(intervalMs);
     world.note("machines with cancelled tasks", world.cancel(id));
   }
 };
 
-const MEETINGS: readonly Scenario[] = [
+const SCENARIOS: readonly Scenario[] = [
   {
     name: "leaders stand still for longer than every lease, one after the other, while jobs are cancelled",
-    rough: 0.2,
-    play: (world, seed) => {
+    faultRate: 0.2,
+    run: (world, seed) => {
       world.wait(10_000);
       for (let i = 0; i < 3; i++) {
-        const jobs = longJobs(world);
-        world.freezeLeader(i % 2 === 0 ? CANCEL + 8000 : LEASE + 6000);
+        const jobs = submitLongJobs(world);
+        world.freezeLeader(i % 2 === 0 ? CANCEL_DEADLINE_MS + 8000 : WORKER_LEASE_MS + 6000);
         // before anybody else leads, and under the next leader
         cancelAll(world, jobs.slice(0, 2), 300 + (seed % 3) * 400);
-        if (led(world)) world.note("new leaders");
+        if (waitForLeader(world)) world.note("new leaders");
         cancelAll(world, jobs.slice(2), 500);
-        world.wait(CANCEL + 12_000);
+        world.wait(CANCEL_DEADLINE_MS + 12_000);
       }
     },
-    met: { "controllers that stood still": 30, "new leaders": 30, "machines with cancelled tasks": 90 },
+    minimumCounts: {
+      "controllers that stood still": 30,
+      "new leaders": 30,
+      "machines with cancelled tasks": 90,
+    },
     guards: [["confirm", ["ran_twice"]]],
   },
   {
     name: "two controllers stand still at once, one of them leading, and the next leader right after them",
-    rough: 0.2,
-    play: (world) => {
+    faultRate: 0.2,
+    run: (world) => {
       world.wait(10_000);
       for (let i = 0; i < 2; i++) {
-        const jobs = longJobs(world);
-        world.freezeLeader(LEASE + CANCEL, 1);
-        if (led(world)) world.note("new leaders");
+        const jobs = submitLongJobs(world);
+        world.freezeLeader(WORKER_LEASE_MS + CANCEL_DEADLINE_MS, 1);
+        if (waitForLeader(world)) world.note("new leaders");
         world.wait(2000);
-        world.freezeLeader(LEASE);
+        world.freezeLeader(WORKER_LEASE_MS);
         cancelAll(world, jobs, 400);
-        world.wait(LEASE + CANCEL + 5000);
+        world.wait(WORKER_LEASE_MS + CANCEL_DEADLINE_MS + 5000);
       }
     },
-    met: { "controllers that stood still": 48, "machines with cancelled tasks": 60 },
+    minimumCounts: { "controllers that stood still": 48, "machines with cancelled tasks": 60 },
   },
   {
     name: "a leader stands still for some seconds inside its lease, again and again, while others cancel",
-    rough: 0.2,
-    play: (world, seed) => {
+    faultRate: 0.2,
+    run: (world, seed) => {
       world.wait(10_000);
       for (let i = 0; i < 6; i++) {
-        const jobs = longJobs(world);
+        const jobs = submitLongJobs(world);
         // shorter than its lease, about as long, and longer
         world.freezeLeader(1500 + ((seed + i) % 4) * 800);
         cancelAll(world, jobs, 300);
         world.wait(6000);
       }
-      world.wait(CANCEL);
+      world.wait(CANCEL_DEADLINE_MS);
     },
-    met: { "controllers that stood still": 60, "machines with cancelled tasks": 150 },
+    minimumCounts: { "controllers that stood still": 60, "machines with cancelled tasks": 150 },
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
     name: "jobs fail on every machine while leaders end, and are cancelled in the end",
-    rough: 0.2,
-    play: (world) => {
+    faultRate: 0.2,
+    run: (world) => {
       world.wait(8000);
-      const broken = world.submit(3, { tasks: 12, cpus: 2 });
-      for (const id of broken) world.failing.add(id);
+      const failingJobs = world.submit(3, { tasks: 12, cpus: 2 });
+      for (const id of failingJobs) world.failingJobs.add(id);
       for (let i = 0; i < 3; i++) {
-        const others = world.submit(2, { tasks: 4, cpus: 2 }, [4000, 4000, 4000, 4000]);
+        const otherJobs = world.submit(2, { tasks: 4, cpus: 2 }, [4000, 4000, 4000, 4000]);
         world.wait(12_000);
-        world.endLeader(i === 1 ? 300 : 5000);
-        if (led(world)) world.note("new leaders");
+        world.crashLeader(i === 1 ? 300 : 5000);
+        if (waitForLeader(world)) world.note("new leaders");
         // jobs that are well are served beside those that fail
-        const isOver = world.until(() => others.every((id) => world.outcomeOf(id) !== null), 60_000);
-        if (isOver) world.note("others served");
+        const areOthersOver = world.runUntil(
+          () => otherJobs.every((id) => world.outcomeOf(id) !== null),
+          60_000,
+        );
+        if (areOthersOver) world.note("others served");
       }
       // they stay accepted, and known, until a user cancels them
-      for (const id of broken) {
+      for (const id of failingJobs) {
         assert.notEqual(world.outcomeOf(id), "done");
-        assert.equal(world.open().includes(id), world.outcomeOf(id) === null);
+        assert.equal(world.unfinishedJobs().includes(id), world.outcomeOf(id) === null);
       }
-      for (const id of broken) world.cancel(id);
+      for (const id of failingJobs) world.cancel(id);
     },
-    met: { "attempts that failed": 300, "new leaders": 30, "others served": 36 },
+    minimumCounts: { "attempts that failed": 300, "new leaders": 30, "others served": 36 },
   },
 ];
 
-playAll(MEETINGS, { seeds: 12, first: 6000, tries: 60, servedWithin: 120_000, countsServing: false });
+runScenarios(SCENARIOS, {
+  seedCount: 12,
+  firstSeed: 6000,
+  maxSeedsWithoutGuard: 60,
+  servedWithinMs: 120_000,
+  countsWhileServing: false,
+});
--- a/test/concurrent-faults-users.test.ts
+++ b/test/concurrent-faults-users.test.ts
@@ -4,32 +4,32 @@
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
-import { playAll, type Scenario } from "./scenarios.js";
+import { runScenarios, type Scenario } from "./scenarios.js";
 
-const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
-const SMALL = { tasks: 1, cpus: 1 } as const;
+const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
+const SMALL_JOB = { tasks: 1, cpus: 1 } as const;
 
 /** Users ask until every question would count as forgotten. */
-const askOnceAllIsOver = (world: World): void => {
-  world.calmDown().wait(80_000);
+const outwaitForgottenLimit = (world: World): void => {
+  world.stopFaults().wait(80_000);
 };
 
-const MEETINGS: readonly Scenario[] = [
+const SCENARIOS: readonly Scenario[] = [
   {
     name: "users ask at all nodes and repeat the submission right after an answer, some cancelling at once",
-    rough: 0.3,
-    play: (world, seed) => {
+    faultRate: 0.3,
+    run: (world, seed) => {
       world.wait(6000);
-      world.closeLooks = 1;
+      world.probeShare = 1;
       for (let i = 0; i < 8; i++) {
-        world.submitByUsers(4, SMALL, [500 + ((seed + i) % 4) * 1000]);
-        world.askAboutNothing();
+        world.submitByUsers(4, SMALL_JOB, [500 + ((seed + i) % 4) * 1000]);
+        world.queryUnknownJob();
         world.wait(4000);
-        if (i === 4) world.endLeader(1000);
+        if (i === 4) world.crashLeader(1000);
       }
-      askOnceAllIsOver(world);
+      outwaitForgottenLimit(world);
     },
-    met: {
+    minimumCounts: {
       "close looks after accepted": 300,
       "close looks after done": 200,
       "close looks after cancelled": 50,
@@ -40,18 +40,18 @@
   },
   {
     name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
-    rough: 0,
-    play: (world) => {
+    faultRate: 0,
+    run: (world) => {
       world.wait(6000);
-      world.cancelsAtEnd = 0.5;
-      world.closeLooks = 0.5;
+      world.cancelAtEndShare = 0.5;
+      world.probeShare = 0.5;
       for (let i = 0; i < 8; i++) {
-        const jobs = world.submitByUsers(4, SMALL, [1200]);
-        for (const id of jobs) world.repeatWhenDone(id);
+        const jobs = world.submitByUsers(4, SMALL_JOB, [1200]);
+        for (const id of jobs) world.resubmitWhenDone(id);
         world.wait(5000);
       }
     },
-    met: {
+    minimumCounts: {
       "called off before it was known": 60,
       "questions at the end of the last task": 300,
       "submissions repeated": 300,
@@ -60,26 +60,36 @@
   },
   {
     name: "users cancel and ask while the state service is slow, or refuses the leader and then everybody for long",
-    rough: 0.2,
-    play: (world, seed) => {
+    faultRate: 0.2,
+    run: (world, seed) => {
       world.wait(8000);
-      world.closeLooks = 0.5;
-      world.slowStateMs = 600;
+      world.probeShare = 0.5;
+      world.maxStateDelayMs = 600;
       const jobs = world.submitByUsers(5, { tasks: 2, cpus: 2 }, [70_000, 70_000]);
-      world.until(() => world.running(jobs) >= 6, 30_000);
+      world.runUntil(() => world.runningTaskCount(jobs) >= 6, 30_000);
       world.cancelThroughNode(jobs[0]!);
       world.wait(4000);
-      world.slowStateMs = seed % 2 === 0 ? 0 : 300;
-      const leader = world.cutLeader(9000, false);
+      world.maxStateDelayMs = seed % 2 === 0 ? 0 : 300;
+      const leader = world.isolateLeader(9000, false);
       for (const id of jobs.slice(1, 4)) world.cancelThroughNode(id);
       world.wait(5000);
       if (leader !== null) world.note("leaders refused alone");
-      world.outage(CANCEL + 5000).wait(CANCEL + 20_000);
-      askOnceAllIsOver(world);
+      world.outage(CANCEL_DEADLINE_MS + 5000).wait(CANCEL_DEADLINE_MS + 20_000);
+      outwaitForgottenLimit(world);
+    },
+    minimumCounts: {
+      "leaders refused alone": 9,
+      "released jobs called off": 30,
+      "close looks after cancelled": 12,
     },
-    met: { "leaders refused alone": 9, "released jobs called off": 30, "close looks after cancelled": 12 },
     guards: [["checked", ["went_back"]]],
   },
 ];
 
-playAll(MEETINGS, { seeds: 12, first: 5000, tries: 60, servedWithin: 120_000, countsServing: false });
+runScenarios(SCENARIOS, {
+  seedCount: 12,
+  firstSeed: 5000,
+  maxSeedsWithoutGuard: 60,
+  servedWithinMs: 120_000,
+  countsWhileServing: false,
+});
--- a/test/controller-process.ts
+++ b/test/controller-process.ts
@@ -7,17 +7,17 @@
 import { join } from "node:path";
 
 /** The program. */
-export const MAIN = new URL("../../main.js", import.meta.url).pathname;
-const ATTEMPTS = 1200;
-const ATTEMPT_EVERY_MS = 50;
+export const MAIN_PATH = new URL("../../main.js", import.meta.url).pathname;
+const MAX_ATTEMPTS = 1200;
+const ATTEMPT_INTERVAL_MS = 50;
 
 /** A port of the loopback interface that nothing listened on a moment ago. */
 export const freePort = (): Promise<number> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     const server = createServer();
     server.listen(0, "127.0.0.1", () => {
       const address = server.address();
-      server.close(() => done(typeof address === "object" && address !== null ? address.port : 0));
+      server.close(() => resolve(typeof address === "object" && address !== null ? address.port : 0));
     });
   });
 
@@ -30,16 +30,19 @@
 
 /** Starts a controller with a settings file; whoever starts it has to end it. */
 export const startController = (settingsFile: string): ChildProcess =>
-  spawn(process.execPath, [MAIN, "--config", settingsFile], {
+  spawn(process.execPath, [MAIN_PATH, "--config", settingsFile], {
     stdio: ["ignore", "ignore", "inherit"],
     env: { ...process.env, LOG_LEVEL: "error" },
   });
 
 /** Repeats until the condition holds, for a bounded number of attempts. Nothing is asserted about how long that takes. */
-export const until = async (what: string, attempts: () => Promise<boolean> | boolean): Promise<void> => {
-  for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
-    if (await Promise.resolve(attempts()).catch(() => false)) return;
-    await new Promise((done) => setTimeout(done, ATTEMPT_EVERY_MS));
+export const until = async (
+  description: string,
+  condition: () => Promise<boolean> | boolean,
+): Promise<void> => {
+  for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+    if (await Promise.resolve(condition()).catch(() => false)) return;
+    await new Promise((resolve) => setTimeout(resolve, ATTEMPT_INTERVAL_MS));
   }
-  assert.fail(`never: ${what}`);
+  assert.fail(`never: ${description}`);
 };
--- a/test/fakes/fake-cloud.ts
+++ b/test/fakes/fake-cloud.ts
@@ -5,57 +5,65 @@
 
 /** The cloud over HTTP, with a bounded capacity; each machine that it rents out is a {@link FakeWorker}. */
 export class FakeCloud extends FakeServer {
-  private made = 0;
+  private machinesCreated = 0;
   readonly rentals = new Map<string, string[]>();
-  readonly up = new Map<string, { worker: FakeWorker; build: string }>();
-  capacity = 4;
+  readonly machines = new Map<string, { worker: FakeWorker; type: string }>();
+  maxMachines = 4;
   /** What happened to tasks, in order, on whatever machine. */
-  readonly events: string[] = [];
+  readonly taskEvents: string[] = [];
   /** Types beside the one that is ever had. */
-  otherTypes: readonly string[] = [];
+  extraTypeLabels: readonly string[] = [];
 
-  constructor(private readonly front: () => string) {
+  constructor(private readonly controllerAddresses: () => string) {
     super();
   }
 
   async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
-    const sent = await readJson(request);
+    const body = await readJson(request);
     const path = (request.url ?? "").split("?")[0];
     if (path === "/flavors") {
-      const build = { label: "small", vcpus: 4, gpus: 0, mem_gb: 8, cache_gb: 10, pull_gb_per_s: 1 };
-      const type = { ...build, rate: 1, spot_price: 0.3, startup_s: 1, districts: ["east"] };
-      return [200, { builds: [type, ...this.otherTypes.map((label) => ({ ...type, label }))] }];
+      const hardware = { label: "small", vcpus: 4, gpus: 0, mem_gb: 8, cache_gb: 10, pull_gb_per_s: 1 };
+      const machineType = { ...hardware, rate: 1, spot_price: 0.3, startup_s: 1, districts: ["east"] };
+      return [
+        200,
+        { builds: [machineType, ...this.extraTypeLabels.map((label) => ({ ...machineType, label }))] },
+      ];
     }
     if (path === "/rentals/release") {
-      for (const id of sent["hearths"] as string[]) {
-        this.up.get(id)?.worker.stop();
-        this.up.delete(id);
+      for (const id of body["hearths"] as string[]) {
+        this.machines.get(id)?.worker.stop();
+        this.machines.delete(id);
       }
       return [200, {}];
     }
     if (request.method === "POST") {
-      const name = String(sent["rental"]);
-      const before = this.rentals.get(name);
-      if (before !== undefined) return [200, { hearths: before }];
-      const got: string[] = [];
-      while (got.length < Number(sent["how_many"]) && this.up.size < this.capacity) {
-        const id = `n-${String(++this.made).padStart(6, "0")}`;
-        const worker = new FakeWorker(id, Boolean(sent["loaners"]), this.front, this.events);
+      const rentalName = String(body["rental"]);
+      const existing = this.rentals.get(rentalName);
+      if (existing !== undefined) return [200, { hearths: existing }];
+      const rentedIds: string[] = [];
+      while (rentedIds.length < Number(body["how_many"]) && this.machines.size < this.maxMachines) {
+        const id = `n-${String(++this.machinesCreated).padStart(6, "0")}`;
+        const worker = new FakeWorker(
+          id,
+          Boolean(body["loaners"]),
+          this.controllerAddresses,
+          this.taskEvents,
+        );
         await worker.start();
-        worker.begin();
-        this.up.set(id, { worker, build: String(sent["build"]) });
-        got.push(id);
+        worker.startHeartbeats();
+        this.machines.set(id, { worker, type: String(body["build"]) });
+        rentedIds.push(id);
       }
-      if (got.length === 0) return [503, { error: "no capacity" }];
-      this.rentals.set(name, got);
-      return [200, { hearths: got }];
+      if (rentedIds.length === 0) return [503, { error: "no capacity" }];
+      this.rentals.set(rentalName, rentedIds);
+      return [200, { hearths: rentedIds }];
     }
-    const rows = [...this.up].map(([id, m]) => ({
+    const rows = [...this.machines].map(([id, machine]) => ({
       ref: id,
-      endpoint: m.worker.addr,
-      build: m.build,
+      endpoint: machine.worker.addr,
+      build: machine.type,
       district: "east",
-      loaners: m.worker.spot,
+      loaners: machine.worker.spot,
       status: "running",
       held_s: 1,
     }));
@@ -63,7 +71,7 @@
   }
 
   override stop(): void {
-    for (const { worker } of this.up.values()) worker.stop();
+    for (const { worker } of this.machines.values()) worker.stop();
     super.stop();
   }
 }
--- a/test/fakes/fake-server.ts
+++ b/test/fakes/fake-server.ts
@@ -15,17 +15,17 @@
 
 /** A request with a connection of its own; null: no answer. */
 export const post = (url: string, text: string): Promise<{ status: number; text: string } | null> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     const request = http.request(url, { method: "POST", agent: false, timeout: 4000 }, (response) => {
       const chunks: Buffer[] = [];
       response.on("data", (chunk: Buffer) => chunks.push(chunk));
       response.on("end", () =>
-        done({ status: response.statusCode ?? 0, text: Buffer.concat(chunks).toString() }),
+        resolve({ status: response.statusCode ?? 0, text: Buffer.concat(chunks).toString() }),
       );
-      response.on("error", () => done(null));
+      response.on("error", () => resolve(null));
     });
     request.on("timeout", () => request.destroy());
-    request.on("error", () => done(null));
+    request.on("error", () => resolve(null));
     request.end(text);
   });
 
@@ -43,7 +43,7 @@
   }
   abstract handle(request: http.IncomingMessage): Promise<[number, unknown]>;
   async start(): Promise<void> {
-    await new Promise<void>((done) => this.server.listen(0, "127.0.0.1", done));
+    await new Promise<void>((resolve) => this.server.listen(0, "127.0.0.1", resolve));
     this.addr = `127.0.0.1:${(this.server.address() as AddressInfo).port}`;
   }
   stop(): void {
--- a/test/fakes/fake-state-service.ts
+++ b/test/fakes/fake-state-service.ts
@@ -4,27 +4,27 @@
 
 /** The state service over HTTP, with outages, refusals and limits that a test sets. */
 export class FakeStateService extends FakeServer {
-  readonly rows = new Map<string, { value: unknown; stamp: number; permit?: number }>();
-  readonly grants = new Map<number, { ttl: number; until: number }>();
-  private readonly changes: { key: string; value?: unknown; stamp: number }[] = [];
+  readonly rows = new Map<string, { value: unknown; revision: number; leaseId?: number }>();
+  readonly leases = new Map<number, { ttlMs: number; expiresAt: number }>();
+  private readonly changeLog: { key: string; value?: unknown; revision: number }[] = [];
   private readonly watchers = new Set<() => void>();
-  ledger = 0;
+  revision = 0;
   /** What the next requests are answered, in place of the truth. */
-  failing: { status: number; carriedOut: boolean }[] = [];
+  injectedFailures: { status: number; carriedOut: boolean }[] = [];
   down = false;
   /** Limits of one transaction, which may fall at any time; the whole of it never has more than 64 KiB. */
   limits = { valueKb: Infinity, txnOps: Infinity };
   /** So many of the next changes are carried out, then further ones get 429 until this is set anew. */
-  changesLeft = Infinity;
+  changesUntilRateLimited = Infinity;
   /** What was refused for its size or for the rate, by the first key it would have changed. */
-  readonly tooLarge: string[] = [];
-  readonly tooMany: string[] = [];
+  readonly tooLargeKeys: string[] = [];
+  readonly rateLimitedKeys: string[] = [];
   /** Which transactions are refused (400) whatever their size, by the keys that they would write or delete. */
-  readonly refuses = new Set<(keys: readonly string[]) => boolean>();
+  readonly rejectionRules = new Set<(keys: readonly string[]) => boolean>();
   /** Which writes get 503, as in an outage, by their key and value. */
-  holdsBack: (key: string, value: unknown) => boolean = () => false;
+  failsWrite: (key: string, value: unknown) => boolean = () => false;
   /** What was refused so. */
-  readonly refused: (readonly string[])[] = [];
+  readonly rejectedTransactions: (readonly string[])[] = [];
 
   /** Watches that are open end too. */
   override stop(): void {
@@ -32,63 +32,71 @@
     super.stop();
   }
 
-  private change(key: string, stamp: number, value?: unknown, permit?: number): void {
+  private applyChange(key: string, revision: number, value?: unknown, leaseId?: number): void {
     if (value === undefined) this.rows.delete(key);
-    else this.rows.set(key, { value, stamp, ...(permit === undefined ? {} : { permit }) });
-    this.changes.push(value === undefined ? { key, stamp } : { key, value, stamp });
+    else
+      this.rows.set(key, {
+        value,
+        revision,
+        ...(leaseId === undefined ? {} : { leaseId }),
+      });
+    this.changeLog.push(value === undefined ? { key, revision } : { key, value, revision });
     for (const wake of this.watchers) wake();
   }
 
   /** What somebody else writes. */
-  put(key: string, value: unknown, permit?: number): void {
-    this.change(key, ++this.ledger, value, permit);
+  put(key: string, value: unknown, leaseId?: number): void {
+    this.applyChange(key, ++this.revision, value, leaseId);
   }
   remove(key: string): void {
-    this.change(key, ++this.ledger);
+    this.applyChange(key, ++this.revision);
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     const now = Date.now();
-    for (const [permit, grant] of this.grants)
-      if (now > grant.until) {
-        this.grants.delete(permit);
-        for (const [key, row] of this.rows) if (row.permit === permit) this.change(key, ++this.ledger);
+    for (const [leaseId, lease] of this.leases)
+      if (now > lease.expiresAt) {
+        this.leases.delete(leaseId);
+        for (const [key, row] of this.rows)
+          if (row.leaseId === leaseId) this.applyChange(key, ++this.revision);
       }
   }
 
   async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
     const url = new URL(request.url ?? "", "http://state");
-    const sent = await readJson(request);
+    const body = await readJson(request);
     if (this.down) return [503, { error: "down" }];
-    const fail = this.failing.shift();
-    if (fail !== undefined) {
-      if (fail.carriedOut) this.serve(request.method ?? "", url, sent);
-      return [fail.status, {}];
+    const failure = this.injectedFailures.shift();
+    if (failure !== undefined) {
+      if (failure.carriedOut) this.serve(request.method ?? "", url, body);
+      return [failure.status, {}];
     }
     if (url.pathname === "/watch") return this.watch(url);
-    return this.serve(request.method ?? "", url, sent);
+    return this.serve(request.method ?? "", url, body);
   }
 
   private async watch(url: URL): Promise<[number, unknown]> {
     const prefix = url.searchParams.get("under") ?? "";
-    const from = Number(url.searchParams.get("from"));
-    const until = Date.now() + Number(url.searchParams.get("wait_ms"));
+    const fromRevision = Number(url.searchParams.get("from"));
+    const deadline = Date.now() + Number(url.searchParams.get("wait_ms"));
     for (;;) {
-      this.expire();
-      const news = this.changes.filter((c) => c.stamp > from && c.key.startsWith(prefix));
-      if (news.length > 0 || Date.now() >= until || this.down) {
-        const rows = news.map((c) =>
-          c.value === undefined
-            ? { delete: c.key, stamp: c.stamp }
-            : { write: c.key, value: c.value, stamp: c.stamp },
+      this.expireLeases();
+      const newChanges = this.changeLog.filter(
+        (change) => change.revision > fromRevision && change.key.startsWith(prefix),
+      );
+      if (newChanges.length > 0 || Date.now() >= deadline || this.down) {
+        const rows = newChanges.map((change) =>
+          change.value === undefined
+            ? { delete: change.key, stamp: change.revision }
+            : { write: change.key, value: change.value, stamp: change.revision },
         );
-        return [200, { ledger: this.ledger, news: rows }];
+        return [200, { ledger: this.revision, news: rows }];
       }
-      await new Promise<void>((done) => {
+      await new Promise<void>((resolve) => {
         const wake = (): void => {
           clearTimeout(timer);
           this.watchers.delete(wake);
-          done();
+          resolve();
         };
         const timer = setTimeout(wake, 50);
         this.watchers.add(wake);
@@ -96,83 +104,88 @@
     }
   }
 
-  private serve(method: string, url: URL, sent: Json): [number, unknown] {
-    this.expire();
+  private serve(method: string, url: URL, body: Json): [number, unknown] {
+    this.expireLeases();
     const path = url.pathname;
     if (path === "/store") {
       const prefix = url.searchParams.get("under") ?? "";
-      const from = url.searchParams.get("from") ?? "";
+      const afterKey = url.searchParams.get("from") ?? "";
       const rows = [...this.rows]
-        .filter(([key]) => key.startsWith(prefix) && key > from)
+        .filter(([key]) => key.startsWith(prefix) && key > afterKey)
         .sort(([a], [b]) => (a < b ? -1 : 1))
-        .map(([key, row]) => ({ path: key, value: row.value, stamp: row.stamp }));
+        .map(([key, row]) => ({ path: key, value: row.value, stamp: row.revision }));
       // small pages, so that paging is met
-      return [200, { rows: rows.slice(0, 3), more: rows.length > 3, ledger: this.ledger }];
+      return [200, { rows: rows.slice(0, 3), more: rows.length > 3, ledger: this.revision }];
     }
     if (path.startsWith("/store/")) {
       const key = path.slice("/store/".length);
       const row = this.rows.get(key);
-      if (row === undefined) return [404, { ledger: this.ledger }];
-      return [200, { path: key, value: row.value, stamp: row.stamp }];
+      if (row === undefined) return [404, { ledger: this.revision }];
+      return [200, { path: key, value: row.value, stamp: row.revision }];
     }
-    if (path === "/commit") return this.commit(sent);
+    if (path === "/commit") return this.commit(body);
     if (path === "/grants") {
-      const permit = ++this.ledger;
-      const ttl = Number(sent["ttl_ms"]);
-      this.grants.set(permit, { ttl, until: Date.now() + ttl });
-      return [200, { permit }];
+      const leaseId = ++this.revision;
+      const ttlMs = Number(body["ttl_ms"]);
+      this.leases.set(leaseId, { ttlMs, expiresAt: Date.now() + ttlMs });
+      return [200, { permit: leaseId }];
     }
-    const [, , id, verb] = path.split("/");
-    const grant = this.grants.get(Number(id));
-    if (grant === undefined) return [404, {}];
-    if (verb === "extend") grant.until = Date.now() + grant.ttl;
+    const [, , id, action] = path.split("/");
+    const lease = this.leases.get(Number(id));
+    if (lease === undefined) return [404, {}];
+    if (action === "extend") lease.expiresAt = Date.now() + lease.ttlMs;
     else if (method === "DELETE") {
-      grant.until = 0;
-      this.expire();
+      lease.expiresAt = 0;
+      this.expireLeases();
     }
     return [200, {}];
   }
 
-  private commit(sent: Json): [number, unknown] {
-    const when = (sent["when"] ?? []) as { path: string; stamp: number }[];
-    const apply = (sent["apply"] ?? []) as {
+  private commit(body: Json): [number, unknown] {
+    const conditions = (body["when"] ?? []) as { path: string; stamp: number }[];
+    const changes = (body["apply"] ?? []) as {
       write?: string;
       delete?: string;
       value?: unknown;
       permit?: number;
     }[];
-    const first = apply[0]?.write ?? apply[0]?.delete ?? "";
+    const firstKey = changes[0]?.write ?? changes[0]?.delete ?? "";
     const { valueKb, txnOps } = this.limits;
-    const sizeOf = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? "");
+    const sizeInBytes = (value: unknown): number => Buffer.byteLength(JSON.stringify(value) ?? "");
     if (
-      apply.length > txnOps ||
-      when.length > 4 * txnOps ||
-      sizeOf(sent) > 64 * 1024 ||
-      apply.some((c) => sizeOf(c.value) > valueKb * 1024)
+      changes.length > txnOps ||
+      conditions.length > 4 * txnOps ||
+      sizeInBytes(body) > 64 * 1024 ||
+      changes.some((change) => sizeInBytes(change.value) > valueKb * 1024)
     ) {
-      this.tooLarge.push(first);
+      this.tooLargeKeys.push(firstKey);
       return [400, { error: "too large" }];
     }
-    const keys = apply.map((c) => c.write ?? c.delete ?? "");
-    if ([...this.refuses].some((refuses) => refuses(keys))) {
-      this.refused.push(keys);
+    const keys = changes.map((change) => change.write ?? change.delete ?? "");
+    if ([...this.rejectionRules].some((rejects) => rejects(keys))) {
+      this.rejectedTransactions.push(keys);
       return [400, { error: "too large" }];
     }
-    if (apply.some((c) => c.write !== undefined && this.holdsBack(c.write, c.value))) return [503, {}];
-    if (apply.length > this.changesLeft) {
-      this.tooMany.push(first);
+    if (changes.some((change) => change.write !== undefined && this.failsWrite(change.write, change.value)))
+      return [503, {}];
+    if (changes.length > this.changesUntilRateLimited) {
+      this.rateLimitedKeys.push(firstKey);
       return [429, {}];
     }
-    this.changesLeft -= apply.length;
-    if (apply.some((c) => c.permit !== undefined && !this.grants.has(c.permit)))
+    this.changesUntilRateLimited -= changes.length;
+    if (changes.some((change) => change.permit !== undefined && !this.leases.has(change.permit)))
       return [400, { error: "no such lease" }];
-    const failed = when.filter((w) => (this.rows.get(w.path)?.stamp ?? 0) !== w.stamp).map((w) => w.path);
-    if (failed.length > 0) return [409, { failed, ledger: this.ledger }];
-    if (apply.length > 0) this.ledger++;
-    for (const c of apply) {
-      if (c.write !== undefined) this.change(c.write, this.ledger, c.value, c.permit);
-      else if (c.delete !== undefined && this.rows.has(c.delete)) this.change(c.delete, this.ledger);
+    const failed = conditions
+      .filter((condition) => (this.rows.get(condition.path)?.revision ?? 0) !== condition.stamp)
+      .map((condition) => condition.path);
+    if (failed.length > 0) return [409, { failed, ledger: this.revision }];
+    if (changes.length > 0) this.revision++;
+    for (const change of changes) {
+      if (change.write !== undefined)
+        this.applyChange(change.write, this.revision, change.value, change.permit);
+      else if (change.delete !== undefined && this.rows.has(change.delete))
+        this.applyChange(change.delete, this.revision);
     }
-    return [200, { ledger: this.ledger }];
+    return [200, { ledger: this.revision }];
   }
 }
--- a/test/fakes/fake-worker.ts
+++ b/test/fakes/fake-worker.ts
@@ -3,42 +3,42 @@
 import { FakeServer, type Json, post, readJson } from "./fake-server.js";
 
 /** How long a task runs: for a moment, for seconds if its job's id ends in 8, and until it is halted if that ends in 9. */
-const runMs = (chore: string): number | null => {
-  const job = chore.split("/")[0]!;
+const taskDurationMs = (taskId: string): number | null => {
+  const job = taskId.split("/")[0]!;
   return job.endsWith("9") ? null : job.endsWith("8") ? 3000 : 50;
 };
 
 /** A machine: runs whatever it is told to, and reports. */
 export class FakeWorker extends FakeServer {
-  private tally = 0;
-  private baton = 0;
-  private node = 0;
-  private answeredAt: number | null = null;
+  private sequence = 0;
+  private fencingToken = 0;
+  private controllerIndex = 0;
+  private lastAnsweredAt: number | null = null;
   /** The longest time between two answered reports, and how often it was sent to another controller. */
-  longestGapMs = 0;
-  redirects = 0;
-  private readonly chores = new Map<string, { chore: string; try: number; status: string; cause?: string }>();
+  longestHeartbeatGapMs = 0;
+  redirectCount = 0;
+  private readonly tasks = new Map<string, { chore: string; try: number; status: string; cause?: string }>();
   private timer: NodeJS.Timeout | null = null;
-  readonly starts: string[] = [];
+  readonly startedTasks: string[] = [];
 
   constructor(
     private readonly id: string,
     readonly spot: boolean,
-    private readonly front: () => string,
-    private readonly events: string[] = [],
+    private readonly controllerAddresses: () => string,
+    private readonly taskEvents: string[] = [],
   ) {
     super();
   }
 
-  begin(): void {
-    this.timer = setInterval(() => void this.handleReport(), 100);
+  startHeartbeats(): void {
+    this.timer = setInterval(() => void this.sendHeartbeat(), 100);
   }
   override stop(): void {
     if (this.timer !== null) clearInterval(this.timer);
     super.stop();
   }
 
-  private report(): Json {
+  private heartbeat(): Json {
     return {
       hearth: this.id,
       endpoint: this.addr,
@@ -46,63 +46,66 @@
       district: "east",
       loaners: this.spot,
       shift: 1,
-      tally: ++this.tally,
-      baton: this.baton,
+      tally: ++this.sequence,
+      baton: this.fencingToken,
       recall_s: null,
-      chores: [...this.chores.values()],
+      chores: [...this.tasks.values()],
     };
   }
 
   /** Reports to one of the controllers, `NAME=ADDRESS` each or a single address; goes where it is sent, else to the next. */
-  private async handleReport(): Promise<void> {
-    const fronts = this.front()
+  private async sendHeartbeat(): Promise<void> {
+    const controllers = this.controllerAddresses()
       .split(",")
       .map((entry) => entry.split("="));
-    const addr = fronts[this.node % fronts.length]!.at(-1)!;
+    const addr = controllers[this.controllerIndex % controllers.length]!.at(-1)!;
     // not fetch: it asks again by itself after a 421, and who comes back is taken in
-    const reply = await post(`http://${addr}/agent/beat`, JSON.stringify(this.report()));
+    const reply = await post(`http://${addr}/agent/beat`, JSON.stringify(this.heartbeat()));
     if (reply?.status === 200) {
-      this.baton = Math.max(this.baton, Number((JSON.parse(reply.text) as Json)["baton"]));
-      this.longestGapMs = Math.max(this.longestGapMs, Date.now() - (this.answeredAt ?? Date.now()));
-      this.answeredAt = Date.now();
+      this.fencingToken = Math.max(this.fencingToken, Number((JSON.parse(reply.text) as Json)["baton"]));
+      this.longestHeartbeatGapMs = Math.max(
+        this.longestHeartbeatGapMs,
+        Date.now() - (this.lastAnsweredAt ?? Date.now()),
+      );
+      this.lastAnsweredAt = Date.now();
       return;
     }
-    const foreman = reply?.status === 421 ? (JSON.parse(reply.text) as Json)["foreman"] : undefined;
-    const named = fronts.findIndex(([name]) => name === foreman);
-    if (reply?.status === 421) this.redirects++;
-    this.node = named >= 0 ? named : this.node + 1;
+    const redirectedTo = reply?.status === 421 ? (JSON.parse(reply.text) as Json)["foreman"] : undefined;
+    const namedIndex = controllers.findIndex(([name]) => name === redirectedTo);
+    if (reply?.status === 421) this.redirectCount++;
+    this.controllerIndex = namedIndex >= 0 ? namedIndex : this.controllerIndex + 1;
   }
 
   async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
-    const sent = await readJson(request);
-    if (request.url !== "/orders") return [200, this.report()];
-    if (Number(sent["baton"]) < this.baton || sent["shift"] !== 1) return [409, this.report()];
-    this.baton = Number(sent["baton"]);
-    for (const o of sent["orders"] as { verb: string; chore: string; try: number }[]) {
-      const key = `${o.chore}#${o.try}`;
-      const chore = this.chores.get(key);
-      if (o.verb === "reap") this.chores.delete(key);
-      else if (o.verb === "halt" && chore?.status === "running") {
-        this.events.push(`stopped ${o.chore}`);
+    const body = await readJson(request);
+    if (request.url !== "/orders") return [200, this.heartbeat()];
+    if (Number(body["baton"]) < this.fencingToken || body["shift"] !== 1) return [409, this.heartbeat()];
+    this.fencingToken = Number(body["baton"]);
+    for (const command of body["orders"] as { verb: string; chore: string; try: number }[]) {
+      const key = `${command.chore}#${command.try}`;
+      const chore = this.tasks.get(key);
+      if (command.verb === "reap") this.tasks.delete(key);
+      else if (command.verb === "halt" && chore?.status === "running") {
+        this.taskEvents.push(`stopped ${command.chore}`);
         Object.assign(chore, { status: "ended", cause: "stopped" });
-      } else if (o.verb === "start" && chore === undefined) {
-        this.starts.push(o.chore);
-        this.events.push(`start ${o.chore}`);
-        const started: { chore: string; try: number; status: string; cause?: string } = {
-          chore: o.chore,
-          try: o.try,
+      } else if (command.verb === "start" && chore === undefined) {
+        this.startedTasks.push(command.chore);
+        this.taskEvents.push(`start ${command.chore}`);
+        const startedTask: { chore: string; try: number; status: string; cause?: string } = {
+          chore: command.chore,
+          try: command.try,
           status: "running",
         };
-        this.chores.set(key, started);
-        const ms = runMs(o.chore);
-        if (ms !== null)
+        this.tasks.set(key, startedTask);
+        const durationMs = taskDurationMs(command.chore);
+        if (durationMs !== null)
           setTimeout(() => {
-            if (started.status !== "running") return;
-            this.events.push(`done ${o.chore}`);
-            Object.assign(started, { status: "ended", cause: "done" });
-          }, ms);
+            if (startedTask.status !== "running") return;
+            this.taskEvents.push(`done ${command.chore}`);
+            Object.assign(startedTask, { status: "ended", cause: "done" });
+          }, durationMs);
       }
     }
-    return [200, this.report()];
+    return [200, this.heartbeat()];
   }
 }
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -16,11 +16,11 @@
 import { countVisits, largeFleetJob } from "./large-fleet.js";
 import { TYPES } from "./model.js";
 
-const SIZES = [4000, 6000];
+const FLEET_SIZES = [4000, 6000];
 /** What a controller takes of another's message. */
-const MESSAGE_BYTES = 4 * 1024 * 1024;
+const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
 /** The smallest values of the state service that a deployment names. */
-const LEAST_VALUE_KB = 4;
+const MIN_VALUE_LIMIT_KB = 4;
 /** Tasks of a quarter of a processor fill a machine of eight. */
 const TASKS_PER_MACHINE = 32;
 
@@ -35,19 +35,19 @@
 };
 const TIMINGS = leaseTimingsOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
 
-const nameOf = (n: number): string => `n-${String(n).padStart(6, "0")}`;
-const recordOf = (n: number): MachineRecord => ({
+const machineName = (n: number): string => `n-${String(n).padStart(6, "0")}`;
+const machineRecord = (n: number): MachineRecord => ({
   type: "small",
   zone: n % 2 === 0 ? "east" : "west",
   spot: n % 3 === 0,
   addr: `10.1.${n >> 8}.${n & 255}:9000`,
 });
 
-const reportOf = (n: number, sequence: number, fencingToken: number, tasks: TaskStatus[]): Heartbeat => {
-  const { type, zone, spot } = recordOf(n);
-  const addr = recordOf(n).addr ?? "";
+const heartbeatOf = (n: number, sequence: number, fencingToken: number, tasks: TaskStatus[]): Heartbeat => {
+  const { type, zone, spot } = machineRecord(n);
+  const addr = machineRecord(n).addr ?? "";
   return {
-    machine: nameOf(n),
+    machine: machineName(n),
     addr,
     type,
     zone,
@@ -60,7 +60,7 @@
   };
 };
 
-const tasksOf = (n: number): TaskStatus[] =>
+const runningTasks = (n: number): TaskStatus[] =>
   Array.from({ length: TASKS_PER_MACHINE }, (_, i) => ({
     job: "req-000000000000000777",
     index: n * TASKS_PER_MACHINE + i,
@@ -70,7 +70,7 @@
   }));
 
 /** A leader that has just reread the records of so many machines. */
-const takeOver = (machines: number, idleBoots = 0.6): Scheduler => {
+const newLeader = (machines: number, idleBoots = 0.6): Scheduler => {
   const options = {
     timings: TIMINGS,
     teams: new Map([
@@ -81,30 +81,35 @@
   };
   const scheduler = new Scheduler(options, TERM, 500, instant(0));
   scheduler.setMachineTypes(TYPES);
-  for (let n = 0; n < machines; n++) scheduler.machineRecorded(nameOf(n), recordOf(n), instant(0));
+  for (let n = 0; n < machines; n++) scheduler.machineRecorded(machineName(n), machineRecord(n), instant(0));
   scheduler.machinesListed([], instant(0));
   return scheduler;
 };
 
-const reportAll = (scheduler: Scheduler, machines: number, seq: number, now: Instant): void => {
+const sendAllHeartbeats = (scheduler: Scheduler, machines: number, sequence: number, now: Instant): void => {
   for (let n = 0; n < machines; n++)
-    scheduler.heartbeatReceived(reportOf(n, seq, fencingTokenOf(TERM.number), []), "a", now);
+    scheduler.heartbeatReceived(heartbeatOf(n, sequence, fencingTokenOf(TERM.number), []), "a", now);
 };
 
-const ofKind = <K extends Decision["kind"]>(decisions: readonly Decision[], kind: K) =>
+const decisionsOfKind = <K extends Decision["kind"]>(decisions: readonly Decision[], kind: K) =>
   decisions.filter((decision): decision is Extract<Decision, { kind: K }> => decision.kind === kind);
 
-for (const machines of SIZES) {
+for (const machines of FLEET_SIZES) {
   test(`a new leader is told of ${machines} full machines in messages that controllers take`, () => {
-    const part = new WorkerPartition("a", 3000, Duration.seconds(4));
-    part.setTerm({ ...TERM, members: [TERM.members[0]!] });
+    const partition = new WorkerPartition("a", 3000, Duration.seconds(4));
+    partition.setTerm({ ...TERM, members: [TERM.members[0]!] });
     for (let n = 0; n < machines; n++)
-      part.handleHeartbeat(reportOf(n, 1, fencingTokenOf(TERM.number), tasksOf(n)), true, 1, instant(1000));
-    const told = new Set<string>();
+      partition.handleHeartbeat(
+        heartbeatOf(n, 1, fencingTokenOf(TERM.number), runningTasks(n)),
+        true,
+        1,
+        instant(1000),
+      );
+    const reportedMachines = new Set<string>();
     let messages = 0;
     let largest = 0;
-    while (part.hasUpdate()) {
-      const news = part.takeUpdate(instant(1000));
+    while (partition.hasUpdate()) {
+      const update = partition.takeUpdate(instant(1000));
       const sync = {
         termNumber: 2,
         member: "a",
@@ -112,36 +117,39 @@
         leaderClockMark: -1,
         progressVersion: -1,
         reachesStateService: true,
-        ...news,
+        ...update,
       };
       largest = Math.max(largest, syncRequestCodec.encode(sync).length);
-      for (const { heartbeat } of news.heartbeats) told.add(heartbeat.machine);
+      for (const { heartbeat } of update.heartbeats) reportedMachines.add(heartbeat.machine);
       assert.ok(++messages <= machines / 100, `${messages} messages`);
     }
-    assert.equal(told.size, machines);
-    assert.ok(largest < MESSAGE_BYTES / 4, `${largest} bytes`);
+    assert.equal(reportedMachines.size, machines);
+    assert.ok(largest < MAX_MESSAGE_BYTES / 4, `${largest} bytes`);
   });
 
   test(`a new leader of ${machines} machines rents, returns and starts nothing until they had time to report`, () => {
-    const scheduler = takeOver(machines);
+    const scheduler = newLeader(machines);
     scheduler.jobReleased(largeFleetJob(1, { tasks: 25_000, cpus: 0.25, memoryGb: 0.5 }), 400, instant(0));
     for (let now = 250; now <= 6000; now += 250) {
       const decisions = [...scheduler.step(instant(now)), ...scheduler.stepAutoscaler(instant(now))];
-      assert.equal(ofKind(decisions, "rent").length, 0);
-      assert.equal(ofKind(decisions, "release").length, 0);
-      const orders = ofKind(decisions, "commands").flatMap(({ commands }) => commands);
-      assert.equal(orders.length, 0, "an earlier leader may have started them");
+      assert.equal(decisionsOfKind(decisions, "rent").length, 0);
+      assert.equal(decisionsOfKind(decisions, "release").length, 0);
+      const sentCommands = decisionsOfKind(decisions, "commands").flatMap(({ commands }) => commands);
+      assert.equal(sentCommands.length, 0, "an earlier leader may have started them");
     }
   });
 
   test(`an array of 25,000 tasks is started on ${machines} machines, and a step looks at no machine without room`, () => {
-    const scheduler = takeOver(machines);
-    reportAll(scheduler, machines, 1, instant(1000));
+    const scheduler = newLeader(machines);
+    sendAllHeartbeats(scheduler, machines, 1, instant(1000));
     assert.equal(scheduler.cluster.unconfirmed.size, 0);
     scheduler.jobReleased(largeFleetJob(1, { tasks: 25_000, cpus: 1, memoryGb: 1 }), 600, instant(1000));
     const started = new Set<number>();
     for (let now = 1000; now < 1000 + 50 * 80 && started.size < 25_000; now += 50) {
-      for (const { machine, commands, fencingToken } of ofKind(scheduler.step(instant(now)), "commands")) {
+      for (const { machine, commands, fencingToken } of decisionsOfKind(
+        scheduler.step(instant(now)),
+        "commands",
+      )) {
         for (const command of commands) if (command.op === "start") started.add(command.index);
         scheduler.commandsAnswered(machine, commands, fencingToken, "done", instant(now), {
           workerEpoch: 1,
@@ -156,28 +164,28 @@
   });
 
   test(`${machines} idle machines are returned in requests of a hundred, and not asked for again while these wait`, () => {
-    const scheduler = takeOver(machines);
-    reportAll(scheduler, machines, 1, instant(1000));
+    const scheduler = newLeader(machines);
+    sendAllHeartbeats(scheduler, machines, 1, instant(1000));
     scheduler.step(instant(1000));
     const later = instant(60_000);
-    reportAll(scheduler, machines, 2, later);
+    sendAllHeartbeats(scheduler, machines, 2, later);
     scheduler.step(later);
-    const released = ofKind(scheduler.stepAutoscaler(later), "release");
+    const released = decisionsOfKind(scheduler.stepAutoscaler(later), "release");
     assert.ok(released.every(({ machines: ids }) => ids.length <= 100));
     assert.equal(released.flatMap(({ machines: ids }) => ids).length, machines);
     // three requests a second, as the cloud takes them: a second round would only make the queue longer
     const seconds = machines / 100 / 3;
     for (let second = 6; second <= seconds; second++) {
-      const again = ofKind(scheduler.stepAutoscaler(instant(60_000 + second * 1000)), "release");
-      assert.equal(again.length, 0, `after ${second} s`);
+      const repeated = decisionsOfKind(scheduler.stepAutoscaler(instant(60_000 + second * 1000)), "release");
+      assert.equal(repeated.length, 0, `after ${second} s`);
     }
   });
 
   test(`the records of ${machines} machines fit the smallest values, and those of machines gone are deleted`, () => {
-    const entries = Array.from({ length: machines }, (_, n) => [nameOf(n), recordOf(n)] as const);
-    const blocks = splitRecord(entries, maxValueBytes(LEAST_VALUE_KB), 40);
+    const entries = Array.from({ length: machines }, (_, n) => [machineName(n), machineRecord(n)] as const);
+    const blocks = splitRecord(entries, maxValueBytes(MIN_VALUE_LIMIT_KB), 40);
     const largest = Math.max(...blocks.map((block) => JSON.stringify({ machines: block }).length));
-    assert.ok(largest <= LEAST_VALUE_KB * 1024, `${largest} bytes`);
+    assert.ok(largest <= MIN_VALUE_LIMIT_KB * 1024, `${largest} bytes`);
     assert.equal(blocks.flatMap((block) => Object.keys(block)).length, machines);
     const store = new MachineRecordStore();
     blocks.forEach((block, i) => store.add(`machines/2-${i}`, block));
@@ -196,36 +204,39 @@
   });
 
   test(`a zone with half of ${machines} machines falls silent: all are asked in turn, none is given up at once`, () => {
-    const scheduler = takeOver(machines, 100);
-    reportAll(scheduler, machines, 1, instant(1000));
+    const scheduler = newLeader(machines, 100);
+    sendAllHeartbeats(scheduler, machines, 1, instant(1000));
     const asked = new Set<string>();
     let released = 0;
     for (let now = 1250; now <= 25_000; now += 250) {
       if (now % 5000 === 0)
         for (let n = 0; n < machines; n += 2)
           scheduler.heartbeatReceived(
-            reportOf(n, 1 + now, fencingTokenOf(TERM.number), []),
+            heartbeatOf(n, 1 + now, fencingTokenOf(TERM.number), []),
             "a",
             instant(now),
           );
-      for (const { machine, commands, fencingToken } of ofKind(scheduler.step(instant(now)), "commands")) {
+      for (const { machine, commands, fencingToken } of decisionsOfKind(
+        scheduler.step(instant(now)),
+        "commands",
+      )) {
         asked.add(machine);
-        const isSilent = recordOf(Number(machine.slice(2))).zone === "west";
-        const by = { workerEpoch: 1, sequence: 1 + now };
+        const isSilent = machineRecord(Number(machine.slice(2))).zone === "west";
+        const heartbeatId = { workerEpoch: 1, sequence: 1 + now };
         scheduler.commandsAnswered(
           machine,
           commands,
           fencingToken,
           isSilent ? "unknown" : "done",
           instant(now),
-          by,
+          heartbeatId,
         );
       }
       const fleet = scheduler.stepAutoscaler(instant(now));
-      for (const { machines: ids, reason } of ofKind(fleet, "release"))
+      for (const { machines: ids, reason } of decisionsOfKind(fleet, "release"))
         if (reason === "silent") released += ids.length;
     }
-    const silent = [...asked].filter((id) => recordOf(Number(id.slice(2))).zone === "west");
+    const silent = [...asked].filter((id) => machineRecord(Number(id.slice(2))).zone === "west");
     assert.equal(silent.length, machines / 2);
     assert.equal(released, 0);
   });
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -3,12 +3,12 @@
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
 import { instant } from "../src/core/time.js";
-import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { ClusterFixture, EAST_MACHINES } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
 test("a gang starts whole, with one attempt, and after a loss is taken down whole before the next", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   const gang = spec({
     kind: "gang",
     tasks: 4,
@@ -17,60 +17,62 @@
   });
   fixture.scheduler.jobReleased(gang, 20, instant(0));
   fixture.step();
-  const first = new Set(fixture.live().map((task) => task.attempt));
-  assert.equal(fixture.live().length, 4);
-  assert.equal(first.size, 1);
+  const firstAttempts = new Set(fixture.activeTasks().map((task) => task.attempt));
+  assert.equal(fixture.activeTasks().length, 4);
+  assert.equal(firstAttempts.size, 1);
   // one machine is gone for certain: its tasks with it
-  const lost = present(fixture.sent[0]).machine;
-  present(fixture.tasks.get(lost)).clear();
-  fixture.scheduler.releaseAnswered([lost], true, instant(fixture.now));
+  const lostMachine = present(fixture.sentCommands[0]).machine;
+  present(fixture.tasks.get(lostMachine)).clear();
+  fixture.scheduler.releaseAnswered([lostMachine], true, instant(fixture.now));
   fixture.step();
-  assert.ok(fixture.ops("stop") > 0);
+  assert.ok(fixture.commandCount("stop") > 0);
   assert.ok(
-    fixture.sent
+    fixture.sentCommands
       .filter((sent) => sent.command.op === "stop")
       .every((sent) => sent.command.gracePeriodSeconds >= 5),
   );
   for (let i = 0; i < 4; i++) fixture.step();
-  const second = new Set(fixture.live().map((task) => task.attempt));
-  assert.equal(fixture.live().length, 4);
-  assert.equal(second.size, 1);
-  assert.notDeepEqual(first, second);
+  const secondAttempts = new Set(fixture.activeTasks().map((task) => task.attempt));
+  assert.equal(fixture.activeTasks().length, 4);
+  assert.equal(secondAttempts.size, 1);
+  assert.notDeepEqual(firstAttempts, secondAttempts);
 });
 
 test("a gang that doesn't fit takes no place, and is not starved by smaller jobs", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6, image: "x" }), 20, instant(0));
   fixture.step();
-  assert.equal(fixture.live().length, 6);
+  assert.equal(fixture.activeTasks().length, 6);
   fixture.scheduler.jobReleased(spec({ id: "req-000002", kind: "gang", tasks: 6 }), 21, instant(fixture.now));
   for (let i = 0; i < 40; i++) fixture.step();
   fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
-  for (const { id } of EAST) {
+  for (const { id } of EAST_MACHINES) {
     fixture.endTasks(id, "done");
     fixture.step();
     fixture.scheduler.finishesStored("req-000001", [[0, 6]]);
     fixture.step();
   }
   fixture.step();
-  const starts = fixture.sent.filter((sent) => sent.command.op === "start").map((sent) => sent.command.job);
+  const starts = fixture.sentCommands
+    .filter((sent) => sent.command.op === "start")
+    .map((sent) => sent.command.job);
   assert.deepEqual(new Set(starts.slice(0, 6)), new Set(["req-000001"]));
   assert.deepEqual(new Set(starts.slice(6, 12)), new Set(["req-000002"]));
 });
 
 test("a gang held up by smaller jobs is patient from its release on", () => {
-  const held = (released: number): boolean => {
-    const fixture = new ClusterFixture(EAST);
+  const holdsBackLaterJob = (releasedAt: number): boolean => {
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 50_000;
-    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
     fixture.step();
     const gang = spec({ id: "req-000002", kind: "gang", tasks: 6 });
-    fixture.scheduler.jobReleased(gang, 21, instant(1000), instant(released));
+    fixture.scheduler.jobReleased(gang, 21, instant(1000), instant(releasedAt));
     fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
     fixture.step();
-    return fixture.live().length === 1;
+    return fixture.activeTasks().length === 1;
   };
-  assert.equal(held(1000), true);
-  assert.equal(held(50_000), false);
+  assert.equal(holdsBackLaterJob(1000), true);
+  assert.equal(holdsBackLaterJob(50_000), false);
 });
--- a/test/large-fleet.ts
+++ b/test/large-fleet.ts
@@ -15,12 +15,12 @@
   for (const collection of collections) {
     if (!(collection instanceof Map || collection instanceof Set)) continue;
     for (const name of ["values", "keys", "entries", Symbol.iterator] as const) {
-      const plain = (collection[name] as () => IterableIterator<unknown>).bind(collection);
+      const original = (collection[name] as () => IterableIterator<unknown>).bind(collection);
       Object.defineProperty(collection, name, {
         value: function* () {
-          for (const x of plain()) {
+          for (const element of original()) {
             counter.visits++;
-            yield x;
+            yield element;
           }
         },
       });
@@ -30,27 +30,27 @@
 };
 
 /** An array of a hundred tasks, the n-th of its fleet. */
-export const largeFleetJob = (n: number, more: Partial<JobSpec>): JobSpec =>
+export const largeFleetJob = (jobNumber: number, overrides: Partial<JobSpec>): JobSpec =>
   jobSpec({
-    id: `req-${n}`,
+    id: `req-${jobNumber}`,
     className: "routes",
     team: "red",
     tasks: 100,
-    image: `img-${n % 10}`,
+    image: `img-${jobNumber % 10}`,
     estimate: Duration.seconds(35),
-    ...more,
+    ...overrides,
   });
 
 /** A fleet that is full, with work waiting; every machine answers at once. */
 export class LargeFleet {
   now = 1000;
-  readonly s: Scheduler;
+  readonly scheduler: Scheduler;
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
   /** The token that the machines know. */
-  token = fencingTokenOf(1);
-  private seq = 0;
+  knownToken = fencingTokenOf(1);
+  private sequence = 0;
 
-  constructor(machines: number, arrays: number, services: number) {
+  constructor(machineCount: number, arrayCount: number, serviceCount: number) {
     const timings = leaseTimingsOf({ leaseS: 34, reportS: 6, cancelS: 59 }, Duration.seconds(3));
     const team = { name: "red", guaranteedCpus: 1e6, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 };
     const term = {
@@ -61,34 +61,35 @@
     };
     const fleet = { reuse: 0.5, idleBoots: 0.6, warmFor: Duration.seconds(10) };
     const options = { timings, teams: new Map([["red", team]]), fleet, startLatencyObjectives: new Map() };
-    this.s = new Scheduler(options, term, 10, instant(0));
-    this.s.setMachineTypes(TYPES);
-    for (let i = 0; i < machines; i++) {
+    this.scheduler = new Scheduler(options, term, 10, instant(0));
+    this.scheduler.setMachineTypes(TYPES);
+    for (let i = 0; i < machineCount; i++) {
       const id = `n-${i}`;
-      this.s.machineRecorded(
+      this.scheduler.machineRecorded(
         id,
         { type: "small", zone: i % 2 === 0 ? "east" : "west", spot: false, addr: id },
         instant(0),
       );
       this.tasks.set(id, new Map());
-      this.report(id);
+      this.sendHeartbeat(id);
     }
-    let n = 0;
-    while (n < services)
-      this.s.jobReleased(
-        largeFleetJob(n, { kind: "service", priority: "production", tasks: 2, cpus: 2, spot: false }),
-        20 + n++,
+    let jobNumber = 0;
+    while (jobNumber < serviceCount)
+      this.scheduler.jobReleased(
+        largeFleetJob(jobNumber, { kind: "service", priority: "production", tasks: 2, cpus: 2, spot: false }),
+        20 + jobNumber++,
         instant(this.now),
       );
-    while (n < services + arrays) this.s.jobReleased(largeFleetJob(n, {}), 20 + n++, instant(this.now));
+    while (jobNumber < serviceCount + arrayCount)
+      this.scheduler.jobReleased(largeFleetJob(jobNumber, {}), 20 + jobNumber++, instant(this.now));
     for (let i = 0; i < 400 && this.step() > 0; i++) {
       this.now += 50;
-      if (i % 40 === 0) for (const id of this.tasks.keys()) this.report(id);
+      if (i % 40 === 0) for (const id of this.tasks.keys()) this.sendHeartbeat(id);
     }
   }
 
-  report(id: string): void {
-    this.s.heartbeatReceived(
+  sendHeartbeat(id: string): void {
+    this.scheduler.heartbeatReceived(
       {
         machine: id,
         addr: id,
@@ -96,8 +97,8 @@
         zone: "east",
         spot: false,
         workerEpoch: 1,
-        sequence: ++this.seq,
-        fencingToken: this.token,
+        sequence: ++this.sequence,
+        fencingToken: this.knownToken,
         reclaimNoticeSeconds: null,
         tasks: [...this.tasks.get(id)!.values()],
       },
@@ -108,39 +109,45 @@
 
   /** How many orders there were. */
   step(): number {
-    const decisions = this.s.step(instant(this.now));
+    const decisions = this.scheduler.step(instant(this.now));
     for (const decision of decisions) if (decision.kind === "commands") this.execute(decision);
     return decisions.length;
   }
 
-  private execute(d: Extract<Decision, { kind: "commands" }>): void {
-    const tasks = this.tasks.get(d.machine)!;
-    for (const { op, job: id, index, attempt } of d.commands) {
+  private execute(decision: Extract<Decision, { kind: "commands" }>): void {
+    const tasks = this.tasks.get(decision.machine)!;
+    for (const { op, job: id, index, attempt } of decision.commands) {
       const key = `${id}/${index}#${attempt}`;
       if (op === "start") tasks.set(key, { job: id, index, attempt, state: "running", exitReason: null });
       else if (op === "forget") tasks.delete(key);
       else tasks.set(key, { job: id, index, attempt, state: "exited", exitReason: "stopped" });
     }
-    this.report(d.machine);
-    this.s.commandsAnswered(d.machine, d.commands, d.fencingToken, "done", instant(this.now));
+    this.sendHeartbeat(decision.machine);
+    this.scheduler.commandsAnswered(
+      decision.machine,
+      decision.commands,
+      decision.fencingToken,
+      "done",
+      instant(this.now),
+    );
   }
 
   /** One array task ends somewhere; its machine reports, and the leader decides. */
-  event(n: number): void {
+  finishOneTask(eventNumber: number): void {
     this.now += 10;
     const ids = [...this.tasks.keys()];
-    const id = ids[(n * 37) % ids.length]!;
+    const id = ids[(eventNumber * 37) % ids.length]!;
     const tasks = this.tasks.get(id)!;
     for (const [key, task] of tasks)
-      if (task.state === "running" && this.s.cluster.jobs.get(task.job)?.spec.kind === "array") {
+      if (task.state === "running" && this.scheduler.cluster.jobs.get(task.job)?.spec.kind === "array") {
         tasks.set(key, { ...task, state: "exited", exitReason: "done" });
-        this.s.finishesStored(task.job, [[task.index, task.index + 1]]);
+        this.scheduler.finishesStored(task.job, [[task.index, task.index + 1]]);
         break;
       }
-    this.report(id);
+    this.sendHeartbeat(id);
     this.step();
   }
-  running(): number {
-    return [...this.tasks.values()].reduce((sum, t) => sum + t.size, 0);
+  taskCount(): number {
+    return [...this.tasks.values()].reduce((sum, machineTasks) => sum + machineTasks.size, 0);
   }
 }
--- a/test/limits-service.test.ts
+++ b/test/limits-service.test.ts
@@ -7,17 +7,17 @@
 import { FakeStateService } from "./fakes/fake-state-service.js";
 import { FakeWorker as WorkerStandIn } from "./fakes/fake-worker.js";
 
-const LIVE = 20;
-const LATER = { valueKb: 2, txnOps: 5 };
+const LIVE_MACHINES = 20;
+const LOWER_LIMITS = { valueKb: 2, txnOps: 5 };
 /** What an earlier version wrote: twice as many machines as live, and more than a value will hold. */
-const OLD_BLOCK = "machines/0-1";
+const OLD_MACHINES_KEY = "machines/0-1";
 
 const state = new FakeStateService();
 const cloud = new FakeCloud(() => front);
 let front = "";
 const children: ChildProcess[] = [];
 
-const platform = async (member: string, on: FakeStateService, from: FakeCloud) => ({
+const platformSettings = async (member: string, on: FakeStateService, from: FakeCloud) => ({
   member,
   domain: "east",
   front: `127.0.0.1:${await freePort()}`,
@@ -33,13 +33,13 @@
       write_rps: 1000,
       value_kb: 16,
       txn_ops: 16,
-      next: { rps: 900, write_rps: 500, value_kb: LATER.valueKb, txn_ops: LATER.txnOps },
+      next: { rps: 900, write_rps: 500, value_kb: LOWER_LIMITS.valueKb, txn_ops: LOWER_LIMITS.txnOps },
     },
     cloud: { rps: 50, list_lag_s: 1 },
     machine_limits: { max_connections: 1000 },
   },
 });
-const start = (settings: Awaited<ReturnType<typeof platform>>): void => {
+const startWithSettings = (settings: Awaited<ReturnType<typeof platformSettings>>): void => {
   const config = writeSettings(settings);
   children.push(startController(config));
 };
@@ -51,7 +51,7 @@
   });
   return { status: response.status, json: (await response.json()) as Record<string, unknown> };
 };
-const job = (ref: string, more: object = {}): object => ({
+const submission = (ref: string, more: object = {}): object => ({
   ref,
   roster: "maps",
   crew: "red",
@@ -71,13 +71,13 @@
   stash_s: 0,
   ...more,
 });
-const submitted = (ref: string, more: object = {}): Promise<void> =>
+const submitUntilAccepted = (ref: string, more: object = {}): Promise<void> =>
   until(`${ref} accepted`, async () =>
-    [200, 201].includes((await ask("POST", "/v2/runs", job(ref, more))).status),
+    [200, 201].includes((await ask("POST", "/v2/runs", submission(ref, more))).status),
   );
-const done = (ref: string): Promise<void> =>
+const untilDone = (ref: string): Promise<void> =>
   until(`${ref} done`, async () => (await ask("GET", `/v2/runs/${ref}`)).json["status"] === "done");
-const recorded = (): Set<string> => {
+const recordedMachineIds = (): Set<string> => {
   const blocks = [...state.rows].filter(([key]) => key.startsWith("machines/"));
   return new Set(blocks.flatMap(([, row]) => Object.keys((row.value as { machines: object }).machines)));
 };
@@ -85,24 +85,24 @@
 before(async () => {
   await state.start();
   await cloud.start();
-  cloud.capacity = LIVE;
+  cloud.maxMachines = LIVE_MACHINES;
   const machines: Record<string, object> = {};
-  for (let i = 0; i < 2 * LIVE; i++) {
+  for (let i = 0; i < 2 * LIVE_MACHINES; i++) {
     const id = `n-${String(i).padStart(60, "0")}`;
     let addr = "10.0.0.1:9000";
-    if (i < LIVE) {
+    if (i < LIVE_MACHINES) {
       const worker = new WorkerStandIn(id, false, () => front);
       await worker.start();
-      worker.begin();
-      cloud.up.set(id, { worker, build: "small" });
+      worker.startHeartbeats();
+      cloud.machines.set(id, { worker, type: "small" });
       ({ addr } = worker);
     }
     machines[id] = { type: "small", zone: "east", spot: false, addr };
   }
-  state.put(OLD_BLOCK, { machines });
-  const one = await platform("one", state, cloud);
+  state.put(OLD_MACHINES_KEY, { machines });
+  const one = await platformSettings("one", state, cloud);
   front = one.front;
-  start(one);
+  startWithSettings(one);
   await until("the node is up", async () => (await ask("GET", "/up")).status === 200);
 });
 after(() => {
@@ -113,73 +113,84 @@
 
 test("the limits fall while jobs run: nothing is too large, what is refused for the rate comes later", async () => {
   // keeps every machine that lives, with room for one small task each
-  await submitted("req-000009", { shape: "daemon", urgency: "critical", chores: LIVE, vcpus: 3 });
-  await submitted("req-000001");
-  await until("it runs", async () => (await ask("GET", "/v2/runs/req-000009")).json["running"] === LIVE);
-  state.limits = { ...LATER };
-  state.changesLeft = 3;
+  await submitUntilAccepted("req-000009", {
+    shape: "daemon",
+    urgency: "critical",
+    chores: LIVE_MACHINES,
+    vcpus: 3,
+  });
+  await submitUntilAccepted("req-000001");
+  await until(
+    "it runs",
+    async () => (await ask("GET", "/v2/runs/req-000009")).json["running"] === LIVE_MACHINES,
+  );
+  state.limits = { ...LOWER_LIMITS };
+  state.changesUntilRateLimited = 3;
   const ids = [2, 3, 4, 5, 6, 7].map((n) => `req-00000${n}`);
-  const all = ids.map((id) => submitted(id));
-  await until("changes beyond the rate are refused", () => state.tooMany.length >= 3);
-  state.changesLeft = Infinity;
+  const all = ids.map((id) => submitUntilAccepted(id));
+  await until("changes beyond the rate are refused", () => state.rateLimitedKeys.length >= 3);
+  state.changesUntilRateLimited = Infinity;
   await Promise.all(all);
-  for (const id of ["req-000001", ...ids]) await done(id);
-  await until("the old record is split", () => !state.rows.has(OLD_BLOCK));
-  const covered = recorded();
-  for (const id of cloud.up.keys()) assert.ok(covered.has(id), id);
-  assert.deepEqual(state.tooLarge, []);
+  for (const id of ["req-000001", ...ids]) await untilDone(id);
+  await until("the old record is split", () => !state.rows.has(OLD_MACHINES_KEY));
+  const covered = recordedMachineIds();
+  for (const id of cloud.machines.keys()) assert.ok(covered.has(id), id);
+  assert.deepEqual(state.tooLargeKeys, []);
 });
 
 test("what is refused as too large is tried again rarely, and goes through once it may", async () => {
   state.limits = { valueKb: 2, txnOps: 1 };
-  await submitted("req-000011");
-  const refused = (): number => state.tooLarge.filter((key) => key === "commit/req-000011").length;
+  await submitUntilAccepted("req-000011");
+  const refused = (): number => state.tooLargeKeys.filter((key) => key === "commit/req-000011").length;
   await until("its commit is refused", () => refused() >= 2);
   await new Promise((wait) => setTimeout(wait, 3000));
   // pauses grow: in so much time there would otherwise be a dozen
   assert.ok(refused() <= 6, `${refused()} attempts`);
-  state.limits = { ...LATER };
-  await done("req-000011");
+  state.limits = { ...LOWER_LIMITS };
+  await untilDone("req-000011");
 });
 
 test("a job that no longer fits is refused, but a repeat of one that was accepted isn't", async () => {
   const large = { bundle: "x".repeat(3000) };
-  assert.equal((await ask("POST", "/v2/runs", job("req-000012", large))).status, 400);
+  assert.equal((await ask("POST", "/v2/runs", submission("req-000012", large))).status, 400);
   state.put("commit/req-000013", { outcome: "done", tasks: 30 });
-  const answer = await ask("POST", "/v2/runs", job("req-000013", large));
+  const answer = await ask("POST", "/v2/runs", submission("req-000013", large));
   assert.deepEqual(answer, { status: 200, json: { ref: "req-000013", status: "done" } });
 });
 
 test("a repeat of an accepted job gets its answer also while the state service refuses to store it", async () => {
   const refuses = (keys: readonly string[]): boolean => keys.includes("job/req-000014");
-  state.refuses.add(refuses);
-  assert.equal((await ask("POST", "/v2/runs", job("req-000014"))).status, 400);
+  state.rejectionRules.add(refuses);
+  assert.equal((await ask("POST", "/v2/runs", submission("req-000014"))).status, 400);
   state.put("commit/req-000014", { outcome: "done", tasks: 30 });
-  const answer = await ask("POST", "/v2/runs", job("req-000014"));
+  const answer = await ask("POST", "/v2/runs", submission("req-000014"));
   assert.deepEqual(answer, { status: 200, json: { ref: "req-000014", status: "done" } });
-  state.refuses.delete(refuses);
+  state.rejectionRules.delete(refuses);
 });
 
 test("types that are too many for one value aren't written, and every node knows them all the same", async () => {
   const otherState = new FakeStateService();
   const otherCloud = new FakeCloud(() => "");
-  otherCloud.otherTypes = Array.from({ length: 30 }, (_, i) => `type-${i}`);
+  otherCloud.extraTypeLabels = Array.from({ length: 30 }, (_, i) => `type-${i}`);
   await otherState.start();
   await otherCloud.start();
-  otherState.limits = { ...LATER };
+  otherState.limits = { ...LOWER_LIMITS };
   try {
-    const one = await platform("one", otherState, otherCloud);
-    const two = await platform("two", otherState, otherCloud);
+    const one = await platformSettings("one", otherState, otherCloud);
+    const two = await platformSettings("two", otherState, otherCloud);
     one.seeds.push({ member: "two", domain: "east", addr: two.peer_bind });
     two.seeds.push({ member: "one", domain: "east", addr: one.peer_bind });
-    start(one);
-    start(two);
+    startWithSettings(one);
+    startWithSettings(two);
     // what could never run is told only by those who know the types
-    const never = job("req-000021", { builds: ["type-29"], vcpus: 5 });
+    const unschedulable = submission("req-000021", { builds: ["type-29"], vcpus: 5 });
     for (const at of [one.front, two.front])
-      await until("types are known", async () => (await ask("POST", "/v2/runs", never, at)).status === 422);
+      await until(
+        "types are known",
+        async () => (await ask("POST", "/v2/runs", unschedulable, at)).status === 422,
+      );
     assert.ok(!otherState.rows.has("types"));
-    assert.deepEqual(otherState.tooLarge, []);
+    assert.deepEqual(otherState.tooLargeKeys, []);
   } finally {
     otherCloud.stop();
     otherState.stop();
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -39,7 +39,7 @@
   { valueKb: 2, txnOps: 20 },
   { valueKb: 16, txnOps: 5 },
 ];
-const NAME = "a-rather-long-name-of-something-in-a-far-away-place".padEnd(60, "x");
+const LONG_NAME = "a-rather-long-name-of-something-in-a-far-away-place".padEnd(60, "x");
 const BIG = 9_007_199_254_740_991;
 
 /** What the state service checks. */
@@ -61,35 +61,39 @@
 };
 const machine = (n: number): [string, MachineRecord] => [
   `n-${String(n).padStart(58, "0")}`,
-  { type: NAME, zone: NAME, spot: false, addr: `255.255.255.255:${60_000 + (n % 5000)}` },
+  { type: LONG_NAME, zone: LONG_NAME, spot: false, addr: `255.255.255.255:${60_000 + (n % 5000)}` },
 ];
 
 test("records of one thing each fit", () => {
   const term: TermRecord = {
     number: BIG,
     leaderRevision: BIG,
-    leader: NAME,
-    members: Array.from({ length: 9 }, (_, i) => ({ name: `${i}${NAME}`, incarnation: BIG, zone: NAME })),
+    leader: LONG_NAME,
+    members: Array.from({ length: 9 }, (_, i) => ({
+      name: `${i}${LONG_NAME}`,
+      incarnation: BIG,
+      zone: LONG_NAME,
+    })),
   };
-  const member: MemberRecord = { zone: NAME, leaseId: BIG };
-  const leader: LeaderRecord = { member: NAME, leaseId: BIG };
-  const rental: RentalRecord = { type: NAME, zone: NAME, spot: false, count: 50 };
+  const member: MemberRecord = { zone: LONG_NAME, leaseId: BIG };
+  const leader: LeaderRecord = { member: LONG_NAME, leaseId: BIG };
+  const rental: RentalRecord = { type: LONG_NAME, zone: LONG_NAME, spot: false, count: 50 };
   const commit: CommitRecord = { outcome: "cancelled", tasks: 100_000 };
   const submission = parseSubmission(
     JSON.stringify({
       ref: `req-${"9".repeat(18)}`,
-      roster: NAME,
-      crew: NAME,
+      roster: LONG_NAME,
+      crew: LONG_NAME,
       shape: "ensemble",
       urgency: "critical",
       chores: 100_000,
       vcpus: 0.123456789,
       gpus: 0.123456789,
       mem_gb: 1234.123456789,
-      bundle: NAME,
+      bundle: LONG_NAME,
       image_gb: 1234.123456789,
-      builds: Array.from({ length: 12 }, () => NAME),
-      district: NAME,
+      builds: Array.from({ length: 12 }, () => LONG_NAME),
+      district: LONG_NAME,
       together: false,
       apart: false,
       loaners: false,
@@ -103,7 +107,7 @@
   const job = encodeJobRecord(submission.wire, new Date());
   for (const limits of LIMITS)
     for (const value of [encodeTerm(term), encodeMember(member), encodeLeader(leader), rental, commit, job])
-      assertFits(limits, [{ key: NAME, revision: BIG }], [{ put: NAME, value }]);
+      assertFits(limits, [{ key: LONG_NAME, revision: BIG }], [{ put: LONG_NAME, value }]);
 });
 
 test("a full transaction of ranges fits, whatever has finished", () => {
@@ -115,7 +119,7 @@
     assertFits(
       limits,
       largest.map((_, i) => ({ key: `commit/req-${i}${"9".repeat(17)}`, revision: 0 })),
-      largest.map((value, i) => ({ put: `ranges/req-${"9".repeat(18)}/${NAME}.${BIG}/${i}`, value })),
+      largest.map((value, i) => ({ put: `ranges/req-${"9".repeat(18)}/${LONG_NAME}.${BIG}/${i}`, value })),
     );
   }
 });
@@ -127,7 +131,7 @@
     assert.deepEqual(Object.assign({}, ...pieces), Object.fromEntries(many));
     for (const machines of pieces) {
       assert.ok(Object.keys(machines).length <= 40);
-      assertFits(limits, [], [{ put: NAME, value: { machines } }]);
+      assertFits(limits, [], [{ put: LONG_NAME, value: { machines } }]);
     }
     // no piece is begun before the one before it is nearly full
     assert.ok(
@@ -140,7 +144,9 @@
   assert.equal(splitRecord([machine(1), machine(2)], 10).length, 2);
 });
 
-const newsOf = (count: number): { part: WorkerPartition; report: (n: number, seq: number) => Heartbeat } => {
+const partitionWithWorkers = (
+  count: number,
+): { part: WorkerPartition; report: (n: number, seq: number) => Heartbeat } => {
   const part = new WorkerPartition("a", 1000, Duration.seconds(4));
   part.setTerm({
     number: 1,
@@ -151,7 +157,7 @@
   const heartbeat = (n: number, sequence: number): Heartbeat => ({
     machine: `n-${n}`,
     addr: "10.1.0.232:9000",
-    type: NAME,
+    type: LONG_NAME,
     zone: "east",
     spot: true,
     workerEpoch: 1,
@@ -172,15 +178,15 @@
 
 test("news are cut into pieces that fit, and what is left over comes next", () => {
   for (const limits of LIMITS) {
-    const { part } = newsOf(700);
+    const { part } = partitionWithWorkers(700);
     const heartbeats = new Set<string>();
     const seen = new Set<string>();
-    let most = 60;
+    let maxItems = 60;
     for (let rounds = 0; heartbeats.size < 700 || seen.size < 700; rounds++) {
       assert.ok(rounds < 200, `${heartbeats.size} reports, ${seen.size} seen`);
-      const news = part.takeUpdate(instant(1000), most);
+      const update = part.takeUpdate(instant(1000), maxItems);
       // a word that doesn't name everyone who was answered must not pass for one that does
-      assert.equal(part.isUpdateComplete(), [...seen, ...news.contacts].length >= 700);
+      assert.equal(part.isUpdateComplete(), [...seen, ...update.contacts].length >= 700);
       const sync = {
         termNumber: 1,
         member: "a",
@@ -188,29 +194,29 @@
         leaderClockMark: -1,
         progressVersion: -1,
         reachesStateService: true,
-        ...news,
+        ...update,
       };
       const pieces = toFragments(sync, fragmentLimits(limits.valueKb, limits.txnOps));
       if (pieces === null) {
-        part.putBack(news);
-        most = Math.floor(most / 2);
-        assert.ok(most >= 1);
+        part.putBack(update);
+        maxItems = Math.floor(maxItems / 2);
+        assert.ok(maxItems >= 1);
         continue;
       }
       assertFits(
         limits,
         [],
-        pieces.map((value, i) => ({ put: `news/${NAME}/${i}`, value, leaseId: BIG })),
+        pieces.map((value, i) => ({ put: `news/${LONG_NAME}/${i}`, value, leaseId: BIG })),
       );
-      const got = fromFragments(pieces)!;
-      for (const aged of got.heartbeats) heartbeats.add(aged.heartbeat.machine);
-      for (const contact of got.contacts) seen.add(contact.machine);
+      const decoded = fromFragments(pieces)!;
+      for (const aged of decoded.heartbeats) heartbeats.add(aged.heartbeat.machine);
+      for (const contact of decoded.contacts) seen.add(contact.machine);
     }
   }
 });
 
 test("finishes refused as they are give way to others for a while", () => {
-  const { part, report: heartbeat } = newsOf(1);
+  const { part, report: heartbeat } = partitionWithWorkers(1);
   const done = (job: string, seq: number) =>
     part.recordHeartbeat(
       { ...heartbeat(0, seq), tasks: [{ job, index: 0, attempt: 1, state: "exited", exitReason: "done" }] },
@@ -218,60 +224,60 @@
     );
   done("req-1", 2);
   done("req-2", 3);
-  const next = (at: number) => part.finishes.beginWrites("a.1", 1, instant(at), () => true);
-  const [first] = next(5000);
+  const nextWrites = (at: number) => part.finishes.beginWrites("a.1", 1, instant(at), () => true);
+  const [first] = nextWrites(5000);
   assert.equal(first!.job, "req-1");
   part.finishes.writeAnswered(first!, "refused", instant(5000));
-  const [second] = next(5001);
+  const [second] = nextWrites(5001);
   assert.equal(second!.job, "req-2");
   part.finishes.writeAnswered(second!, "stored", instant(5001));
-  assert.deepEqual(next(20_000), []);
-  assert.equal(next(40_000)[0]!.job, "req-1");
+  assert.deepEqual(nextWrites(20_000), []);
+  assert.equal(nextWrites(40_000)[0]!.job, "req-1");
 });
 
 test("finishes that were refused by themselves come alone after the others, until they are stored", () => {
-  const { part, report: heartbeat } = newsOf(1);
+  const { part, report: heartbeat } = partitionWithWorkers(1);
   let seq = 1;
   const done = (job: string, index: number) =>
     part.recordHeartbeat(
       { ...heartbeat(0, ++seq), tasks: [{ job, index, attempt: 1, state: "exited", exitReason: "done" }] },
       instant(0),
     );
-  const next = (at: number) => part.finishes.beginWrites("a.1", 20, instant(at), () => true);
+  const nextWrites = (at: number) => part.finishes.beginWrites("a.1", 20, instant(at), () => true);
   done("req-1", 0);
-  const [first] = next(5000);
+  const [first] = nextWrites(5000);
   part.finishes.writeAnswered(first!, "refused", instant(5000));
   for (const job of ["req-2", "req-3"]) done(job, 0);
   // long after its pause
-  const others = next(60_000);
+  const others = nextWrites(60_000);
   assert.deepEqual(
     others.map((write) => write.job),
     ["req-2", "req-3"],
   );
   for (const write of others) part.finishes.writeAnswered(write, "stored", instant(60_000));
-  const [again, ...more] = next(60_001);
+  const [again, ...more] = nextWrites(60_001);
   assert.deepEqual([again!.job, more], ["req-1", []]);
   part.finishes.writeAnswered(again!, "stored", instant(60_001));
   done("req-1", 5);
   done("req-4", 0);
   assert.deepEqual(
-    next(90_000).map((write) => write.job),
+    nextWrites(90_000).map((write) => write.job),
     ["req-1", "req-4"],
   );
 });
 
 test("a record of machines that was refused by itself gives way to the others for a while", () => {
-  const blocks = new MachineRecordStore();
+  const recordStore = new MachineRecordStore();
   for (const key of ["machines/1", "machines/2"]) {
-    blocks.add(key, Object.fromEntries([machine(1), machine(2)]));
+    recordStore.add(key, Object.fromEntries([machine(1), machine(2)]));
   }
-  blocks.remove(machine(1)[0]);
-  const [refused] = blocks.pendingRewrites(1, undefined, instant(0));
+  recordStore.remove(machine(1)[0]);
+  const [refused] = recordStore.pendingRewrites(1, undefined, instant(0));
   assert.equal(refused!.key, "machines/1");
-  blocks.markRejected([refused!]);
-  blocks.postpone(refused!.key, instant(1000));
+  recordStore.markRejected([refused!]);
+  recordStore.postpone(refused!.key, instant(1000));
   const keysAt = (at: number): string[] =>
-    blocks.pendingRewrites(5, undefined, instant(at)).map((rewrite) => rewrite.key);
+    recordStore.pendingRewrites(5, undefined, instant(at)).map((rewrite) => rewrite.key);
   assert.deepEqual(keysAt(500), ["machines/2"]);
   assert.deepEqual(keysAt(1000), ["machines/1", "machines/2"]);
 });
@@ -285,7 +291,7 @@
   assert.equal(Duration.toMillis(backoff.pauseAfterRefusal()), 250);
 });
 
-interface Txn {
+interface Transaction {
   readonly absent: readonly string[];
   readonly puts: readonly { key: string; machines: Readonly<Record<string, MachineRecord>> }[];
   readonly deletes: readonly string[];
@@ -299,8 +305,8 @@
     const upTo = (n: number): number => uniformInt(random, 0, n - 1);
     const store = new Map<string, readonly string[]>();
     const live = new Set<string>();
-    const sent: Txn[] = [];
-    const blocks = new MachineRecordStore();
+    const sent: Transaction[] = [];
+    const recordStore = new MachineRecordStore();
     const limits = [
       { valueKb: 2, txnOps: 5 },
       { valueKb: 2, txnOps: 6 },
@@ -310,7 +316,7 @@
     const newKey = (): string => `machines/1-${++names}`;
     const room = { valueBytes: maxValueBytes(limits.valueKb), txnBytes: MAX_TXN_BYTES, newKey };
     /** The failed conditions; none: it was carried out. */
-    const apply = (t: Txn): string[] => {
+    const apply = (t: Transaction): string[] => {
       const failed = t.absent.filter((key) => store.has(key));
       if (failed.length > 0) return failed;
       for (const { key, machines } of t.puts) store.set(key, Object.keys(machines));
@@ -327,7 +333,7 @@
       const machines = Object.fromEntries(Array.from({ length: 2 + upTo(30) }, () => machine(++made)));
       const key = newKey();
       store.set(key, Object.keys(machines));
-      blocks.add(key, machines);
+      recordStore.add(key, machines);
       for (const id of Object.keys(machines)) live.add(id);
     }
     for (let step = 0; step < 120; step++) {
@@ -335,23 +341,23 @@
       if (what < 4 && live.size > 0) {
         const id = [...live][upTo(live.size)]!;
         live.delete(id);
-        blocks.remove(id);
+        recordStore.remove(id);
       } else if (what < 5) {
         const [machines] = splitRecord(
           Array.from({ length: 1 + upTo(12) }, () => machine(++made)),
           room.valueBytes,
         );
         const key = newKey();
-        blocks.add(key, machines!);
-        const open: Txn = { absent: [key], puts: [{ key, machines: machines! }], deletes: [] };
+        recordStore.add(key, machines!);
+        const open: Transaction = { absent: [key], puts: [{ key, machines: machines! }], deletes: [] };
         sent.push(open);
         // without an answer nothing is started on these machines under this record
         if (upTo(3) > 0 && apply(open).length === 0) for (const id of Object.keys(machines!)) live.add(id);
       } else if (what < 8) {
-        const rewrites = blocks.pendingRewrites(limits.txnOps, room);
+        const rewrites = recordStore.pendingRewrites(limits.txnOps, room);
         const pieces = rewrites.flatMap((rewrite) => rewrite.pieces);
         splits += rewrites.filter((rewrite) => rewrite.pieces.length > 0).length;
-        const t: Txn = {
+        const t: Transaction = {
           absent: pieces.map((p) => p.key),
           puts: [
             ...pieces,
@@ -376,15 +382,15 @@
         const outcome = upTo(5);
         if (outcome === 0) {
           // too large after all: this copy isn't carried out, whatever becomes of earlier ones
-          blocks.markRejected(rewrites);
+          recordStore.markRejected(rewrites);
         } else {
           sent.push(t);
           // carried out and answered, carried out without an answer, or neither for now
           if (outcome <= 3) {
             const failed = apply(t);
-            if (outcome <= 2 && failed.length === 0) blocks.markWritten(rewrites);
+            if (outcome <= 2 && failed.length === 0) recordStore.markWritten(rewrites);
             else if (outcome <= 2)
-              blocks.markWritten(
+              recordStore.markWritten(
                 rewrites.filter((rewrite) => rewrite.pieces.some((p) => failed.includes(p.key))),
               );
           }
@@ -396,13 +402,13 @@
       check(`step ${step}`);
     }
     // once all are answered, what is gone is no longer in the blocks that are known
-    for (const id of live) blocks.remove(id);
+    for (const id of live) recordStore.remove(id);
     for (let i = 0; i < 400; i++) {
-      const rewrites = blocks.pendingRewrites(limits.txnOps, room);
+      const rewrites = recordStore.pendingRewrites(limits.txnOps, room);
       if (rewrites.length === 0) break;
-      blocks.markWritten(rewrites);
+      recordStore.markWritten(rewrites);
     }
-    assert.deepEqual(blocks.pendingRewrites(limits.txnOps, room), []);
+    assert.deepEqual(recordStore.pendingRewrites(limits.txnOps, room), []);
   }
   assert.ok(splits > 100 && lateSplits > 10, `${splits} splits, ${lateSplits} late`);
 });
--- a/test/loopback-cluster.ts
+++ b/test/loopback-cluster.ts
@@ -5,25 +5,25 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import type { ListedShard, ShardListing } from "../src/service/shards/shard-operator.js";
-import { freePort, MAIN, until, writeSettings } from "./controller-process.js";
+import { freePort, MAIN_PATH, until, writeSettings } from "./controller-process.js";
 import { FakeCloud } from "./fakes/fake-cloud.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
 
 /** The controllers' names. */
-export const NAMES = ["north", "south", "inland"] as const;
+export const CONTROLLER_NAMES = ["north", "south", "inland"] as const;
 /** The name of one controller. */
-export type Name = (typeof NAMES)[number];
+export type ControllerName = (typeof CONTROLLER_NAMES)[number];
 
 interface Controller {
   readonly front: string;
-  readonly operators: string;
-  readonly config: string;
-  readonly settings: string;
+  readonly operatorsAddress: string;
+  readonly configFile: string;
+  readonly settingsFile: string;
   process: ChildProcess | null;
 }
 
 /** How a command of the command line ended. */
-export interface Ended {
+export interface CommandResult {
   readonly code: number;
   readonly stdout: string;
   readonly stderr: string;
@@ -35,27 +35,32 @@
   readonly cloud = new FakeCloud(() =>
     [...this.controllers].map(([name, { front }]) => `${name}=${front}`).join(","),
   );
-  private readonly controllers = new Map<Name, Controller>();
+  private readonly controllers = new Map<ControllerName, Controller>();
 
-  async start(machines: number): Promise<void> {
+  async start(machineCount: number): Promise<void> {
     await this.state.start();
     await this.cloud.start();
-    this.cloud.capacity = machines;
-    const peers = new Map<Name, string>();
-    for (const name of NAMES) peers.set(name, `127.0.0.1:${await freePort()}`);
-    for (const name of NAMES) this.controllers.set(name, await this.newController(name, peers, machines));
-    for (const name of NAMES) this.startController(name);
-    await this.untilInForce();
+    this.cloud.maxMachines = machineCount;
+    const peers = new Map<ControllerName, string>();
+    for (const name of CONTROLLER_NAMES) peers.set(name, `127.0.0.1:${await freePort()}`);
+    for (const name of CONTROLLER_NAMES)
+      this.controllers.set(name, await this.newController(name, peers, machineCount));
+    for (const name of CONTROLLER_NAMES) this.startController(name);
+    await this.untilShardsInForce();
   }
 
-  private async newController(name: Name, peers: Map<Name, string>, machines: number): Promise<Controller> {
+  private async newController(
+    name: ControllerName,
+    peers: Map<ControllerName, string>,
+    machineCount: number,
+  ): Promise<Controller> {
     const front = `127.0.0.1:${await freePort()}`;
-    const operators = `127.0.0.1:${await freePort()}`;
-    const settings = join(mkdtempSync(join(tmpdir(), "indigowick-")), "own.json");
-    const own = { idle_boots: 100, shards: { enabled: true }, operators_socket: operators };
-    writeFileSync(settings, JSON.stringify(own));
-    const others = NAMES.filter((other) => other !== name);
-    const config = writeSettings({
+    const operatorsAddress = `127.0.0.1:${await freePort()}`;
+    const settingsFile = join(mkdtempSync(join(tmpdir(), "indigowick-")), "own.json");
+    const ownSettings = { idle_boots: 100, shards: { enabled: true }, operators_socket: operatorsAddress };
+    writeFileSync(settingsFile, JSON.stringify(ownSettings));
+    const others = CONTROLLER_NAMES.filter((other) => other !== name);
+    const configFile = writeSettings({
       member: name,
       domain: "east",
       front,
@@ -65,7 +70,7 @@
       params: {
         initial_size: 3,
         zones: ["east"],
-        teams: [{ name: "red", cpus: 4 * machines, cpus_max: 4 * machines, gpus: 0, gpus_max: 0 }],
+        teams: [{ name: "red", cpus: 4 * machineCount, cpus_max: 4 * machineCount, gpus: 0, gpus_max: 0 }],
         objectives: [],
         workers: { report_s: 0.2, lease_s: 10, cancel_s: 30 },
         state: { rps: 1000, write_rps: 1000, value_kb: 16, txn_ops: 16 },
@@ -73,26 +78,38 @@
         machine_limits: { core_share: 1, ram_mb: 200, max_connections: 1000 },
       },
     });
-    return { front, operators, config, settings, process: null };
+    return {
+      front,
+      operatorsAddress,
+      configFile,
+      settingsFile,
+      process: null,
+    };
   }
 
-  startController(name: Name, settings?: string): void {
+  startController(name: ControllerName, settingsFile?: string): void {
     const controller = this.controllers.get(name)!;
-    const args = [MAIN, "--config", controller.config, "--settings", settings ?? controller.settings];
+    const args = [
+      MAIN_PATH,
+      "--config",
+      controller.configFile,
+      "--settings",
+      settingsFile ?? controller.settingsFile,
+    ];
     controller.process = spawn(process.execPath, args, {
       stdio: ["ignore", "ignore", "inherit"],
       env: { ...process.env, LOG_LEVEL: "error" },
     });
   }
 
-  kill(name: Name): void {
+  kill(name: ControllerName): void {
     this.controllers.get(name)!.process?.kill("SIGKILL");
   }
 
   /** Starts it again with shards, or without. */
-  restart(name: Name, shards = true): void {
+  restart(name: ControllerName, withShards = true): void {
     this.kill(name);
-    this.startController(name, shards ? undefined : writeSettings({ idle_boots: 100 }));
+    this.startController(name, withShards ? undefined : writeSettings({ idle_boots: 100 }));
   }
 
   stop(): void {
@@ -102,43 +119,43 @@
   }
 
   /** Runs the command line against one controller. */
-  cli(at: Name, ...args: string[]): Promise<Ended> {
-    return new Promise((done) => {
+  runShardsCommand(at: ControllerName, ...args: string[]): Promise<CommandResult> {
+    return new Promise((resolve) => {
       const child = spawn(process.execPath, [
-        MAIN,
+        MAIN_PATH,
         "shards",
         ...args,
         "--at",
-        this.controllers.get(at)!.operators,
+        this.controllers.get(at)!.operatorsAddress,
       ]);
       let stdout = "";
       let stderr = "";
       child.stdout.on("data", (chunk: Buffer) => (stdout += chunk.toString()));
       child.stderr.on("data", (chunk: Buffer) => (stderr += chunk.toString()));
-      child.on("close", (code) => done({ code: code ?? -1, stdout, stderr }));
+      child.on("close", (code) => resolve({ code: code ?? -1, stdout, stderr }));
     });
   }
 
-  async list(at: Name = "north"): Promise<ShardListing> {
-    const { code, stdout, stderr } = await this.cli(at, "list", "--json");
+  async listShards(at: ControllerName = "north"): Promise<ShardListing> {
+    const { code, stdout, stderr } = await this.runShardsCommand(at, "list", "--json");
     assert.equal(code, 0, stderr);
     return JSON.parse(stdout) as ShardListing;
   }
 
   /** Shards that have machines, with their owners. */
-  async busyShards(): Promise<readonly ListedShard[]> {
-    return (await this.list()).shards.filter((shard) => shard.machines > 0);
+  async shardsWithMachines(): Promise<readonly ListedShard[]> {
+    return (await this.listShards()).shards.filter((shard) => shard.machines > 0);
   }
 
-  untilInForce(inForce = true, at: Name = "north"): Promise<void> {
+  untilShardsInForce(inForce = true, at: ControllerName = "north"): Promise<void> {
     return until(`shards are ${inForce ? "" : "not "}in force`, async () => {
-      const listing = await this.list(at);
-      return listing.inForce === inForce && listing.controllers.length === NAMES.length;
+      const listing = await this.listShards(at);
+      return listing.inForce === inForce && listing.controllers.length === CONTROLLER_NAMES.length;
     });
   }
 
   /** Asks whichever controller answers. */
-  async ask(method: string, path: string, body?: unknown): Promise<[number, Record<string, unknown>]> {
+  async request(method: string, path: string, body?: unknown): Promise<[number, Record<string, unknown>]> {
     for (const { front } of this.controllers.values())
       try {
         const sent = body === undefined ? {} : { body: JSON.stringify(body) };
@@ -151,7 +168,7 @@
     return [503, {}];
   }
 
-  submit(ref: string, more: object = {}): Promise<void> {
+  submit(ref: string, overrides: object = {}): Promise<void> {
     const job = {
       ...{
         ref,
@@ -165,14 +182,14 @@
       },
       ...{ mem_gb: 1, bundle: "img", image_gb: 0.1, together: false, apart: false, loaners: false },
       ...{ expected_s: 1, bookmark_s: 0, stash_s: 0 },
-      ...more,
+      ...overrides,
     };
     return until(`${ref} accepted`, async () =>
-      [200, 201].includes((await this.ask("POST", "/v2/runs", job))[0]),
+      [200, 201].includes((await this.request("POST", "/v2/runs", job))[0]),
     );
   }
 
-  async status(ref: string): Promise<unknown> {
-    return (await this.ask("GET", `/v2/runs/${ref}`))[1]["status"];
+  async jobStatus(ref: string): Promise<unknown> {
+    return (await this.request("GET", `/v2/runs/${ref}`))[1]["status"];
   }
 }
--- a/test/measure/shards.ts
+++ b/test/measure/shards.ts
@@ -12,12 +12,12 @@
   shardOf,
   type ShardWrite,
 } from "#shards";
-import { LoopbackCluster, NAMES } from "../loopback-cluster.js";
+import { LoopbackCluster, CONTROLLER_NAMES } from "../loopback-cluster.js";
 
-const MACHINES = [450, 1500, 4000];
+const MACHINE_COUNTS = [450, 1500, 4000];
 const ZONES = ["a", "b", "c"];
-const TXN_OPS = 16;
-const REQUESTS_OF_A_HANDOFF = 3;
+const MAX_TXN_OPS = 16;
+const REQUESTS_PER_HANDOFF = 3;
 
 interface Member {
   readonly name: string;
@@ -35,8 +35,8 @@
   private revision = 10;
   private token = 0;
   assignment = Assignment.empty;
-  requests = 0;
-  changes = 0;
+  requestCount = 0;
+  changeCount = 0;
   private readonly loads: ReadonlyMap<ShardId, number>;
 
   constructor(
@@ -47,12 +47,12 @@
     for (const { id, zone } of machines)
       counts.set(shardOf(id, zone), (counts.get(shardOf(id, zone)) ?? 0) + 1);
     this.loads = counts;
-    this.term(members);
-    this.settle(new Set());
-    this.requests = this.changes = 0;
+    this.startTerm(members);
+    this.rebalance(new Set());
+    this.requestCount = this.changeCount = 0;
   }
 
-  term(members: readonly Member[]): void {
+  startTerm(members: readonly Member[]): void {
     const revision = ++this.revision;
     this.assignment = this.assignment
       .withTerm({ number: ++this.token, revision, members })
@@ -67,14 +67,14 @@
     const revision = ++this.revision;
     const rows = writes.map(({ shard, state }) => ({ shard, revision, value: encodeShardState(state) }));
     this.assignment = this.assignment.withChanges(rows, this.token, revision);
-    this.requests++;
-    this.changes += writes.length;
+    this.requestCount++;
+    this.changeCount += writes.length;
   }
 
   /** Writes owners down, and moves shards until nothing is left to move. */
-  settle(draining: ReadonlySet<string>): void {
+  rebalance(draining: ReadonlySet<string>): void {
     for (;;) {
-      const writes = repairsOf(this.assignment, this.loads, () => false, TXN_OPS / 2);
+      const writes = repairsOf(this.assignment, this.loads, () => false, MAX_TXN_OPS / 2);
       if (writes.length === 0) break;
       this.write(writes);
     }
@@ -98,68 +98,87 @@
         const epoch = this.assignment.ownershipOf(shard)!.epoch + 1;
         const state = { _tag: "Owned", epoch, owner: target } as const;
         this.write([{ shard, revision: 0, termRevision: 0, state }]);
-        this.requests += REQUESTS_OF_A_HANDOFF - 1;
-        this.changes += REQUESTS_OF_A_HANDOFF - 1;
+        this.requestCount += REQUESTS_PER_HANDOFF - 1;
+        this.changeCount += REQUESTS_PER_HANDOFF - 1;
       }
     }
   }
 }
 
-const differing = (a: Map<string, string | null>, b: Map<string, string | null>): number =>
+const countDifferences = (a: Map<string, string | null>, b: Map<string, string | null>): number =>
   [...a].filter(([machine, owner]) => b.get(machine) !== owner).length;
 
-const hashed = (machines: Machines, members: readonly Member[]) =>
+const rendezvousOwners = (machines: Machines, members: readonly Member[]) =>
   new Map(machines.map(({ id, zone }) => [id, rendezvousOwner(members, id, zone)?.name ?? null]));
 
 const measureOwnership = (): void => {
   for (const count of [3, 5])
-    for (const size of MACHINES) {
+    for (const size of MACHINE_COUNTS) {
       const machines = machinesOf(size);
       const members = membersOf(count);
-      const rest = members.filter(({ name }) => name !== "m-0");
-      const byHash = differing(hashed(machines, members), hashed(machines, rest));
-      const world = new Simulation(machines, members);
+      const remaining = members.filter(({ name }) => name !== "m-0");
+      const movedByHash = countDifferences(
+        rendezvousOwners(machines, members),
+        rendezvousOwners(machines, remaining),
+      );
+      const simulation = new Simulation(machines, members);
       const steps: [string, () => void][] = [
-        ["ends", () => world.term(rest)],
-        ["  afterwards", () => world.settle(new Set())],
-        ["joins", () => world.term(members)],
-        ["  afterwards", () => world.settle(new Set())],
-        ["drained", () => world.settle(new Set(["m-0"]))],
-        ["ends, drained", () => world.term(rest)],
+        ["ends", () => simulation.startTerm(remaining)],
+        ["  afterwards", () => simulation.rebalance(new Set())],
+        ["joins", () => simulation.startTerm(members)],
+        ["  afterwards", () => simulation.rebalance(new Set())],
+        ["drained", () => simulation.rebalance(new Set(["m-0"]))],
+        ["ends, drained", () => simulation.startTerm(remaining)],
       ];
       console.log(
-        `${count} controllers, ${size} machines; by hash: ${byHash} at an end, ${byHash} at a return`,
+        `${count} controllers, ${size} machines; by hash: ${movedByHash} at an end, ${movedByHash} at a return`,
       );
-      for (const [what, step] of steps) {
-        const before = world.owners();
-        world.requests = world.changes = 0;
+      for (const [label, step] of steps) {
+        const before = simulation.owners();
+        simulation.requestCount = simulation.changeCount = 0;
         step();
-        const moved = differing(before, world.owners());
-        console.log(`  ${what}: ${moved} workers, ${world.requests} requests, ${world.changes} changes`);
+        const moved = countDifferences(before, simulation.owners());
+        console.log(
+          `  ${label}: ${moved} workers, ${simulation.requestCount} requests, ${simulation.changeCount} changes`,
+        );
       }
     }
 };
 
-const measureMoves = async (machines: number, rounds: number): Promise<void> => {
+const measureMoves = async (machineCount: number, moveCount: number): Promise<void> => {
   const cluster = new LoopbackCluster();
-  await cluster.start(machines);
-  await cluster.submit("req-000019", { shape: "daemon", urgency: "critical", chores: machines, vcpus: 4 });
-  while ((await cluster.ask("GET", "/v2/runs/req-000019"))[1]["running"] !== machines) await cluster.list();
-  const workers = [...cluster.cloud.up.values()].map(({ worker }) => worker);
-  for (const worker of workers) worker.longestGapMs = worker.redirects = 0;
-  const times: number[] = [];
-  for (let round = 0; round < rounds; round++) {
-    const shards = await cluster.busyShards();
+  await cluster.start(machineCount);
+  await cluster.submit("req-000019", {
+    shape: "daemon",
+    urgency: "critical",
+    chores: machineCount,
+    vcpus: 4,
+  });
+  while ((await cluster.request("GET", "/v2/runs/req-000019"))[1]["running"] !== machineCount)
+    await cluster.listShards();
+  const workers = [...cluster.cloud.machines.values()].map(({ worker }) => worker);
+  for (const worker of workers) worker.longestHeartbeatGapMs = worker.redirectCount = 0;
+  const durationsMs: number[] = [];
+  for (let round = 0; round < moveCount; round++) {
+    const shards = await cluster.shardsWithMachines();
     const shard = shards[round % shards.length]!;
-    const target = NAMES.find((name) => name !== shard.owner)!;
-    const { code, stdout, stderr } = await cluster.cli("north", "move", shard.shard, target, "--json");
-    if (code === 0) times.push((JSON.parse(stdout) as { tookMs: number }).tookMs);
+    const target = CONTROLLER_NAMES.find((name) => name !== shard.owner)!;
+    const { code, stdout, stderr } = await cluster.runShardsCommand(
+      "north",
+      "move",
+      shard.shard,
+      target,
+      "--json",
+    );
+    if (code === 0) durationsMs.push((JSON.parse(stdout) as { tookMs: number }).tookMs);
     else console.log(`refused: ${stderr}${stdout}`);
   }
-  times.sort((a, b) => a - b);
-  const gaps = workers.map((worker) => worker.longestGapMs).sort((a, b) => a - b);
-  const redirects = workers.reduce((sum, worker) => sum + worker.redirects, 0);
-  console.log(`${machines} machines, ${times.length} of ${rounds} moves: ms ${times.join(" ")}`);
+  durationsMs.sort((a, b) => a - b);
+  const gaps = workers.map((worker) => worker.longestHeartbeatGapMs).sort((a, b) => a - b);
+  const redirects = workers.reduce((sum, worker) => sum + worker.redirectCount, 0);
+  console.log(
+    `${machineCount} machines, ${durationsMs.length} of ${moveCount} moves: ms ${durationsMs.join(" ")}`,
+  );
   console.log(
     `longest gap between answered reports, ms: median ${gaps[gaps.length >> 1]}, most ${gaps.at(-1)}`,
   );
@@ -168,20 +187,20 @@
 };
 
 const measureMemory = (): void => {
-  const used = (): number => {
+  const usedHeapBytes = (): number => {
     (globalThis as { gc?: () => void }).gc?.();
     return process.memoryUsage().heapUsed;
   };
-  const before = used();
-  const world = new Simulation(machinesOf(4000), membersOf(5));
-  const remembered = new Map(machinesOf(4000).map(({ id, zone }) => [id, shardOf(id, zone)]));
-  const kb = Math.round((used() - before) / 1024);
+  const before = usedHeapBytes();
+  const simulation = new Simulation(machinesOf(4000), membersOf(5));
+  const shardOfMachine = new Map(machinesOf(4000).map(({ id, zone }) => [id, shardOf(id, zone)]));
+  const kb = Math.round((usedHeapBytes() - before) / 1024);
   console.log(
-    `${kb} KB of heap for 4,000 machines, ${world.assignment.recordedShards().length} records, ${remembered.size} remembered`,
+    `${kb} KB of heap for 4,000 machines, ${simulation.assignment.recordedShards().length} records, ${shardOfMachine.size} remembered`,
   );
 };
 
-const [what, machines, rounds] = process.argv.slice(2);
-if (what === "ownership") measureOwnership();
-else if (what === "memory") measureMemory();
+const [measurement, machines, rounds] = process.argv.slice(2);
+if (measurement === "ownership") measureOwnership();
+else if (measurement === "memory") measureMemory();
 else await measureMoves(Number(machines ?? 12), Number(rounds ?? 12));
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -39,11 +39,11 @@
   fakeState.put(key, encodeMember({ zone: "east", leaseId: earlier }), earlier);
   const member = new Membership("one", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
-  const attempts = (): boolean => fakeState.rows.get(key)?.stamp === member.incarnation;
+  const holdsMemberKey = (): boolean => fakeState.rows.get(key)?.revision === member.incarnation;
   try {
-    await until("it joined", () => member.leaseId !== null && attempts());
+    await until("it joined", () => member.leaseId !== null && holdsMemberKey());
     // the dead process's lease was ended by its successor
-    assert.equal(fakeState.grants.has(earlier), false);
+    assert.equal(fakeState.leases.has(earlier), false);
     // its write comes late, conditional as every process's is: refused
     const late = await Effect.runPromise(
       state.commit([{ key, revision: 0 }], [{ put: key, value: { zone: "east", permit: 1 } }]),
@@ -53,7 +53,7 @@
     const before = member.incarnation;
     const other = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
     fakeState.put(key, encodeMember({ zone: "east", leaseId: other }), other);
-    await until("it joined anew", () => member.incarnation > before && attempts());
+    await until("it joined anew", () => member.incarnation > before && holdsMemberKey());
   } finally {
     await Effect.runPromise(Fiber.interrupt(running));
   }
@@ -63,7 +63,7 @@
   const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
   const member = new Membership("two", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
-  const tryLead = (): Promise<boolean> =>
+  const campaign = (): Promise<boolean> =>
     Effect.runPromise(Effect.orElseSucceed(member.campaign, () => false));
   const key = keys.leader;
   try {
@@ -71,15 +71,15 @@
     // another process's key is no reason to lead, also if the process has the same name
     const other = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
     fakeState.put(key, encodeLeader({ member: "two", leaseId: other }), other);
-    assert.equal(await tryLead(), false);
+    assert.equal(await campaign(), false);
     await Effect.runPromise(state.revokeLease(other));
     // its own write is carried out now: as long as it renews the lease, nobody else can lead
     const leaseId = member.leaseId!;
     fakeState.put(key, encodeLeader({ member: "two", leaseId }), leaseId);
-    const { stamp } = fakeState.rows.get(key)!;
+    const { revision: stamp } = fakeState.rows.get(key)!;
     let leads = false;
     for (let i = 0; i < 100 && !leads; i++) {
-      leads = await tryLead();
+      leads = await campaign();
       await new Promise((done) => setTimeout(done, 25));
     }
     assert.equal(leads, true);
@@ -90,11 +90,11 @@
 });
 
 test("a question that was put off goes before others the next time", async () => {
-  const asked: string[][] = [];
+  const queriedKeys: string[][] = [];
   let refuse = true;
   const fake = {
     commit: (when: { key: string }[]) => {
-      asked.push(when.map((c) => c.key));
+      queriedKeys.push(when.map((c) => c.key));
       return refuse
         ? Effect.fail(new Unavailable({ reason: "no share left" }))
         : Effect.succeed({ ok: true, revision: 1 } as const);
@@ -109,10 +109,10 @@
   const [first] = await ask("req-9");
   assert.equal(first?._tag, "Left");
   refuse = false;
-  asked.length = 0;
+  queriedKeys.length = 0;
   const answers = await ask("req-1", "req-2", "req-3", "req-4", "req-9");
   assert.ok(answers.every((a) => a._tag === "Right" && a.right.kind === "absent"));
-  assert.ok(asked[0]!.includes("commit/req-9"), asked[0]!.join(" "));
+  assert.ok(queriedKeys[0]!.includes("commit/req-9"), queriedKeys[0]!.join(" "));
 });
 
 test("a waiting job's answer rests on all before it: an ancestor's cancel counts before anybody passed it on", async () => {
@@ -141,9 +141,9 @@
     ...{ mem_gb: 1, bundle: "img", image_gb: 1, awaits },
   });
   const mirror = new JobCache(fake, log);
-  const mirrors = [mirror];
+  const jobCaches = [mirror];
   const stored = (key: string) =>
-    mirrors
+    jobCaches
       .map((m) =>
         key.startsWith(keys.blockedJobs) ? m.blockedJobs.get(key.slice(keys.blockedJobs.length)) : undefined,
       )
@@ -169,12 +169,12 @@
     JSON.stringify(compared),
   );
   // nor does it matter what this node has heard of the jobs in between
-  const partly = new JobCache(fake, log);
-  mirrors.push(partly);
-  partly.putBlocked(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
+  const partialCache = new JobCache(fake, log);
+  jobCaches.push(partialCache);
+  partialCache.putBlocked(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
   commits.delete("commit/req-4");
-  const behind = new JobStatusReader(fake, partly, 3, log);
-  const answer = await Effect.runPromise(behind.statusOf("req-8"));
+  const partialStatus = new JobStatusReader(fake, partialCache, 3, log);
+  const answer = await Effect.runPromise(partialStatus.statusOf("req-8"));
   assert.deepEqual(answer, { kind: "final", commit: { outcome: "cancelled", tasks: 2 } });
   // a parent that is done needn't be asked about again
   commits.set("commit/req-6", { outcome: "done", tasks: 1 });
@@ -185,7 +185,10 @@
 });
 
 /** A state service with these waiting jobs, and commits that a test may add to; `onGet`: what happens as an answer is on its way. */
-const pipelineService = (waits: Record<string, string[]>, onGet: (key: string) => void = () => undefined) => {
+const stateWithBlockedJobs = (
+  waits: Record<string, string[]>,
+  onGet: (key: string) => void = () => undefined,
+) => {
   const rows = new Map<string, unknown>();
   const record = (ref: string, awaits: string[]) => ({
     ...{ ref, roster: "maps", crew: "red", shape: "array", urgency: "normal", chores: 2, vcpus: 1 },
@@ -215,15 +218,18 @@
 
 test("a passed-on cancel that is refused comes again after growing pauses, however often it is asked for", async () => {
   const refuses = (written: readonly string[]): boolean => written.includes(keys.commit("req-77"));
-  fakeState.refuses.add(refuses);
+  fakeState.rejectionRules.add(refuses);
   const status = new JobStatusReader(state, new JobCache(state, log), 64, log);
   const cancel = () => Effect.runPromise(Effect.either(status.cancelBlocked("req-77", 2)));
-  const began = Date.now();
+  const startedAt = Date.now();
   for (let i = 0; i < 20; i++) assert.equal((await cancel())._tag, "Left");
   // the first pause is 250 ms, and each is twice the one before
-  const most = 2 + Math.floor(Math.log2(1 + (Date.now() - began) / 250));
-  assert.ok(fakeState.refused.length <= most, `${fakeState.refused.length} attempts where ${most} may be`);
-  fakeState.refuses.delete(refuses);
+  const maxAttempts = 2 + Math.floor(Math.log2(1 + (Date.now() - startedAt) / 250));
+  assert.ok(
+    fakeState.rejectedTransactions.length <= maxAttempts,
+    `${fakeState.rejectedTransactions.length} attempts where ${maxAttempts} may be`,
+  );
+  fakeState.rejectionRules.delete(refuses);
   for (let i = 0; i < 1200 && !fakeState.rows.has(keys.commit("req-77")); i++) {
     await cancel();
     await new Promise((done) => setTimeout(done, 25));
@@ -234,7 +240,7 @@
 test("a process that heard of nothing yet looks through what comes before a waiting job", async () => {
   // asked of a process that knows nothing, and of one that knows the job itself alone
   for (const known of [false, true]) {
-    const { rows, fake, mirror } = pipelineService(CHAIN);
+    const { rows, fake, mirror } = stateWithBlockedJobs(CHAIN);
     rows.set(keys.commit("req-1"), CANCELLED);
     const last = keys.blockedJob("req-4");
     if (known) mirror.putBlocked(last, rows.get(last), 1);
@@ -246,7 +252,7 @@
 
 test("a waiting job's answer doesn't miss a cancel that passes on as its ancestors are asked about", async () => {
   let passedOn = false;
-  const { rows, fake, mirror } = pipelineService(CHAIN, (key) => {
+  const { rows, fake, mirror } = stateWithBlockedJobs(CHAIN, (key) => {
     if (key !== keys.commit("req-2") || passedOn) return;
     passedOn = true;
     for (const id of ["req-1", "req-2", "req-3"]) {
@@ -264,7 +270,7 @@
 
 test("a waiting job that ends as its ancestors are asked about is read again", async () => {
   let ended = false;
-  const { rows, fake, mirror } = pipelineService(CHAIN, (key) => {
+  const { rows, fake, mirror } = stateWithBlockedJobs(CHAIN, (key) => {
     if (key !== keys.commit("req-3") || ended) return;
     ended = true;
     rows.set(keys.commit("req-4"), CANCELLED);
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -5,93 +5,96 @@
  */
 import assert from "node:assert/strict";
 import type { World } from "./model.js";
-import { playAll, type Scenario } from "./scenarios.js";
+import { runScenarios, type Scenario } from "./scenarios.js";
 
-const SMALL = { tasks: 2, cpus: 1 } as const;
+const SMALL_JOB = { tasks: 2, cpus: 1 } as const;
 const MEMBERS = 3;
 
 /** A job that waits for nothing, sent through any process. */
-const root = (world: World, ms = 1500): string => world.submitByUsers(1, SMALL, [ms, ms])[0]!;
-const after = (world: World, awaits: readonly string[], ms = 1500): string =>
-  world.submitAfter(awaits, SMALL, [ms, ms]);
+const submitRootJob = (world: World, ms = 1500): string => world.submitByUsers(1, SMALL_JOB, [ms, ms])[0]!;
+const submitDependentJob = (world: World, awaits: readonly string[], ms = 1500): string =>
+  world.submitDependent(awaits, SMALL_JOB, [ms, ms]);
 /** One job, two that need it, one that needs both, and one behind it. */
-const pipeline = (world: World, ms = 1500): string[] => {
-  const first = root(world, ms);
-  const middle = [after(world, [first], ms), after(world, [first], ms + 1000)];
-  const last = after(world, middle, ms);
-  return [first, ...middle, last, after(world, [last], ms)];
+const submitPipeline = (world: World, ms = 1500): string[] => {
+  const first = submitRootJob(world, ms);
+  const middle = [submitDependentJob(world, [first], ms), submitDependentJob(world, [first], ms + 1000)];
+  const last = submitDependentJob(world, middle, ms);
+  return [first, ...middle, last, submitDependentJob(world, [last], ms)];
 };
-const accepted = (world: World, jobs: readonly string[]): boolean =>
-  world.until(() => jobs.every((id) => world.isAccepted(id)), 30_000);
+const untilAccepted = (world: World, jobs: readonly string[]): boolean =>
+  world.runUntil(() => jobs.every((id) => world.isAccepted(id)), 30_000);
 /** The member at this place of the order in which the run replaces them. */
-const nth = (seed: number, place: number): number => (seed + place) % MEMBERS;
+const memberAtPlace = (seed: number, place: number): number => (seed + place) % MEMBERS;
 
-const leadBy = (world: World, version: "old" | "new"): void => {
+const changeLeaderTo = (world: World, version: "old" | "new"): void => {
   // a run that broke a rule stops, and is judged by that
-  assert.ok(world.leadBy(version) || world.broken.length > 0, `no ${version} leader came`);
+  assert.ok(world.crashUntilLeaderHas(version) || world.violations.length > 0, `no ${version} leader came`);
 };
 /** Both versions lead once, in either order. */
-const bothLead = (world: World, seed: number): void => {
+const changeLeaderToEachVersion = (world: World, seed: number): void => {
   for (const version of seed % 2 === 0 ? (["old", "new"] as const) : (["new", "old"] as const)) {
-    leadBy(world, version);
+    changeLeaderTo(world, version);
     world.wait(3000);
   }
 };
 
 /** One after the other, with a leader of each version in between; one of them comes back old before its turn. */
-const upgrade = (world: World, seed: number): void => {
-  world.replace(nth(seed, 0), "new");
+const upgradeAll = (world: World, seed: number): void => {
+  world.restartWithVersion(memberAtPlace(seed, 0), "new");
   world.wait(1000);
-  bothLead(world, seed);
-  world.replace(nth(seed, 1), "new");
-  bothLead(world, seed + 1);
+  changeLeaderToEachVersion(world, seed);
+  world.restartWithVersion(memberAtPlace(seed, 1), "new");
+  changeLeaderToEachVersion(world, seed + 1);
   if (seed % 3 !== 2) {
-    world.replace(nth(seed, 0), "old");
+    world.restartWithVersion(memberAtPlace(seed, 0), "old");
     world.wait(2000);
-    world.replace(nth(seed, 0), "new");
+    world.restartWithVersion(memberAtPlace(seed, 0), "new");
   }
-  world.replace(nth(seed, 2), "new");
+  world.restartWithVersion(memberAtPlace(seed, 2), "new");
   // whoever replaces them keeps count
-  world.versions.pipelinesOpen = world.isAllNew();
-  leadBy(world, "new");
+  world.versions.usersSendDependents = world.isAllNew();
+  changeLeaderTo(world, "new");
 };
 
 /** As the operations page allows it: no more submissions that wait, and nothing that waits any more. */
-const wayBack = (world: World, seed: number): void => {
-  world.versions.pipelinesOpen = false;
-  assert.ok(world.until(() => world.mayGoBack(), 60_000) || world.broken.length > 0, "jobs still wait");
+const rollBackAll = (world: World, seed: number): void => {
+  world.versions.usersSendDependents = false;
+  assert.ok(
+    world.runUntil(() => world.mayDowngrade(), 60_000) || world.violations.length > 0,
+    "jobs still wait",
+  );
   for (let place = 0; place < MEMBERS; place++) {
-    world.replace(nth(seed, place), "old");
-    if (place < MEMBERS - 1) bothLead(world, seed + place);
+    world.restartWithVersion(memberAtPlace(seed, place), "old");
+    if (place < MEMBERS - 1) changeLeaderToEachVersion(world, seed + place);
   }
-  leadBy(world, "old");
+  changeLeaderTo(world, "old");
 };
 
-const trouble = (world: World): void => {
-  world.usersCancel = false;
-  world.versions.usersTryOthers = true;
-  world.lateWrites = 0.05;
-  world.lostAnswers = 0.05;
+const enableFaults = (world: World): void => {
+  world.randomCancels = false;
+  world.versions.usersRetryElsewhere = true;
+  world.lateWriteShare = 0.05;
+  world.lostAnswerShare = 0.05;
 };
 
 const SCENARIOS: readonly Scenario[] = [
   {
     name: "an upgrade: members are replaced one by one, and pipelines are sent once all are new",
-    rough: 0.4,
-    play: (world, seed) => {
-      world.beginWith("old");
-      world.versions.pipelinesOpen = false;
+    faultRate: 0.4,
+    run: (world, seed) => {
+      world.setAllVersions("old");
+      world.versions.usersSendDependents = false;
       world.wait(6000);
-      trouble(world);
-      const sent = [pipeline(world), pipeline(world)];
-      upgrade(world, seed);
-      accepted(world, sent.flat());
+      enableFaults(world);
+      const sent = [submitPipeline(world), submitPipeline(world)];
+      upgradeAll(world, seed);
+      untilAccepted(world, sent.flat());
       world.cancelThroughNode(sent[1]![seed % 5]!);
       world.wait(4000);
-      world.endLeader(300);
+      world.crashLeader(300);
       world.wait(8000);
     },
-    met: {
+    minimumCounts: {
       "old leaders": 60,
       "new leaders": 60,
       "processes that went back": 16,
@@ -105,25 +108,25 @@
   },
   {
     name: "a way back once nothing waits, and the upgrade made anew",
-    rough: 0.4,
-    play: (world, seed) => {
+    faultRate: 0.4,
+    run: (world, seed) => {
       world.wait(6000);
-      trouble(world);
-      const sent = [pipeline(world, 1000), pipeline(world, 1000)];
-      accepted(world, sent.flat());
+      enableFaults(world);
+      const sent = [submitPipeline(world, 1000), submitPipeline(world, 1000)];
+      untilAccepted(world, sent.flat());
       // released before the way back and unfinished long after it
-      const first = root(world, 8000);
-      const long = Array.from({ length: 4 }, (_, i) => after(world, [first], 25_000 + i * 8000));
-      accepted(world, long);
-      wayBack(world, seed);
+      const first = submitRootJob(world, 8000);
+      const long = Array.from({ length: 4 }, (_, i) => submitDependentJob(world, [first], 25_000 + i * 8000));
+      untilAccepted(world, long);
+      rollBackAll(world, seed);
       world.cancelThroughNode(long[3]!);
       world.wait(20_000);
-      const more = pipeline(world);
-      upgrade(world, seed + 1);
-      accepted(world, more);
+      const more = submitPipeline(world);
+      upgradeAll(world, seed + 1);
+      untilAccepted(world, more);
       world.wait(5000);
     },
-    met: {
+    minimumCounts: {
       "processes that went back": 72,
       "old leaders with released jobs of pipelines": 48,
       "new leaders with released jobs of pipelines": 60,
@@ -140,27 +143,27 @@
   },
   {
     name: "a process comes back old though jobs wait, and leads; users avoid it",
-    rough: 0.4,
-    play: (world, seed) => {
+    faultRate: 0.4,
+    run: (world, seed) => {
       world.wait(6000);
-      trouble(world);
-      world.endsAfterCommit = 0.2;
+      enableFaults(world);
+      world.crashAfterCommitShare = 0.2;
       for (let i = 0; i < 2; i++) {
-        const sent = [pipeline(world, 2500), pipeline(world, 2500)];
-        accepted(world, sent.flat());
+        const sent = [submitPipeline(world, 2500), submitPipeline(world, 2500)];
+        untilAccepted(world, sent.flat());
         world.versions.usersAvoidOld = true;
-        world.replace(nth(seed, i), "old");
-        bothLead(world, seed);
+        world.restartWithVersion(memberAtPlace(seed, i), "old");
+        changeLeaderToEachVersion(world, seed);
         world.cancelThroughNode(sent[1]![(seed + i) % 5]!);
-        leadBy(world, "old");
+        changeLeaderTo(world, "old");
         world.wait(6000);
-        world.replace(nth(seed, i), "new");
+        world.restartWithVersion(memberAtPlace(seed, i), "new");
         world.versions.usersAvoidOld = !world.isAllNew();
-        leadBy(world, "new");
+        changeLeaderTo(world, "new");
         world.wait(4000);
       }
     },
-    met: {
+    minimumCounts: {
       "processes that went back": 48,
       "old leaders while jobs wait": 60,
       "old leaders with released jobs of pipelines": 36,
@@ -180,4 +183,10 @@
   },
 ];
 
-playAll(SCENARIOS, { seeds: 24, first: 9000, tries: 24, servedWithin: 180_000, countsServing: true });
+runScenarios(SCENARIOS, {
+  seedCount: 24,
+  firstSeed: 9000,
+  maxSeedsWithoutGuard: 24,
+  servedWithinMs: 180_000,
+  countsWhileServing: true,
+});
--- a/test/model/commands.ts
+++ b/test/model/commands.ts
@@ -16,15 +16,22 @@
   world: WorldState,
   leader: Node,
   scheduler: Scheduler,
-  id: number,
+  batchId: number,
   outcome: CommandOutcome,
-  by?: HeartbeatId,
+  answeredIn?: HeartbeatId,
 ): void {
-  const batch = leader.pendingCommands.get(id);
+  const batch = leader.pendingCommands.get(batchId);
   if (batch === undefined) return;
-  leader.pendingCommands.delete(id);
-  const told = world.without === "doubt" && outcome === "unknown" ? "unsent" : outcome;
-  scheduler.commandsAnswered(batch.machine, batch.orders, batch.token, told, instant(world.now), by);
+  leader.pendingCommands.delete(batchId);
+  const reported = world.disabledGuard === "doubt" && outcome === "unknown" ? "unsent" : outcome;
+  scheduler.commandsAnswered(
+    batch.machine,
+    batch.orders,
+    batch.token,
+    reported,
+    instant(world.now),
+    answeredIn,
+  );
 }
 
 /** Sends a batch of commands to a worker through a member. */
@@ -32,25 +39,25 @@
   world: WorldState,
   leader: Node,
   scheduler: Scheduler,
-  d: Extract<Decision, { kind: "commands" }>,
+  decision: Extract<Decision, { kind: "commands" }>,
 ): void {
   const term = leader.term!;
-  const via = world.nodes.find((node) => node.name === d.via) ?? leader;
-  const worker = world.workers.get(d.machine);
-  const id = term.number * 1e9 + ++leader.batches;
-  leader.pendingCommands.set(id, {
-    machine: d.machine,
-    orders: d.commands,
-    token: d.fencingToken,
+  const via = world.nodes.find((node) => node.name === decision.via) ?? leader;
+  const worker = world.workers.get(decision.machine);
+  const batchId = term.number * 1e9 + ++leader.batchCount;
+  leader.pendingCommands.set(batchId, {
+    machine: decision.machine,
+    orders: decision.commands,
+    token: decision.fencingToken,
     at: world.now,
   });
-  if (!areConnected(world, leader, via)) return settleCommands(world, leader, scheduler, id, "unsent");
+  if (!areConnected(world, leader, via)) return settleCommands(world, leader, scheduler, batchId, "unsent");
   const { incarnation } = via;
   let outcome: CommandOutcome | null = null;
   const settled = (result: CommandOutcome, heartbeat: Heartbeat | null): void => {
     if (outcome !== null || !via.alive || via.incarnation !== incarnation) return;
     outcome = result;
-    via.part.commandsAnswered(id, result, heartbeat, instant(world.now));
+    via.partition.commandsAnswered(batchId, result, heartbeat, instant(world.now));
   };
   const settle = (result: CommandOutcome, heartbeat: Heartbeat | null): void =>
     whenAwake(world, via, () => settled(result, heartbeat))();
@@ -60,46 +67,53 @@
       if (!via.alive || via.incarnation !== incarnation) return;
       if (via.term?.number !== term.number || !mayAct(world, via)) return settle("barred", null);
       const sent = world.now;
-      const reach = (): void => {
-        if (worker === undefined || worker.gone || world.now < worker.up) return;
+      const arrive = (): void => {
+        if (worker === undefined || worker.gone || world.now < worker.upAt) return;
         // hung, cut or deaf: the order waits, and is executed when that ends
-        const cut = areZonesApart(world, via.zone, worker.record.zone)
+        const zoneCutUntil = areZonesApart(world, via.zone, worker.record.zone)
           ? Math.max(world.zoneCutUntil.get(via.zone) ?? 0, world.zoneCutUntil.get(worker.record.zone) ?? 0)
           : 0;
-        const until = Math.max(worker.hungUntil, worker.cutUntil, worker.deafUntil, cut);
-        if (world.now < until) {
-          world.messages.push({ at: until + 1, run: reach });
+        const blockedUntil = Math.max(worker.hungUntil, worker.cutUntil, worker.deafUntil, zoneCutUntil);
+        if (world.now < blockedUntil) {
+          world.messages.push({ at: blockedUntil + 1, run: arrive });
           return;
         }
-        if (worker.fencingToken > d.fencingToken && d.commands.length > 0)
+        if (worker.fencingToken > decision.fencingToken && decision.commands.length > 0)
           world.count("orders of an earlier leader");
-        const done = executeCommands(world, worker, d.fencingToken, d.workerEpoch, d.commands);
+        const accepted = executeCommands(
+          world,
+          worker,
+          decision.fencingToken,
+          decision.workerEpoch,
+          decision.commands,
+        );
         const heartbeat = newHeartbeat(worker);
-        if (done && world.now < worker.muteUntil) world.count("orders carried out by mute machines");
-        if (done && world.now - sent > 2000 && d.commands.length > 0) world.count("orders carried out late");
+        if (accepted && world.now < worker.muteUntil) world.count("orders carried out by mute machines");
+        if (accepted && world.now - sent > 2000 && decision.commands.length > 0)
+          world.count("orders carried out late");
         sendLater(
           world,
-          () => settle(done ? "done" : "rejected", heartbeat),
+          () => settle(accepted ? "done" : "rejected", heartbeat),
           true,
-          drawHoldUp(world, "answers held up"),
+          drawHoldUpMs(world, "answers held up"),
         );
       };
-      sendLater(world, reach, true, drawHoldUp(world, "orders held up") + drawLateDelay(world));
+      sendLater(world, arrive, true, drawHoldUpMs(world, "orders held up") + drawLateDelayMs(world));
       world.messages.push({ at: world.now + 2000, run: () => settle("unknown", null) });
     }),
   );
 }
 
 /** How long something is held up, if it is. */
-export function drawHoldUp(world: WorldState, what: string): number {
-  if (world.delayedCommands === 0 || world.extra() >= world.delayedCommands) return 0;
-  world.count(what);
-  return 1000 + world.extra() * 7000;
+export function drawHoldUpMs(world: WorldState, event: string): number {
+  if (world.delayedCommandShare === 0 || world.extraRandom() >= world.delayedCommandShare) return 0;
+  world.count(event);
+  return 1000 + world.extraRandom() * 7000;
 }
 
 /** How late a command is, if it is. */
-export function drawLateDelay(world: WorldState): number {
-  if (world.lateCommands === 0 || world.extra() >= world.lateCommands) return 0;
+export function drawLateDelayMs(world: WorldState): number {
+  if (world.lateCommandShare === 0 || world.extraRandom() >= world.lateCommandShare) return 0;
   world.count("late orders");
-  return 2000 + world.extra() * 14_000;
+  return 2000 + world.extraRandom() * 14_000;
 }
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -3,7 +3,7 @@
  */
 import * as Duration from "effect/Duration";
 import { type WorldState } from "./world-state.js";
-import { stateDelay, transact, hasNoCommit } from "./state-service.js";
+import { drawStateDelayMs, transact, hasNoCommit } from "./state-service.js";
 import { sendLater, whenAwake, reachesState, areConnected } from "./network.js";
 import { type Node } from "./nodes.js";
 import { mayAct, askPeers, renewLease } from "./election.js";
@@ -13,25 +13,25 @@
 import { RangeSet } from "../../src/core/ranges.js";
 import { type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { instant, minus } from "../../src/core/time.js";
-import { type Row } from "./job-views.js";
+import { type JobRow } from "./job-views.js";
 
 /** One step of a controller. */
 export function stepController(world: WorldState, node: Node): void {
-  if (world.leader !== null && world.now >= world.leader.until && world.now >= world.stateDownUntil)
+  if (world.leader !== null && world.now >= world.leader.expiresAt && world.now >= world.stateDownUntil)
     world.leader = null;
   if (!node.alive || world.now < node.frozenUntil) return;
-  if (world.now >= node.nextRenew) renewLease(world, node);
-  if (world.now >= node.nextRead) readJobs(world, node);
+  if (world.now >= node.nextRenewalAt) renewLease(world, node);
+  if (world.now >= node.nextReadAt) readJobs(world, node);
   askPeers(world, node);
-  if (world.now >= node.nextSync && node.term !== null) sendMemberUpdate(world, node);
+  if (world.now >= node.nextUpdateAt && node.term !== null) sendMemberUpdate(world, node);
   storeFinishes(world, node);
   const scheduler = node.scheduler;
-  if (scheduler === null || node.term?.leader !== node.name) return world.pipelines.stopLooking(node);
-  world.pipelines.look(node, scheduler);
+  if (scheduler === null || node.term?.leader !== node.name) return world.waitingJobs.stopReview(node);
+  world.waitingJobs.review(node, scheduler);
   if (!mayAct(world, node)) return;
   countLeader(world, node, scheduler);
   applyJobs(world, node, scheduler);
-  world.shards?.step(scheduler, node.term);
+  world.shardMoves?.step(scheduler, node.term);
   for (const [id, batch] of node.pendingCommands)
     if (world.now - batch.at > 6000) settleCommands(world, node, scheduler, id, "unknown");
   for (const decision of scheduler.step(instant(world.now))) {
@@ -48,122 +48,132 @@
 /** Once for each leader that may act. */
 export function countLeader(world: WorldState, node: Node, scheduler: Scheduler): void {
   const released = [...world.jobs.values()].some((job) => job.spec.dependsOn.length > 0);
-  const isWaiting = world.pipelines.waiting.size > 0;
-  for (const what of world.pipelines.versions.leads(scheduler, node.version, released, isWaiting))
-    world.count(what);
+  const isWaiting = world.waitingJobs.waiting.size > 0;
+  for (const event of world.waitingJobs.versions.leaderEvents(scheduler, node.version, released, isWaiting))
+    world.count(event);
 }
 
 /** Shows a job to a leader's core. */
 export function showJob(
   world: WorldState,
   scheduler: Scheduler,
-  { spec, revision: stamp, accepted, released }: Row,
+  { spec, revision: stamp, accepted, released }: JobRow,
 ): void {
-  const seen = world.without === "zone" ? { ...spec, oneZone: false, zone: null, types: null } : spec;
-  scheduler.jobReleased(seen, stamp, instant(accepted), instant(released));
+  const shownSpec =
+    world.disabledGuard === "zone" ? { ...spec, oneZone: false, zone: null, types: null } : spec;
+  scheduler.jobReleased(shownSpec, stamp, instant(accepted), instant(released));
 }
 
 /** What the state service has of unfinished jobs comes a moment later, and not at all while it can't be reached. */
 export function readJobs(world: WorldState, node: Node): void {
-  node.nextRead = world.now + 500;
+  node.nextReadAt = world.now + 500;
   const { incarnation } = node;
-  const asked = instant(world.now);
+  const askedAt = instant(world.now);
   if (!reachesState(world, node)) return;
   sendLater(
     world,
     () => {
       if (!reachesState(world, node)) return;
       const { revision } = world;
-      world.unread = world.unread.filter((lost) => {
-        if (lost.writer === node.name) return true;
+      world.unreadWrites = world.unreadWrites.filter((write) => {
+        if (write.writer === node.name) return true;
         world.count("writes read by others whose answer was lost");
         return false;
       });
-      const snapshot = world.pipelines.snapshot(revision, node.version);
+      const snapshot = world.waitingJobs.snapshot(revision, node.version);
       sendLater(
         world,
         whenAwake(world, node, () => {
-          if (node.incarnation !== incarnation || asked < (node.jobsReadAt ?? -1)) return;
-          node.jobsReadAt = asked;
-          node.known = snapshot.jobs;
-          node.knownUpTo = revision;
+          if (node.incarnation !== incarnation || askedAt < (node.jobsReadAt ?? -1)) return;
+          node.jobsReadAt = askedAt;
+          node.knownJobs = snapshot.jobs;
+          node.knownJobsRevision = revision;
           node.view.refresh(snapshot);
         }),
       );
     },
     true,
-    stateDelay(world),
+    drawStateDelayMs(world),
   );
 }
 
 /** Brings a leader's core up to what its process knows of the jobs. */
 export function applyJobs(world: WorldState, node: Node, scheduler: Scheduler): void {
-  for (const [id, row] of node.known)
+  for (const [id, row] of node.knownJobs)
     if (!(world.commits.has(id) && !scheduler.cluster.jobs.has(id))) showJob(world, scheduler, row);
   const { view } = node;
   // released by this very process a moment ago
-  for (const row of view.jobs.values()) if (row.revision > node.knownUpTo) showJob(world, scheduler, row);
+  for (const row of view.jobs.values())
+    if (row.revision > node.knownJobsRevision) showJob(world, scheduler, row);
   for (const row of view.waiting.values())
-    if (world.without === "release") showJob(world, scheduler, row);
+    if (world.disabledGuard === "release") showJob(world, scheduler, row);
     else scheduler.jobBlocked(row.spec, instant(row.accepted));
   for (const id of [...scheduler.blockedJobs]) if (!view.waiting.has(id)) scheduler.jobUnblocked(id);
-  if (world.without === "cancel") return;
+  if (world.disabledGuard === "cancel") return;
   for (const [id, job] of [...scheduler.cluster.jobs])
-    if (!node.known.has(id) && !view.waiting.has(id) && job.revision <= node.knownUpTo)
+    if (!node.knownJobs.has(id) && !view.waiting.has(id) && job.revision <= node.knownJobsRevision)
       scheduler.jobEnded(id);
 }
 
 /** Sends what a member has gathered to the leader. */
 export function sendMemberUpdate(world: WorldState, node: Node): void {
-  node.nextSync = world.now + 200;
+  node.nextUpdateAt = world.now + 200;
   const term = node.term!;
   if (node.leaderClockMarkTerm !== term.number) {
     node.leaderClockMark = -1;
     node.leaderClockMarkTerm = term.number;
   }
-  const news = node.part.takeUpdate(instant(world.now));
-  const { incarnation, leaderClockMark: mark } = node;
-  const to = world.nodes.find((node) => node.name === term.leader)!;
+  const update = node.partition.takeUpdate(instant(world.now));
+  const { incarnation, leaderClockMark: clockMark } = node;
+  const leader = world.nodes.find((node) => node.name === term.leader)!;
   let arrived = false;
-  if (areConnected(world, node, to))
+  if (areConnected(world, node, leader))
     sendLater(
       world,
-      whenAwake(world, to, () => {
-        const scheduler = to.scheduler;
-        if (scheduler === null || to.term?.number !== term.number || !mayAct(world, to)) return;
+      whenAwake(world, leader, () => {
+        const scheduler = leader.scheduler;
+        if (scheduler === null || leader.term?.number !== term.number || !mayAct(world, leader)) return;
         if (!term.members.some((member) => member.name === node.name && member.incarnation === incarnation))
           return;
         arrived = true;
-        const at = instant(world.now);
-        for (const { heartbeat, ageMs } of news.heartbeats)
-          scheduler.heartbeatReceived(heartbeat, node.name, at, minus(at, Duration.millis(ageMs)));
-        for (const x of news.storedFinishes) scheduler.finishesStored(x.job, x.ranges);
-        const answered = [];
-        for (const contact of news.contacts) {
+        const receivedAt = instant(world.now);
+        for (const { heartbeat, ageMs } of update.heartbeats)
+          scheduler.heartbeatReceived(
+            heartbeat,
+            node.name,
+            receivedAt,
+            minus(receivedAt, Duration.millis(ageMs)),
+          );
+        for (const stored of update.storedFinishes) scheduler.finishesStored(stored.job, stored.ranges);
+        const leaseRenewals = [];
+        for (const contact of update.contacts) {
           if (contact.heartbeatAgeMs >= 0)
-            scheduler.contactReported(contact.machine, minus(at, Duration.millis(contact.heartbeatAgeMs)));
+            scheduler.contactReported(
+              contact.machine,
+              minus(receivedAt, Duration.millis(contact.heartbeatAgeMs)),
+            );
           if (contact.answerAgeMs >= 0)
-            answered.push({
+            leaseRenewals.push({
               machine: contact.machine,
-              at: minus(at, Duration.millis(contact.answerAgeMs)),
+              at: minus(receivedAt, Duration.millis(contact.answerAgeMs)),
             });
         }
-        const completeUpTo = mark < 0 ? null : instant(mark);
+        const completeUpTo = clockMark < 0 ? null : instant(clockMark);
         scheduler.leaseRenewalsReported(
-          { member: node.name, incarnation, termNumber: term.number, completeUpTo, renewals: answered },
-          at,
+          { member: node.name, incarnation, termNumber: term.number, completeUpTo, renewals: leaseRenewals },
+          receivedAt,
         );
-        for (const result of news.commandResults)
-          settleCommands(world, to, scheduler, result.id, result.outcome, {
+        for (const result of update.commandResults)
+          settleCommands(world, leader, scheduler, result.id, result.outcome, {
             workerEpoch: result.workerEpoch,
             sequence: result.sequence,
           });
-        const stamp = world.now;
+        const leaderTime = world.now;
         sendLater(
           world,
           whenAwake(world, node, () => {
             if (node.leaderClockMarkTerm === term.number && node.incarnation === incarnation)
-              node.leaderClockMark = Math.max(node.leaderClockMark, stamp);
+              node.leaderClockMark = Math.max(node.leaderClockMark, leaderTime);
           }),
         );
       }),
@@ -171,7 +181,7 @@
   world.messages.push({
     at: world.now + 1500,
     run: whenAwake(world, node, () => {
-      if (!arrived && node.incarnation === incarnation) node.part.putBack(news);
+      if (!arrived && node.incarnation === incarnation) node.partition.putBack(update);
     }),
   });
 }
@@ -179,34 +189,38 @@
 /** Stores the finishes that a member has gathered. */
 export function storeFinishes(world: WorldState, node: Node): void {
   if (!reachesState(world, node) || node.leaseUntil <= world.now) return;
-  const open = (job: string): boolean => world.jobs.has(job);
+  const isUnfinished = (job: string): boolean => world.jobs.has(job);
   const at = instant(world.now);
   const writer = `${node.name}.${node.incarnation}`;
-  for (const write of node.part.finishes.beginWrites(writer, 8, at, open)) {
+  for (const write of node.partition.finishes.beginWrites(writer, 8, at, isUnfinished)) {
     if (world.commits.has(write.job)) {
-      node.part.finishes.writeAnswered(write, "over", at);
+      node.partition.finishes.writeAnswered(write, "over", at);
       continue;
     }
-    const wrote = transact(
+    const written = transact(
       world,
       node,
       (late) => hasNoCommit(world, write.job, late),
       () => {
-        const rows = world.stored.get(write.job) ?? new Map<string, RangeSet>();
-        world.stored.set(write.job, rows);
+        const jobFinishes = world.storedFinishes.get(write.job) ?? new Map<string, RangeSet>();
+        world.storedFinishes.set(write.job, jobFinishes);
         for (const put of write.puts) {
-          const set = RangeSet.of(put.ranges);
-          const key = world.without === "key" ? keys.rangesOf(write.job, writer, put.window) : put.key;
-          const lost = (rows.get(key)?.ranges() ?? []).some(([from, to]) => {
-            for (let n = from; n < to; n++) if (!set.has(n)) return true;
+          const ranges = RangeSet.of(put.ranges);
+          const key = world.disabledGuard === "key" ? keys.rangesOf(write.job, writer, put.window) : put.key;
+          const losesRanges = (jobFinishes.get(key)?.ranges() ?? []).some(([from, to]) => {
+            for (let n = from; n < to; n++) if (!ranges.has(n)) return true;
             return false;
           });
           // what is stored may be forgotten by the machine
-          if (lost) world.broken.push({ rule: "lost_finish", text: `${key} at ${world.now}` });
-          rows.set(key, set);
+          if (losesRanges) world.violations.push({ rule: "lost_finish", text: `${key} at ${world.now}` });
+          jobFinishes.set(key, ranges);
         }
       },
     );
-    node.part.finishes.writeAnswered(write, world.random() < 0.1 || wrote !== true ? "failed" : "stored", at);
+    node.partition.finishes.writeAnswered(
+      write,
+      world.random() < 0.1 || written !== true ? "failed" : "stored",
+      at,
+    );
   }
 }
--- a/test/model/decisions.ts
+++ b/test/model/decisions.ts
@@ -4,9 +4,9 @@
 import { type WorldState } from "./world-state.js";
 import { transact, delayCloudRequest, isLeaderKey, hasNoCommit, commitJob } from "./state-service.js";
 import { sendLater, whenAwake, reachesState } from "./network.js";
-import { endProcess } from "./faults.js";
+import { crashProcess } from "./faults.js";
 import { type Node } from "./nodes.js";
-import { addMachine, killWorker, machinesUp } from "./workers.js";
+import { addMachine, killWorker, machineTotal } from "./workers.js";
 import { sendCommands } from "./commands.js";
 import { type Decision, type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { instant } from "../../src/core/time.js";
@@ -18,41 +18,41 @@
   scheduler: Scheduler,
   decision: Decision,
 ): void {
-  const ownKey = () => reachesState(world, node) && world.leader?.stamp === node.leaderRevision;
-  const { leaderRevision: leaderStamp, version } = node;
+  const holdsLeaderKey = () => reachesState(world, node) && world.leader?.revision === node.leaderRevision;
+  const { leaderRevision: leaderKeyRevision, version } = node;
   if (decision.kind === "commands") sendCommands(world, node, scheduler, decision);
   else if (decision.kind === "commit") {
     // a job cancelled in the meantime has its commit already
-    const wrote = transact(
+    const written = transact(
       world,
       node,
-      (late) => isLeaderKey(world, leaderStamp, late) && hasNoCommit(world, decision.job, late),
+      (late) => isLeaderKey(world, leaderKeyRevision, late) && hasNoCommit(world, decision.job, late),
       () => commitJob(world, decision.job, "done"),
     );
     scheduler.commitFailed(decision.job);
-    if (wrote === true && world.endsAfterCommit > 0 && world.pipelines.hasChildren(decision.job))
-      if (world.extra() < world.endsAfterCommit) {
+    if (written === true && world.crashAfterCommitShare > 0 && world.waitingJobs.hasChildren(decision.job))
+      if (world.extraRandom() < world.crashAfterCommitShare) {
         world.count("leaders ended between commit and join");
-        return endProcess(world, node, 300 + world.extra() * 6000);
+        return crashProcess(world, node, 300 + world.extraRandom() * 6000);
       }
-    world.pipelines.committed(node, decision.job, wrote);
+    world.waitingJobs.commitAnswered(node, decision.job, written);
   } else if (decision.kind === "record") {
     const wrote = transact(
       world,
       node,
-      (late) => isLeaderKey(world, leaderStamp, late),
+      (late) => isLeaderKey(world, leaderKeyRevision, late),
       () => {
-        world.records.set(decision.machine, decision.record);
+        world.machineRecords.set(decision.machine, decision.record);
         world.count(`machines recorded by ${version} leaders`);
       },
     );
-    if (wrote === true || world.without === "record")
+    if (wrote === true || world.disabledGuard === "record")
       scheduler.machineRecorded(decision.machine, decision.record, instant(world.now));
     else scheduler.machineRecordFailed(decision.machine);
   } else if (decision.kind === "rent") {
     const rent = (): string[] => {
       const ids: string[] = [];
-      for (let i = 0; i < decision.rent.count && machinesUp(world) < 12; i++)
+      for (let i = 0; i < decision.rent.count && machineTotal(world) < 12; i++)
         ids.push(addMachine(world, decision.rent.type.name, decision.rent.zone, decision.rent.spot));
       return ids;
     };
@@ -66,11 +66,11 @@
       count: decision.rent.count,
     };
     // a leader that dies now leaves machines that nobody recorded: the list shows them to the next one
-    if (ownKey()) scheduler.rentalAnswered("", record, ids, instant(world.now));
+    if (holdsLeaderKey()) scheduler.rentalAnswered("", record, ids, instant(world.now));
   } else if (decision.kind === "release") {
     // the cloud may be slow, and its answer may be lost
     const ids = decision.machines;
-    const down = world.now < world.cloudDownUntil;
+    const isCloudDown = world.now < world.cloudDownUntil;
     const release = (): void => {
       for (const id of ids) {
         const worker = world.workers.get(id);
@@ -79,7 +79,7 @@
     };
     if (delayCloudRequest(world, "releases carried out late", release)) return;
     sendLater(world, () => {
-      if (down)
+      if (isCloudDown)
         return whenAwake(world, node, () => scheduler.releaseAnswered(ids, false, instant(world.now)))();
       release();
       sendLater(
@@ -89,9 +89,9 @@
           transact(
             world,
             node,
-            (late) => isLeaderKey(world, leaderStamp, late),
+            (late) => isLeaderKey(world, leaderKeyRevision, late),
             () => {
-              const gone = ids.filter((id) => world.records.delete(id));
+              const gone = ids.filter((id) => world.machineRecords.delete(id));
               if (gone.length > 0) world.count(`records of machines rewritten by ${version} leaders`);
             },
           );
@@ -103,17 +103,17 @@
 
 /** The cloud's list is late: what is gone is still in it for a while, what is new is not yet. */
 export function listMachines(world: WorldState, scheduler: Scheduler): void {
-  const rows = [...world.workers.values()]
+  const listed = [...world.workers.values()]
     .filter(
-      (worker) => world.now > worker.rented + 1000 && (!worker.gone || world.now < worker.goneAt + 3000),
+      (worker) => world.now > worker.rentedAt + 1000 && (!worker.gone || world.now < worker.goneAt + 3000),
     )
     .map((worker) => ({
       id: worker.id,
       record: worker.record,
       failed: false,
-      ageMs: world.now - worker.rented,
+      ageMs: world.now - worker.rentedAt,
     }));
-  const at = world.now;
-  if (at >= world.cloudDownUntil)
-    sendLater(world, () => scheduler.machinesListed(rows, instant(Math.max(at, world.now))));
+  const listedAt = world.now;
+  if (listedAt >= world.cloudDownUntil)
+    sendLater(world, () => scheduler.machinesListed(listed, instant(Math.max(listedAt, world.now))));
 }
--- a/test/model/election.ts
+++ b/test/model/election.ts
@@ -2,9 +2,9 @@
  * Leases, terms and leadership of the simulated controllers: who may act, who may answer, and how a leader begins.
  */
 import * as Duration from "effect/Duration";
-import { TTL, TIMINGS, TYPES } from "./settings.js";
+import { CONTROLLER_LEASE, TIMINGS, TYPES } from "./settings.js";
 import { type WorldState } from "./world-state.js";
-import { stateDelay, transact } from "./state-service.js";
+import { drawStateDelayMs, transact } from "./state-service.js";
 import { sendLater, whenAwake, reachesState, areConnected } from "./network.js";
 import { type Node } from "./nodes.js";
 import { showJob } from "./controllers.js";
@@ -22,23 +22,23 @@
 /** Whether this process may act under its term now. */
 export function mayAct(world: WorldState, node: Node): boolean {
   if (!node.alive || node.term === null) return false;
-  if (world.without === "fence") return node.confirmed !== null;
+  if (world.disabledGuard === "fence") return node.leaseConfirmedAt !== null;
   return (
-    isWithinFencingWindow(TIMINGS, node.confirmed, instant(world.now)) &&
-    hasReadJobs(world, node) &&
+    isWithinFencingWindow(TIMINGS, node.leaseConfirmedAt, instant(world.now)) &&
+    hasFreshJobs(world, node) &&
     isInTerm(node)
   );
 }
 
 /** Whether its view of the jobs is fresh. */
-export function hasReadJobs(world: WorldState, node: Node): boolean {
-  return world.without === "read" || hasFreshJobView(TIMINGS, node.jobsReadAt, instant(world.now));
+export function hasFreshJobs(world: WorldState, node: Node): boolean {
+  return world.disabledGuard === "read" || hasFreshJobView(TIMINGS, node.jobsReadAt, instant(world.now));
 }
 
 /** The word of all other nodes opens the window too, for answers alone. */
 export function mayAnswer(world: WorldState, node: Node): boolean {
   if (mayAct(world, node)) return true;
-  if (!node.alive || node.term === null || !isInTerm(node) || !hasReadJobs(world, node)) return false;
+  if (!node.alive || node.term === null || !isInTerm(node) || !hasFreshJobs(world, node)) return false;
   const others = world.nodes.filter((n) => n !== node).map((node) => node.name);
   return isConfirmedByPeers(TIMINGS, others, node.peerConfirmations, instant(world.now));
 }
@@ -47,17 +47,17 @@
 export function askPeers(world: WorldState, node: Node): void {
   const { term } = node;
   if (term === null || world.now % 500 !== 0) return;
-  const asked = instant(world.now);
+  const askedAt = instant(world.now);
   for (const other of world.nodes)
     if (other !== node && areConnected(world, node, other))
       sendLater(
         world,
         whenAwake(world, other, () => {
-          const ok = other.alive && (other.term?.number ?? 0) <= term.number;
+          const knowsNoLaterTerm = other.alive && (other.term?.number ?? 0) <= term.number;
           sendLater(
             world,
             whenAwake(world, node, () => {
-              if (ok && node.term === term) node.peerConfirmations.set(other.name, asked);
+              if (knowsNoLaterTerm && node.term === term) node.peerConfirmations.set(other.name, askedAt);
             }),
           );
         }),
@@ -73,20 +73,20 @@
 
 /** Renewals take a while; the fence counts from when they were sent. */
 export function renewLease(world: WorldState, node: Node): void {
-  node.nextRenew = world.now + 700;
-  const sent = instant(world.now);
+  node.nextRenewalAt = world.now + 700;
+  const sentAt = instant(world.now);
   const { incarnation } = node;
   if (!reachesState(world, node)) return;
-  const answered = (): void => {
+  const onRenewed = (): void => {
     tryLead(world, node);
-    if (world.leader?.name === node.name && world.leader.stamp === node.leaderRevision)
+    if (world.leader?.name === node.name && world.leader.revision === node.leaderRevision)
       takeLeadership(world, node);
     if (node.term !== world.term && world.term !== null) {
       node.term = world.term;
-      node.part.setTerm(world.term);
+      node.partition.setTerm(world.term);
       node.peerConfirmations = new Map();
     }
-    node.confirmed = sent;
+    node.leaseConfirmedAt = sentAt;
   };
   sendLater(
     world,
@@ -99,17 +99,17 @@
         node.incarnation = ++world.revision;
         node.scheduler = null;
       }
-      node.leaseUntil = world.now + Duration.toMillis(TTL);
+      node.leaseUntil = world.now + Duration.toMillis(CONTROLLER_LEASE);
       if (world.leader?.name === node.name && world.leader.incarnation === node.incarnation)
-        world.leader.until = node.leaseUntil;
-      const renewed = node.incarnation;
+        world.leader.expiresAt = node.leaseUntil;
+      const renewedIncarnation = node.incarnation;
       whenAwake(world, node, () => {
         // a lease that ended while the process stood still is found out by the next renewal
-        if (node.incarnation === renewed && world.now < node.leaseUntil) answered();
+        if (node.incarnation === renewedIncarnation && world.now < node.leaseUntil) onRenewed();
       })();
     },
     true,
-    stateDelay(world),
+    drawStateDelayMs(world),
   );
 }
 
@@ -121,16 +121,16 @@
     node,
     () => world.leader === null && node.incarnation === incarnation && world.now < node.leaseUntil,
     () => {
-      world.leader = { name: node.name, incarnation, until: node.leaseUntil, stamp: ++world.revision };
-      world.leaders++;
+      world.leader = { name: node.name, incarnation, expiresAt: node.leaseUntil, revision: ++world.revision };
+      world.leadersElected++;
     },
   );
   const { leader } = world;
   if (leader === null || leader.name !== node.name || leader.incarnation !== incarnation) return;
-  if (leader.stamp === node.leaderRevision) return;
+  if (leader.revision === node.leaderRevision) return;
   // without the guard nobody knows of a key that was written late
-  if (world.without === "adopt" && written !== true) return;
-  node.leaderRevision = leader.stamp;
+  if (world.disabledGuard === "adopt" && written !== true) return;
+  node.leaderRevision = leader.revision;
   node.scheduler = null;
 }
 
@@ -139,10 +139,10 @@
   const members = world.nodes
     .filter((node) => node.alive && node.leaseUntil > world.now)
     .map((node) => ({ name: node.name, incarnation: node.incarnation, zone: node.zone }));
-  const fresh = node.scheduler === null;
-  const current = !fresh && world.term !== null && sameMembers(world.term.members, members);
-  if (!current && !writeTerm(world, node, members)) return;
-  if (!fresh) {
+  const isNewLeader = node.scheduler === null;
+  const hasSameMembers = !isNewLeader && world.term !== null && sameMembers(world.term.members, members);
+  if (!hasSameMembers && !writeTerm(world, node, members)) return;
+  if (!isNewLeader) {
     // also a term of its own that was written late
     const { term } = world;
     if (node.scheduler!.term !== term && term!.leaderRevision === node.leaderRevision)
@@ -154,28 +154,31 @@
     {
       timings: TIMINGS,
       teams: new Map(
-        world.teams.map((team) => [team.name, world.without === "quota" ? { ...team, maxCpus: 0 } : team]),
+        world.teams.map((team) => [
+          team.name,
+          world.disabledGuard === "quota" ? { ...team, maxCpus: 0 } : team,
+        ]),
       ),
       fleet: { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(2) },
       startLatencyObjectives: new Map([["service", Duration.millis(100)]]),
-      ...(world.shards === null ? {} : { ownership: world.shards.ownership }),
+      ...(world.shardMoves === null ? {} : { ownership: world.shardMoves.ownership }),
     },
     world.term!,
     node.leaderRevision,
     instant(world.now),
   );
-  for (const [id, record] of world.records) {
+  for (const [id, record] of world.machineRecords) {
     const machine = scheduler.machineRecorded(id, record, instant(world.now));
-    if (world.without === "confirm" && machine !== null)
+    if (world.disabledGuard === "confirm" && machine !== null)
       setMachine(scheduler.cluster, machine, { confirmed: true });
   }
   scheduler.setMachineTypes(TYPES);
   for (const [id, row] of world.jobs) {
-    node.view.put(id, row);
+    node.view.putJob(id, row);
     showJob(world, scheduler, row);
   }
   for (const { spec, accepted } of node.view.waiting.values()) scheduler.jobBlocked(spec, instant(accepted));
-  for (const [id, rows] of world.stored)
+  for (const [id, rows] of world.storedFinishes)
     for (const set of rows.values()) scheduler.finishesStored(id, set.ranges());
   node.pendingCommands.clear();
   node.scheduler = scheduler;
@@ -183,11 +186,11 @@
 
 /** Writes the next term; without an answer the old one goes on, until the node sees what became of it. */
 export function writeTerm(world: WorldState, node: Node, members: TermRecord["members"]): boolean {
-  const old = world.term;
-  const { leaderRevision: leaderStamp } = node;
+  const previousTerm = world.term;
+  const { leaderRevision: leaderKeyRevision } = node;
   const term: TermRecord = {
-    number: (old?.number ?? 0) + 1,
-    leaderRevision: leaderStamp,
+    number: (previousTerm?.number ?? 0) + 1,
+    leaderRevision: leaderKeyRevision,
     leader: node.name,
     members,
   };
@@ -195,17 +198,18 @@
     world,
     node,
     (late) =>
-      (late && world.without === "stamp") || (world.leader?.stamp === leaderStamp && world.term === old),
+      (late && world.disabledGuard === "stamp") ||
+      (world.leader?.revision === leaderKeyRevision && world.term === previousTerm),
     () => {
-      world.terms++;
+      world.termsWritten++;
       world.term = term;
     },
   );
   if (written !== true) return false;
   node.term = term;
-  node.part.setTerm(term);
+  node.partition.setTerm(term);
   node.peerConfirmations = new Map();
-  node.confirmed = null;
-  node.nextRenew = world.now;
+  node.leaseConfirmedAt = null;
+  node.nextRenewalAt = world.now;
   return true;
 }
--- a/test/model/faults.ts
+++ b/test/model/faults.ts
@@ -15,12 +15,15 @@
     const node = pick(world, world.nodes);
     if (node.alive) {
       // some are back at once, also in the middle of an election
-      const away = world.random() < 0.3 ? world.random() * 200 : world.random() * 4000;
-      Object.assign(node, newNode(world, node.name, node.zone), { alive: false, back: world.now + away });
+      const downMs = world.random() < 0.3 ? world.random() * 200 : world.random() * 4000;
+      Object.assign(node, newNode(world, node.name, node.zone), {
+        alive: false,
+        restartAt: world.now + downMs,
+      });
     }
   }
   if (chance(world, 0.02)) pick(world, world.nodes).stateCutUntil = world.now + world.random() * 10_000;
-  if (chance(world, 0.01)) pick(world, world.nodes).aloneUntil = world.now + world.random() * 40_000;
+  if (chance(world, 0.01)) pick(world, world.nodes).isolatedUntil = world.now + world.random() * 40_000;
   if (chance(world, 0.004)) beginOutage(world, world.random() * 25_000);
   // with no releases, only time proves that a machine is over
   if (chance(world, 0.004)) world.cloudDownUntil = world.now + world.random() * 40_000;
@@ -37,10 +40,10 @@
     if (chance(world, 0.01)) pick(world, workers).deafUntil = world.now + world.random() * 40_000;
   }
   for (const node of world.nodes)
-    if (!node.alive && world.now >= node.back) Object.assign(node, newNode(world, node.name, node.zone));
+    if (!node.alive && world.now >= node.restartAt) Object.assign(node, newNode(world, node.name, node.zone));
 }
 
 /** The process of a member ends, and another one is back after so long. */
-export function endProcess(world: WorldState, node: Node, away: number): void {
-  Object.assign(node, newNode(world, node.name, node.zone), { alive: false, back: world.now + away });
+export function crashProcess(world: WorldState, node: Node, downMs: number): void {
+  Object.assign(node, newNode(world, node.name, node.zone), { alive: false, restartAt: world.now + downMs });
 }
--- a/test/model/heartbeats.ts
+++ b/test/model/heartbeats.ts
@@ -16,20 +16,20 @@
   worker: Worker,
   heartbeat: Heartbeat,
   at: number,
-  to: Node | null,
+  target: Node | null,
 ): void {
-  const node = to ?? world.nodes[Math.floor(world.extra() * world.nodes.length)]!;
+  const node = target ?? world.nodes[Math.floor(world.extraRandom() * world.nodes.length)]!;
   const run = whenAwake(world, node, () => {
     if (!node.alive) return;
-    const earlier = heartbeat.workerEpoch < worker.workerEpoch;
-    world.count(earlier ? "copies from an earlier session" : "copies after newer ones");
-    if (isOutlived(world, heartbeat)) world.count("copies with an earlier attempt");
+    const isEarlierSession = heartbeat.workerEpoch < worker.workerEpoch;
+    world.count(isEarlierSession ? "copies from an earlier session" : "copies after newer ones");
+    if (showsOutdatedAttempt(world, heartbeat)) world.count("copies with an earlier attempt");
     // without the guard the copy counts as new
-    const believed = world.without === (earlier ? "session" : "seq");
+    const isAcceptedAsNew = world.disabledGuard === (isEarlierSession ? "session" : "seq");
     deliverHeartbeat(
       world,
       node,
-      believed
+      isAcceptedAsNew
         ? {
             ...heartbeat,
             workerEpoch: worker.workerEpoch,
@@ -43,29 +43,32 @@
 }
 
 /** Whether a task that it shows runs under a later attempt by now. */
-export function isOutlived(world: WorldState, heartbeat: Heartbeat): boolean {
-  const live = [...world.workers.values()].flatMap((worker) => [...worker.tasks.values()]);
+export function showsOutdatedAttempt(world: WorldState, heartbeat: Heartbeat): boolean {
+  const workerTasks = [...world.workers.values()].flatMap((worker) => [...worker.tasks.values()]);
   return heartbeat.tasks.some(
     (task) =>
       task.state !== "exited" &&
-      live.some(
-        (u) =>
-          u.state !== "exited" && u.job === task.job && u.index === task.index && u.attempt > task.attempt,
+      workerTasks.some(
+        (other) =>
+          other.state !== "exited" &&
+          other.job === task.job &&
+          other.index === task.index &&
+          other.attempt > task.attempt,
       ),
   );
 }
 
 /** What a node was told by the state service, it knows for as long as it lives. */
 export function deliverHeartbeat(world: WorldState, node: Node, heartbeat: Heartbeat): HeartbeatAnswer {
-  const isOver = (job: string): boolean => {
+  const hasEnded = (job: string): boolean => {
     const commit = world.commits.get(job);
-    return world.without !== "cancel" && commit !== undefined && commit.at < (node.jobsReadAt ?? -1);
+    return world.disabledGuard !== "cancel" && commit !== undefined && commit.at < (node.jobsReadAt ?? -1);
   };
-  return node.part.handleHeartbeat(
+  return node.partition.handleHeartbeat(
     heartbeat,
     mayAnswer(world, node),
     node.incarnation,
     instant(world.now),
-    isOver,
+    hasEnded,
   );
 }
--- a/test/model/invariants.ts
+++ b/test/model/invariants.ts
@@ -16,39 +16,40 @@
       const spec = world.allJobs.get(t.job)!;
       usage.set(spec.team, (usage.get(spec.team) ?? 0) + spec.cpus);
       const commit = world.commits.get(t.job);
-      const late = commit !== undefined && world.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline);
-      if (commit?.outcome === "cancelled" && late)
-        world.broken.push({
+      const isPastDeadline =
+        commit !== undefined && world.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline);
+      if (commit?.outcome === "cancelled" && isPastDeadline)
+        world.violations.push({
           rule: "ran_cancelled",
           text: `${t.job}/${t.index} on ${worker.id} at ${world.now}`,
         });
     }
-  if (world.calmSince !== null && world.now % 1000 === 0) checkIdleRoom(world, usage);
+  if (world.faultFreeSince !== null && world.now % 1000 === 0) checkWaitingWithRoom(world, usage);
   for (const team of world.teams)
     if (team.maxCpus > 0 && (usage.get(team.name) ?? 0) > team.maxCpus)
-      world.broken.push({ rule: "quota", text: `${team.name}: ${usage.get(team.name)} at ${world.now}` });
+      world.violations.push({ rule: "quota", text: `${team.name}: ${usage.get(team.name)} at ${world.now}` });
 }
 
 /** Once all is over: a job waits though a machine that fits has room and its team is under its limit. */
-export function checkIdleRoom(world: WorldState, usage: ReadonlyMap<string, number>): void {
+export function checkWaitingWithRoom(world: WorldState, usage: ReadonlyMap<string, number>): void {
   for (const { spec } of world.jobs.values()) {
     const used = usage.get(spec.team) ?? 0;
     const limit = world.teams.find((team) => team.name === spec.team)!.maxCpus;
-    let waits = false;
-    for (let n = 0; n < spec.tasks && !waits; n++)
-      waits =
-        !(world.completed.get(spec.id)?.has(n) ?? false) &&
+    let isWaiting = false;
+    for (let n = 0; n < spec.tasks && !isWaiting; n++)
+      isWaiting =
+        !(world.completedTasks.get(spec.id)?.has(n) ?? false) &&
         workersRunningTask(world, spec.id, n).length === 0;
-    const room = (): boolean => {
+    const hasRoom = (): boolean => {
       const zones = new Set(workersRunning(world, spec.id).map((worker) => worker.record.zone));
       return [...world.workers.values()].some((worker) => {
-        if (worker.gone || world.now < worker.up) return false;
+        if (worker.gone || world.now < worker.upAt) return false;
         const record = worker.record;
-        let free = worker.cpus;
+        let freeCpus = worker.cpus;
         for (const t of worker.tasks.values())
-          if (t.state !== "exited") free -= world.allJobs.get(t.job)!.cpus;
+          if (t.state !== "exited") freeCpus -= world.allJobs.get(t.job)!.cpus;
         return (
-          free >= spec.cpus &&
+          freeCpus >= spec.cpus &&
           (spec.types?.includes(record.type) ?? true) &&
           (spec.zone === null || spec.zone === record.zone) &&
           (spec.spot || !record.spot) &&
@@ -56,14 +57,14 @@
         );
       });
     };
-    if (!waits || (limit > 0 && used + spec.cpus > limit) || !room()) {
-      world.idleRoom.delete(spec.id);
+    if (!isWaiting || (limit > 0 && used + spec.cpus > limit) || !hasRoom()) {
+      world.waitingWithRoomSince.delete(spec.id);
       continue;
     }
-    const since = world.idleRoom.get(spec.id) ?? world.now;
-    world.idleRoom.set(spec.id, since);
+    const since = world.waitingWithRoomSince.get(spec.id) ?? world.now;
+    world.waitingWithRoomSince.set(spec.id, since);
     if (world.now - since > 90_000)
-      world.broken.push({ rule: "idle_room", text: `${spec.id} at ${world.now}` });
+      world.violations.push({ rule: "idle_room", text: `${spec.id} at ${world.now}` });
   }
 }
 
@@ -71,11 +72,11 @@
  * Whether the services of its team leave a job no room for a single task below the team's limit (S6). They run until their
  * users call them off, so nothing can be served then, whoever owns the machines.
  */
-export function isKeptOut(world: WorldState, { team, cpus }: JobSpec): boolean {
+export function isExcludedByServices(world: WorldState, { team, cpus }: JobSpec): boolean {
   const limit = world.teams.find(({ name }) => name === team)?.maxCpus ?? 0;
   if (limit === 0) return false;
-  let used = 0;
+  let serviceCpus = 0;
   for (const { spec } of world.jobs.values())
-    if (spec.team === team && spec.kind === "service") used += spec.cpus * spec.tasks;
-  return used + cpus > limit;
+    if (spec.team === team && spec.kind === "service") serviceCpus += spec.cpus * spec.tasks;
+  return serviceCpus + cpus > limit;
 }
