--- a/test/model/job-releases.ts
+++ b/test/model/job-releases.ts
@@ -1,117 +1,125 @@
 /**
  * The leader's part: it joins finished parents to fan-in sets, and releases or cancels what waited for them.
  */
-import { type Row, type Fanin, type Process, LOOK_AT_ALL_MS } from "./job-views.js";
+import { type JobRow, type Fanin, type Process, FULL_REVIEW_INTERVAL_MS } from "./job-views.js";
 import { cancelWaitingJob } from "./job-status.js";
 import { type WaitingJobs } from "./waiting-jobs.js";
 import { faninStep, type ParentState } from "../../src/core/jobs/fanin.js";
 
 /** One round of a leader: all that waits after a take-over and every few seconds, else what changed. */
 export function reviewWaitingJobs<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
-  leadsAs: object,
+  leadership: object,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const { view } = node;
   if (node.version === "old") return stopReviewing(node);
-  if (view.leadsAs !== leadsAs) {
-    view.leadsAs = leadsAs;
-    view.changed.clear();
-    view.lookedAtAll = null;
+  if (view.leadership !== leadership) {
+    view.leadership = leadership;
+    view.toReview.clear();
+    view.fullReviewAt = null;
   }
-  if (view.busy > 0) return;
-  let all = false;
-  if (view.lookedAtAll === null || host.now() - view.lookedAtAll >= LOOK_AT_ALL_MS) {
-    all = true;
-    view.lookedAtAll = host.now();
-    deleteUselessSets(pipelines, node);
-    if (!host.isWithoutGuard("join")) for (const id of view.waiting.keys()) view.changed.add(id);
+  if (view.reviewsInProgress > 0) return;
+  let isFullReview = false;
+  if (view.fullReviewAt === null || host.now() - view.fullReviewAt >= FULL_REVIEW_INTERVAL_MS) {
+    isFullReview = true;
+    view.fullReviewAt = host.now();
+    deleteObsoleteSets(waitingJobs, node);
+    if (!host.isWithoutGuard("join")) for (const id of view.waiting.keys()) view.toReview.add(id);
   }
-  const some = [...view.changed];
-  view.changed.clear();
-  for (const id of some) reviewJob(pipelines, node, id, all);
+  const toReview = [...view.toReview];
+  view.toReview.clear();
+  for (const id of toReview) reviewJob(waitingJobs, node, id, isFullReview);
 }
 
 /** Sets of jobs that are over: an earlier version left them, or whoever committed the job didn't know of them. */
-export function deleteUselessSets<N extends Process>(pipelines: WaitingJobs<N>, node: N): void {
-  const { host, versions } = pipelines;
-  if (!host.reaches(node) || host.isWithoutGuard("useless")) return;
+export function deleteObsoleteSets<N extends Process>(waitingJobs: WaitingJobs<N>, node: N): void {
+  const { host, versions } = waitingJobs;
+  if (!host.reachesState(node) || host.isWithoutGuard("useless")) return;
   for (const id of node.view.fanins.keys()) {
-    if (node.view.isUnfinished(id) || !pipelines.fanins.delete(id)) continue;
-    if (versions.leftSets.delete(id)) host.count("sets of the earlier version deleted");
+    if (node.view.isUnfinished(id) || !waitingJobs.fanins.delete(id)) continue;
+    if (versions.leftoverSets.delete(id)) host.count("sets of the earlier version deleted");
   }
 }
 
 /** This process doesn't lead any more. */
 export function stopReviewing<N extends Process>(node: N): void {
-  node.view.leadsAs = null;
-  node.view.changed.clear();
+  node.view.leadership = null;
+  node.view.toReview.clear();
 }
 
 /** A waiting job whose parents may have ended: it waits on, is cancelled, or gets what joined. */
 export function reviewJob<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
-  all: boolean,
+  isFullReview: boolean,
 ): void {
   const { view } = node;
   const job = view.waiting.get(id);
   if (job === undefined) return;
-  view.busy++;
-  const end = (): void => void view.busy--;
+  view.reviewsInProgress++;
+  const endReview = (): void => void view.reviewsInProgress--;
   const { dependsOn } = job.spec;
-  const unknown = dependsOn.filter((p) => !view.isUnfinished(p) && !view.finals.has(p));
-  readOutcomes(pipelines, node, unknown, (ok) => {
-    if (!ok) return end();
+  const parentsToRead = dependsOn.filter((p) => !view.isUnfinished(p) && !view.outcomes.has(p));
+  readOutcomes(waitingJobs, node, parentsToRead, (ok) => {
+    if (!ok) return endReview();
     const stateOf = (p: string): ParentState =>
-      view.isUnfinished(p) ? "open" : (view.finals.get(p) ?? "unknown");
+      view.isUnfinished(p) ? "open" : (view.outcomes.get(p) ?? "unknown");
     const states = new Map(dependsOn.map((p) => [p, stateOf(p)]));
     const step = (set: Fanin | null): void => {
       const next = faninStep(dependsOn, set?.joined ?? [], (p) => states.get(p)!);
-      if (next.kind === "wait") return end();
-      if (next.kind === "cancel") return cancelWaitingJob(pipelines, node, id, end);
-      if (set === null || set.released) return end();
-      joinFanin(pipelines, node, job, set, { joined: next.joined, released: next.completesSet }, all, end);
+      if (next.kind === "wait") return endReview();
+      if (next.kind === "cancel") return cancelWaitingJob(waitingJobs, node, id, endReview);
+      if (set === null || set.released) return endReview();
+      joinFanin(
+        waitingJobs,
+        node,
+        job,
+        set,
+        { joined: next.joined, released: next.completesSet },
+        isFullReview,
+        endReview,
+      );
     };
     const set = view.fanins.get(id);
     if (set !== undefined) step(set);
-    else readSet(pipelines, node, id, step);
+    else readSet(waitingJobs, node, id, step);
   });
 }
 
 /** Reads which of these jobs have ended. */
 export function readOutcomes<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   ids: readonly string[],
   then: (ok: boolean) => void,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const [id, ...rest] = ids;
   if (id === undefined) return then(true);
-  pipelines.request(
+  waitingJobs.request(
     node,
     () => ({ commit: host.commits.get(id) }),
     (row) => {
       if (row === null) return then(false);
-      if (row.commit !== undefined) node.view.finals.set(id, row.commit.outcome);
-      readOutcomes(pipelines, node, rest, then);
+      if (row.commit !== undefined) node.view.outcomes.set(id, row.commit.outcome);
+      readOutcomes(waitingJobs, node, rest, then);
     },
   );
 }
 
 /** Reads a fan-in set. */
 export function readSet<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
   then: (set: Fanin | null) => void,
 ): void {
-  pipelines.request(
+  waitingJobs.request(
     node,
-    () => ({ set: pipelines.fanins.get(id) }),
+    () => ({ set: waitingJobs.fanins.get(id) }),
     (row) => {
       if (row?.set !== undefined) node.view.putFanin(id, row.set);
       then(node.view.fanins.get(id) ?? null);
@@ -121,57 +129,58 @@
 
 /** The add, and with the filling one the release, in one conditional write. */
 export function joinFanin<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
-  job: Row,
+  job: JobRow,
   set: Fanin,
   next: { joined: readonly string[]; released: boolean },
-  all: boolean,
-  end: () => void,
+  isFullReview: boolean,
+  endReview: () => void,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const { view } = node;
   const { id } = job.spec;
-  let stamp = 0;
+  let revision = 0;
   const row = { ...job, released: host.now() };
-  const isLost = next.joined.some(
-    (p) => !set.joined.includes(p) && pipelines.committedBy.get(p) !== view && host.commits.has(p),
+  const completesLostJoin = next.joined.some(
+    (p) => !set.joined.includes(p) && waitingJobs.committedBy.get(p) !== view && host.commits.has(p),
   );
   // somebody else's add came first
-  let isOther = false;
-  const attempts = (): boolean =>
-    pipelines.fanins.get(id)?.revision === set.revision &&
-    pipelines.waiting.get(id)?.revision === job.revision &&
+  let isSetChanged = false;
+  const isUnchanged = (): boolean =>
+    waitingJobs.fanins.get(id)?.revision === set.revision &&
+    waitingJobs.waiting.get(id)?.revision === job.revision &&
     !host.commits.has(id);
-  pipelines.transact(
+  waitingJobs.transact(
     node,
     (late) => {
-      if (host.isWithoutGuard("filling") || attempts()) return true;
+      if (host.isWithoutGuard("filling") || isUnchanged()) return true;
       if (late) host.count("late joins refused");
-      isOther = pipelines.fanins.get(id)?.revision !== set.revision;
+      isSetChanged = waitingJobs.fanins.get(id)?.revision !== set.revision;
       return false;
     },
     () => {
-      stamp = host.nextRevision();
+      revision = host.nextRevision();
       host.count("joins");
-      if (all && isLost) host.count("lost joins found again");
-      pipelines.fanins.set(id, { ...next, revision: stamp });
+      if (isFullReview && completesLostJoin) host.count("lost joins found again");
+      waitingJobs.fanins.set(id, { ...next, revision });
       if (!next.released) return;
       host.count("releases");
-      if (host.commits.has(id)) host.broke("went_back", `${id}: over, then released at ${host.now()}`);
-      pipelines.release(id, { ...row, revision: stamp });
-      pipelines.waiting.delete(id);
+      if (host.commits.has(id))
+        host.reportViolation("went_back", `${id}: over, then released at ${host.now()}`);
+      waitingJobs.release(id, { ...row, revision });
+      waitingJobs.waiting.delete(id);
     },
     (ok) => {
       if (ok === true) {
-        view.putFanin(id, { ...next, revision: stamp });
-        if (next.released) view.put(id, { ...row, revision: stamp });
-        return end();
+        view.putFanin(id, { ...next, revision });
+        if (next.released) view.putJob(id, { ...row, revision });
+        return endReview();
       }
-      if (ok === null) return end();
+      if (ok === null) return endReview();
       host.count("joins refused");
-      if (isOther) readSet(pipelines, node, id, end);
-      else end();
+      if (isSetChanged) readSet(waitingJobs, node, id, endReview);
+      else endReview();
     },
   );
 }
--- a/test/model/job-status.ts
+++ b/test/model/job-status.ts
@@ -1,99 +1,99 @@
 /**
  * Answers about jobs: what a process knows, checked against the commits in the state service.
  */
-import { type View, type Process, type JobStatus } from "./job-views.js";
+import { type JobView, type Process, type JobStatus } from "./job-views.js";
 import { type WaitingJobs } from "./waiting-jobs.js";
 
 /** The unfinished jobs before a waiting one, as far as this process knows them. */
 export function knownAncestors<N extends Process>(
-  pipelines: WaitingJobs<N>,
-  view: View,
+  waitingJobs: WaitingJobs<N>,
+  view: JobView,
   id: string,
 ): string[] {
-  if (pipelines.host.isWithoutGuard("ancestors") || !view.waiting.has(id)) return [];
-  return view.waiters.ancestorsOf(id, (p) => view.finals.get(p) === "done");
+  if (waitingJobs.host.isWithoutGuard("ancestors") || !view.waiting.has(id)) return [];
+  return view.blockedJobs.ancestorsOf(id, (p) => view.outcomes.get(p) === "done");
 }
 
 /** Rests on the commits, checked in the state service, of the job and all unfinished ones before it. */
 export function readStatus<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
-  then: (standing: JobStatus | null) => void,
+  then: (status: JobStatus | null) => void,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const { view } = node;
-  const outcome = view.finals.get(id);
+  const outcome = view.outcomes.get(id);
   if (outcome !== undefined) return then({ kind: "final", outcome });
-  const known = view.isUnfinished(id);
-  const ids = [id, ...knownAncestors(pipelines, view, id)];
-  pipelines.request(
+  const isKnown = view.isUnfinished(id);
+  const ids = [id, ...knownAncestors(waitingJobs, view, id)];
+  waitingJobs.request(
     node,
     () => ({
       exists:
         (!host.isWithoutGuard("checked") && ids.some((x) => host.commits.has(x))) ||
-        (!known && (host.jobs.has(id) || (node.version === "new" && pipelines.waiting.has(id)))),
+        (!isKnown && (host.jobs.has(id) || (node.version === "new" && waitingJobs.waiting.has(id)))),
     }),
     (answer) => {
       if (answer === null) return then(null);
-      if (answer.exists) return readJob(pipelines, node, id, then);
-      if (!known) return then({ kind: "absent" });
+      if (answer.exists) return readJob(waitingJobs, node, id, then);
+      if (!isKnown) return then({ kind: "absent" });
       const job = view.jobs.get(id);
       const row = job ?? view.waiting.get(id);
       // it ended in the meantime, or more was heard of what it waits for
-      if (row === undefined) return readJob(pipelines, node, id, then);
-      const isNews = (p: string): boolean =>
+      if (row === undefined) return readJob(waitingJobs, node, id, then);
+      const isUnchecked = (p: string): boolean =>
         !ids.includes(p) || (!view.isUnfinished(p) && !host.isWithoutGuard("unheard"));
-      if (job === undefined && knownAncestors(pipelines, view, id).some(isNews))
-        return readJob(pipelines, node, id, then);
-      then({ kind: "open", stamp: row.revision, waiting: job === undefined });
+      if (job === undefined && knownAncestors(waitingJobs, view, id).some(isUnchecked))
+        return readJob(waitingJobs, node, id, then);
+      then({ kind: "open", revision: row.revision, waiting: job === undefined });
     },
   );
 }
 
 /** Reads a job's commit, waiting record and record, one request after the other. */
 export function readJob<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
-  then: (standing: JobStatus | null) => void,
+  then: (status: JobStatus | null) => void,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const { view } = node;
-  const known = view.finals.get(id);
-  if (known !== undefined) return then({ kind: "final", outcome: known });
+  const knownOutcome = view.outcomes.get(id);
+  if (knownOutcome !== undefined) return then({ kind: "final", outcome: knownOutcome });
   const get = <T>(row: () => T | undefined, next: (row: T | undefined) => void): void =>
-    pipelines.request(
+    waitingJobs.request(
       node,
       () => ({ row: row() }),
       (answer) => (answer === null ? then(null) : next(answer.row)),
     );
-  const commit = (next: () => void): void =>
+  const readCommit = (next: () => void): void =>
     get(
       () => host.commits.get(id),
       (row) => {
         if (row === undefined) return next();
-        view.finals.set(id, row.outcome);
+        view.outcomes.set(id, row.outcome);
         then({ kind: "final", outcome: row.outcome });
       },
     );
-  const job = (): void =>
+  const readRecord = (): void =>
     get(
       () => host.jobs.get(id),
       (row) => {
-        if (row === undefined || view.isOver(id)) return commit(() => then({ kind: "absent" }));
-        view.put(id, row);
-        then({ kind: "open", stamp: row.revision, waiting: false });
+        if (row === undefined || view.hasEnded(id)) return readCommit(() => then({ kind: "absent" }));
+        view.putJob(id, row);
+        then({ kind: "open", revision: row.revision, waiting: false });
       },
     );
   // the commit first, then what a job is in the course of its life, one request after the other
-  commit(() =>
+  readCommit(() =>
     get(
-      () => (node.version === "new" ? pipelines.waiting.get(id) : undefined),
+      () => (node.version === "new" ? waitingJobs.waiting.get(id) : undefined),
       (row) => {
-        if (row === undefined || view.isOver(id)) return job();
+        if (row === undefined || view.hasEnded(id)) return readRecord();
         view.putWaiting(id, row);
-        readWaitingJob(pipelines, node, id, row.revision, new Map(), then);
+        readWaitingJob(waitingJobs, node, id, row.revision, new Map(), then);
       },
     ),
   );
@@ -101,49 +101,52 @@
 
 /** A waiting job is what its record says, unless one before it was cancelled. */
 export function readWaitingJob<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
-  stamp: number,
-  asked: Map<string, boolean>,
-  then: (standing: JobStatus | null) => void,
+  revision: number,
+  checkedAncestors: Map<string, boolean>,
+  then: (status: JobStatus | null) => void,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const { view } = node;
   // released or over in the meantime: what comes before it is not known here any more
-  if (!view.waiting.has(id)) return readJob(pipelines, node, id, then);
-  const isNews = (p: string): boolean => !host.isWithoutGuard("overtaken") && view.isOver(p) !== asked.get(p);
-  const parent = knownAncestors(pipelines, view, id).find((p) => !asked.has(p) || isNews(p));
-  if (parent === undefined) return then({ kind: "open", stamp, waiting: true });
-  asked.set(parent, view.isOver(parent));
-  pipelines.request(
+  if (!view.waiting.has(id)) return readJob(waitingJobs, node, id, then);
+  const hasEndedSinceCheck = (p: string): boolean =>
+    !host.isWithoutGuard("overtaken") && view.hasEnded(p) !== checkedAncestors.get(p);
+  const ancestor = knownAncestors(waitingJobs, view, id).find(
+    (p) => !checkedAncestors.has(p) || hasEndedSinceCheck(p),
+  );
+  if (ancestor === undefined) return then({ kind: "open", revision, waiting: true });
+  checkedAncestors.set(ancestor, view.hasEnded(ancestor));
+  waitingJobs.request(
     node,
-    () => ({ commit: host.commits.get(parent) }),
+    () => ({ commit: host.commits.get(ancestor) }),
     (row) => {
       if (row === null) return then(null);
-      if (row.commit !== undefined) view.finals.set(parent, row.commit.outcome);
+      if (row.commit !== undefined) view.outcomes.set(ancestor, row.commit.outcome);
       if (row.commit?.outcome === "cancelled")
-        return cancelWaitingJob(pipelines, node, id, (ok) =>
+        return cancelWaitingJob(waitingJobs, node, id, (ok) =>
           then(ok ? { kind: "final", outcome: "cancelled" } : null),
         );
-      const goOn = (): void => readWaitingJob(pipelines, node, id, stamp, asked, then);
-      if (row.commit !== undefined || view.isUnfinished(parent) || host.isWithoutGuard("unheard"))
-        return goOn();
+      const checkNext = (): void => readWaitingJob(waitingJobs, node, id, revision, checkedAncestors, then);
+      if (row.commit !== undefined || view.isUnfinished(ancestor) || host.isWithoutGuard("unheard"))
+        return checkNext();
       // not heard of here yet: what it waits for itself counts as well
-      pipelines.request(
+      waitingJobs.request(
         node,
         () => ({
-          waits: pipelines.waiting.get(parent),
-          job: host.jobs.get(parent),
-          commit: host.commits.get(parent),
+          waits: waitingJobs.waiting.get(ancestor),
+          job: host.jobs.get(ancestor),
+          commit: host.commits.get(ancestor),
         }),
         (found) => {
           if (found === null) return then(null);
-          if (found.waits !== undefined) view.putWaiting(parent, found.waits);
-          else if (found.job !== undefined) view.put(parent, found.job);
+          if (found.waits !== undefined) view.putWaiting(ancestor, found.waits);
+          else if (found.job !== undefined) view.putJob(ancestor, found.job);
           // it ended in between
-          else if (found.commit !== undefined) asked.delete(parent);
-          goOn();
+          else if (found.commit !== undefined) checkedAncestors.delete(ancestor);
+          checkNext();
         },
       );
     },
@@ -152,24 +155,25 @@
 
 /** A parent's outcome passes on; false: no answer. */
 export function cancelWaitingJob<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
   then: (ok: boolean) => void,
 ): void {
-  const { host } = pipelines;
+  const { host } = waitingJobs;
   const { view } = node;
-  pipelines.transact(
+  waitingJobs.transact(
     node,
     () => !host.commits.has(id),
     () => {
-      if (!pipelines.isDoomed(id)) host.broke("went_back", `${id}: cancelled with nothing at ${host.now()}`);
+      if (!waitingJobs.hasCancelledAncestor(id))
+        host.reportViolation("went_back", `${id}: cancelled with nothing at ${host.now()}`);
       host.count("cancels passed on");
-      pipelines.cancelled(id, "new");
+      waitingJobs.commitCancellation(id, "new");
     },
     (ok) => {
       if (ok === null) return then(false);
-      view.finals.set(id, "cancelled");
+      view.outcomes.set(id, "cancelled");
       view.remove(id);
       then(true);
     },
--- a/test/model/job-views.ts
+++ b/test/model/job-views.ts
@@ -5,7 +5,7 @@
 import { type JobSpec, type JobOutcome } from "../../src/core/records.js";
 import { type Version } from "./versions.js";
 
-export interface Row {
+export interface JobRow {
   readonly spec: JobSpec;
   readonly revision: number;
   readonly accepted: number;
@@ -18,63 +18,64 @@
 }
 /** What the state service has of unfinished jobs at one moment. */
 export interface Snapshot {
-  readonly jobs: ReadonlyMap<string, Row>;
-  readonly waiting: ReadonlyMap<string, Row>;
+  readonly jobs: ReadonlyMap<string, JobRow>;
+  readonly waiting: ReadonlyMap<string, JobRow>;
   readonly fanins: ReadonlyMap<string, Fanin>;
   readonly revision: number;
 }
 /** What one process knows, a moment behind the state service; a new process knows nothing. */
-export class View {
-  readonly jobs = new Map<string, Row>();
-  readonly waiting = new Map<string, Row>();
+export class JobView {
+  readonly jobs = new Map<string, JobRow>();
+  readonly waiting = new Map<string, JobRow>();
   readonly fanins = new Map<string, Fanin>();
-  readonly waiters = new BlockedJobs();
+  readonly blockedJobs = new BlockedJobs();
   /** Outcomes that were read: they never change. */
-  readonly finals = new Map<string, JobOutcome>();
-  private readonly over = new Set<string>();
+  readonly outcomes = new Map<string, JobOutcome>();
+  private readonly ended = new Set<string>();
   /** Waiting jobs to look at while it leads, whose leadership that is, and how many are looked at now. */
-  readonly changed = new Set<string>();
-  leadsAs: unknown = null;
-  lookedAtAll: number | null = null;
-  busy = 0;
+  readonly toReview = new Set<string>();
+  leadership: unknown = null;
+  fullReviewAt: number | null = null;
+  reviewsInProgress = 0;
 
   isUnfinished(id: string): boolean {
     return this.jobs.has(id) || this.waiting.has(id);
   }
-  isOver(id: string): boolean {
-    return this.over.has(id);
+  hasEnded(id: string): boolean {
+    return this.ended.has(id);
   }
 
-  put(id: string, row: Row): void {
-    if (this.jobs.has(id) || this.over.has(id)) return;
+  putJob(id: string, row: JobRow): void {
+    if (this.jobs.has(id) || this.ended.has(id)) return;
     this.jobs.set(id, row);
     this.dropWaiting(id);
   }
-  putWaiting(id: string, row: Row): void {
-    if (this.isUnfinished(id) || this.over.has(id)) return;
+  putWaiting(id: string, row: JobRow): void {
+    if (this.isUnfinished(id) || this.ended.has(id)) return;
     this.waiting.set(id, row);
-    this.waiters.add(id, row.spec.dependsOn);
-    if (this.leadsAs !== null) this.changed.add(id);
+    this.blockedJobs.add(id, row.spec.dependsOn);
+    if (this.leadership !== null) this.toReview.add(id);
   }
   putFanin(id: string, set: Fanin): void {
     if ((this.fanins.get(id)?.revision ?? -1) < set.revision) this.fanins.set(id, set);
   }
   private dropWaiting(id: string): void {
-    if (this.waiting.delete(id)) this.waiters.remove(id);
+    if (this.waiting.delete(id)) this.blockedJobs.remove(id);
   }
   remove(id: string): void {
-    this.over.add(id);
+    this.ended.add(id);
     const waited = this.waiting.has(id);
     this.dropWaiting(id);
     if (!this.jobs.delete(id) && !waited) return;
-    if (this.leadsAs !== null) for (const child of this.waiters.childrenOf(id)) this.changed.add(child);
+    if (this.leadership !== null)
+      for (const child of this.blockedJobs.childrenOf(id)) this.toReview.add(child);
   }
 
   /** What is not in a reading is over, unless it was written after that. */
   refresh({ jobs, waiting, fanins, revision }: Snapshot): void {
     for (const [id, set] of fanins) this.putFanin(id, set);
     for (const [id, row] of waiting) this.putWaiting(id, row);
-    for (const [id, row] of jobs) this.put(id, row);
+    for (const [id, row] of jobs) this.putJob(id, row);
     for (const [id, row] of [...this.jobs]) if (!jobs.has(id) && row.revision <= revision) this.remove(id);
     for (const [id, row] of [...this.waiting])
       if (!waiting.has(id) && row.revision <= revision) this.remove(id);
@@ -85,30 +86,30 @@
 /** A controller, as far as it matters here; another `view` is another process. */
 export interface Process {
   readonly alive: boolean;
-  readonly view: View;
+  readonly view: JobView;
   readonly version: Version;
 }
 /** What the model of the cluster does for this part. */
 export interface Host<N extends Process> {
   readonly nodes: readonly N[];
-  readonly jobs: Map<string, Row>;
+  readonly jobs: Map<string, JobRow>;
   readonly commits: ReadonlyMap<string, { readonly outcome: JobOutcome }>;
-  readonly cancelMs: number;
+  readonly cancelDeadlineMs: number;
   now(): number;
-  draw(): number;
+  random(): number;
   /** How long a message to the state service, or back, takes. */
-  delay(): number;
+  delayMs(): number;
   after(ms: number, run: () => void): void;
   /** Done when the process doesn't stand still. */
-  on(node: N, run: () => void): () => void;
-  reaches(node: N): boolean;
-  transact(node: N, attempts: (late: boolean) => boolean, apply: () => void): boolean | null;
+  whenAwake(node: N, run: () => void): () => void;
+  reachesState(node: N): boolean;
+  transact(node: N, conditionHolds: (late: boolean) => boolean, apply: () => void): boolean | null;
   nextRevision(): number;
   commit(id: string, outcome: JobOutcome): void;
   count(what: string): void;
-  broke(rule: string, text: string): void;
+  reportViolation(rule: string, text: string): void;
   /** Since when there are no more troubles. */
-  calmSince(): number | null;
+  faultFreeSince(): number | null;
   isWithoutGuard(
     guard:
       | "checked"
@@ -126,14 +127,14 @@
 }
 export type JobStatus =
   | { readonly kind: "final"; readonly outcome: JobOutcome }
-  | { readonly kind: "open"; readonly stamp: number; readonly waiting: boolean }
+  | { readonly kind: "open"; readonly revision: number; readonly waiting: boolean }
   | { readonly kind: "absent" };
 /** How many records one transaction compares: wide fans have more parents. */
-export const CONDITIONS = 10;
-export const OWN_CONDITIONS = 3;
-export const ACCEPT_TRIES = 4;
-export const CANCEL_TRIES = 3;
-export const LOOK_AT_ALL_MS = 5000;
+export const MAX_CONDITIONS = 10;
+export const OWN_RECORD_CONDITIONS = 3;
+export const MAX_ACCEPT_ATTEMPTS = 4;
+export const MAX_CANCEL_ATTEMPTS = 3;
+export const FULL_REVIEW_INTERVAL_MS = 5000;
 /** Users wait so long for an answer, and then ask again. */
-export const PATIENCE_MS = 2000;
-export const ASK_EVERY_MS = 1000;
+export const ANSWER_TIMEOUT_MS = 2000;
+export const STATUS_REQUEST_INTERVAL_MS = 1000;
--- a/test/model/network.ts
+++ b/test/model/network.ts
@@ -1,13 +1,13 @@
 /**
  * The simulated network: how long messages take, which are lost, who reaches whom, and processes that stand still.
  */
-import { STEP } from "./settings.js";
+import { STEP_MS } from "./settings.js";
 import { type WorldState } from "./world-state.js";
 import { type Node } from "./nodes.js";
 
 /** Whether something that happens so often per second happens in this step. */
 export function chance(world: WorldState, perSecond: number): boolean {
-  return world.random() < (perSecond * world.rough * STEP) / 1000;
+  return world.random() < (perSecond * world.faultRate * STEP_MS) / 1000;
 }
 
 /** One of the list, drawn from the seed. */
@@ -16,12 +16,12 @@
 }
 
 /** Messages are quick, slow, or held back for long; some never arrive. */
-export function sendLater(world: WorldState, run: () => void, mayBeLost = true, slower = 0): void {
-  const luck = world.random();
-  if (mayBeLost && luck < 0.01 * world.rough) return;
-  const delay = luck > 1 - 0.02 * world.rough ? 500 + world.random() * 9000 : 2 + world.random() * 40;
-  const links = world.slowLinksMs > 0 ? world.extra() * world.slowLinksMs : 0;
-  world.messages.push({ at: world.now + delay + links + slower, run });
+export function sendLater(world: WorldState, run: () => void, mayBeLost = true, extraDelayMs = 0): void {
+  const drawn = world.random();
+  if (mayBeLost && drawn < 0.01 * world.faultRate) return;
+  const delayMs = drawn > 1 - 0.02 * world.faultRate ? 500 + world.random() * 9000 : 2 + world.random() * 40;
+  const linkDelayMs = world.maxLinkDelayMs > 0 ? world.extraRandom() * world.maxLinkDelayMs : 0;
+  world.messages.push({ at: world.now + delayMs + linkDelayMs + extraDelayMs, run });
 }
 
 /** Something that a node's process does when a message is there: a process that stands still does it later. */
@@ -35,15 +35,16 @@
 
 /** Whether this process reaches the state service now. */
 export function reachesState(world: WorldState, node: Node): boolean {
-  const cut = Math.max(world.stateDownUntil, node.stateCutUntil, node.aloneUntil);
+  const cut = Math.max(world.stateDownUntil, node.stateCutUntil, node.isolatedUntil);
   return node.alive && world.now >= cut && !isZoneCut(world, node.zone);
 }
 
 /** Whether two controllers reach one another. */
-export function areConnected(world: WorldState, node: Node, b: Node): boolean {
+export function areConnected(world: WorldState, node: Node, other: Node): boolean {
   return (
-    node === b ||
-    (world.now >= Math.max(node.aloneUntil, b.aloneUntil) && !areZonesApart(world, node.zone, b.zone))
+    node === other ||
+    (world.now >= Math.max(node.isolatedUntil, other.isolatedUntil) &&
+      !areZonesApart(world, node.zone, other.zone))
   );
 }
 
--- a/test/model/settings.ts
+++ b/test/model/settings.ts
@@ -52,11 +52,11 @@
   /** Processes go back to the earlier version while jobs wait. */
   | "back";
 /** What may befall a machine for a while. */
-export type MachineTrouble = "hung" | "cut" | "deaf" | "mute";
-export const TTL = Duration.seconds(3);
-export const TIMINGS = leaseTimingsOf({ leaseS: 12, reportS: 1, cancelS: 30 }, TTL);
-export const STEP = 50;
-export const QUICK_BOOT_MS = 2000;
+export type MachineFault = "hung" | "cut" | "deaf" | "mute";
+export const CONTROLLER_LEASE = Duration.seconds(3);
+export const TIMINGS = leaseTimingsOf({ leaseS: 12, reportS: 1, cancelS: 30 }, CONTROLLER_LEASE);
+export const STEP_MS = 50;
+export const FAST_BOOT_MS = 2000;
 export const TYPES: MachineType[] = [["small", 8, 16] as const, ["large", 16, 64] as const].map(
   ([name, cpus, memoryGb]) => ({
     name,
@@ -75,7 +75,7 @@
   { name: "red", guaranteedCpus: 8, maxCpus: 24, guaranteedGpus: 0, maxGpus: 0 },
   { name: "blue", guaranteedCpus: 8, maxCpus: 0, guaranteedGpus: 0, maxGpus: 0 },
 ];
-export interface Broken {
+export interface Violation {
   readonly rule: string;
   readonly text: string;
 }
--- a/test/model/shards.ts
+++ b/test/model/shards.ts
@@ -10,26 +10,29 @@
 import type { MachineOwnership } from "../../src/core/scheduler/scheduler-context.js";
 import type { OwnerNameLookup } from "../../src/core/members/worker-partition.js";
 
-const MOVE_EVERY_MS = 700;
-const DRAIN_MS = 3000;
+const HANDOFF_INTERVAL_MS = 700;
+const DRAIN_TIMEOUT_MS = 3000;
 /** How far behind a controller's reading may be. */
-const LAG_MS = 1500;
+const MAX_READ_LAG_MS = 1500;
 
 interface Handoff {
   readonly shard: ShardId;
   readonly target: string;
   readonly scheduler: Scheduler;
-  readonly since: number;
+  readonly startedAt: number;
   /** From when on the target may take it; null: not drained yet. */
-  takenAt: number | null;
+  takeoverAt: number | null;
 }
 
 /** The owners of all shards, and the handoff under way. */
 export class ShardMoves {
   private readonly owners = new Map<ShardId, string>();
-  private readonly known = new Map<string, { at: number; owners: ReadonlyMap<ShardId, string> }>();
+  private readonly cachedOwners = new Map<
+    string,
+    { staleAt: number; owners: ReadonlyMap<ShardId, string> }
+  >();
   private handoff: Handoff | null = null;
-  private triedAt = 0;
+  private lastAttemptAt = 0;
 
   constructor(
     private readonly now: () => number,
@@ -38,21 +41,21 @@
   ) {}
 
   /** Whom a controller takes for the owner of a machine. */
-  lookup(node: string): OwnerNameLookup {
+  ownerLookupOf(node: string): OwnerNameLookup {
     return (term, machine, zone) => {
       const shard = shardOf(machine, zone);
-      const owner = this.read(node).get(shard);
+      const owner = this.ownersSeenBy(node).get(shard);
       const isMember = term.members.some(({ name }) => name === owner);
       if (owner !== undefined && isMember) return owner;
       return rendezvousOwner(term.members, shard, zone)?.name ?? null;
     };
   }
 
-  private read(node: string): ReadonlyMap<ShardId, string> {
-    const known = this.known.get(node);
-    if (known !== undefined && this.now() < known.at) return known.owners;
+  private ownersSeenBy(node: string): ReadonlyMap<ShardId, string> {
+    const cached = this.cachedOwners.get(node);
+    if (cached !== undefined && this.now() < cached.staleAt) return cached.owners;
     const owners = new Map(this.owners);
-    this.known.set(node, { at: this.now() + this.draw() * LAG_MS, owners });
+    this.cachedOwners.set(node, { staleAt: this.now() + this.draw() * MAX_READ_LAG_MS, owners });
     return owners;
   }
 
@@ -71,34 +74,34 @@
   /** A step of whoever leads. What another leader left behind is over. */
   step(scheduler: Scheduler, term: TermRecord): void {
     const { handoff } = this;
-    if (handoff === null) return this.begin(scheduler, term);
-    if (handoff.scheduler !== scheduler) return this.end(scheduler, "handoffs left by another leader");
+    if (handoff === null) return this.beginHandoff(scheduler, term);
+    if (handoff.scheduler !== scheduler) return this.endHandoff(scheduler, "handoffs left by another leader");
     const facts = scheduler.shardDrain.factsOf(this.machinesOf(scheduler, handoff.shard));
-    if (handoff.takenAt !== null) {
-      if (this.now() < handoff.takenAt) return;
+    if (handoff.takeoverAt !== null) {
+      if (this.now() < handoff.takeoverAt) return;
       this.owners.set(handoff.shard, handoff.target);
-      return this.end(scheduler, "shards handed over");
+      return this.endHandoff(scheduler, "shards handed over");
     }
-    if (facts.fenced) handoff.takenAt = this.now() + this.draw() * 1000;
-    else if (this.now() - handoff.since > DRAIN_MS) this.end(scheduler, "drains given up");
+    if (facts.fenced) handoff.takeoverAt = this.now() + this.draw() * 1000;
+    else if (this.now() - handoff.startedAt > DRAIN_TIMEOUT_MS) this.endHandoff(scheduler, "drains given up");
   }
 
-  private begin(scheduler: Scheduler, term: TermRecord): void {
-    if (this.now() - this.triedAt < MOVE_EVERY_MS) return;
-    this.triedAt = this.now();
+  private beginHandoff(scheduler: Scheduler, term: TermRecord): void {
+    if (this.now() - this.lastAttemptAt < HANDOFF_INTERVAL_MS) return;
+    this.lastAttemptAt = this.now();
     const machines = [...scheduler.cluster.machines.values()];
     const machine = machines[Math.floor(this.draw() * machines.length)];
     const target = term.members[Math.floor(this.draw() * term.members.length)];
     if (machine === undefined || target === undefined) return;
     const shard = shardOf(machine.id, machine.zone);
-    const own = this.machinesOf(scheduler, shard);
-    if (scheduler.shardDrain.factsOf(own).obstacle !== null) return this.count("handoffs refused");
-    this.handoff = { shard, target: target.name, scheduler, since: this.now(), takenAt: null };
-    scheduler.shardDrain.raiseTokens(own);
+    const shardMachines = this.machinesOf(scheduler, shard);
+    if (scheduler.shardDrain.factsOf(shardMachines).obstacle !== null) return this.count("handoffs refused");
+    this.handoff = { shard, target: target.name, scheduler, startedAt: this.now(), takeoverAt: null };
+    scheduler.shardDrain.raiseTokens(shardMachines);
   }
 
-  private end(scheduler: Scheduler, what: string): void {
-    this.count(what);
+  private endHandoff(scheduler: Scheduler, event: string): void {
+    this.count(event);
     const { shard } = this.handoff!;
     this.handoff = null;
     scheduler.shardDrain.resume(this.machinesOf(scheduler, shard));
--- a/test/model/submissions.ts
+++ b/test/model/submissions.ts
@@ -4,10 +4,10 @@
 import {
   type Process,
   type JobStatus,
-  CONDITIONS,
-  OWN_CONDITIONS,
-  ACCEPT_TRIES,
-  CANCEL_TRIES,
+  MAX_CONDITIONS,
+  OWN_RECORD_CONDITIONS,
+  MAX_ACCEPT_ATTEMPTS,
+  MAX_CANCEL_ATTEMPTS,
 } from "./job-views.js";
 import { knownAncestors, readJob } from "./job-status.js";
 import { type WaitingJobs } from "./waiting-jobs.js";
@@ -15,76 +15,88 @@
 
 /** Its record and set, or the released job, or its end: written if its parents are still what they were. */
 export function acceptSubmission<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   spec: JobSpec,
-  stale: boolean,
-  tries: number,
+  rereadParents: boolean,
+  attempts: number,
 ): void {
-  const { host } = pipelines;
-  if (tries >= ACCEPT_TRIES) return;
-  const asked = host.now();
+  const { host } = waitingJobs;
+  if (attempts >= MAX_ACCEPT_ATTEMPTS) return;
+  const askedAt = host.now();
   const { version } = node;
-  const awaits = version === "new" ? spec.dependsOn : [];
-  readParents(pipelines, node, awaits, stale, (parents) => {
-    if (parents === null) return pipelines.ask(node, spec.id);
+  const parentIds = version === "new" ? spec.dependsOn : [];
+  readParents(waitingJobs, node, parentIds, rereadParents, (parents) => {
+    if (parents === null) return waitingJobs.queryStatus(node, spec.id);
     if (parents.some((p) => p.kind === "absent"))
-      return host.broke("went_back", `${spec.id}: awaits an accepted job, refused at ${host.now()}`);
+      return host.reportViolation(
+        "went_back",
+        `${spec.id}: awaits an accepted job, refused at ${host.now()}`,
+      );
     const isDone = (p: JobStatus): boolean => p.kind === "final" && p.outcome === "done";
-    const joined = awaits.filter((_, i) => isDone(parents[i]!));
-    const doomed = parents.some((p) => p.kind === "final" && p.outcome === "cancelled");
-    const open = awaits.flatMap((id, i) => {
+    const joined = parentIds.filter((_, i) => isDone(parents[i]!));
+    const hasCancelledParent = parents.some((p) => p.kind === "final" && p.outcome === "cancelled");
+    const unfinishedParents = parentIds.flatMap((id, i) => {
       const p = parents[i]!;
-      return p.kind === "open" ? [{ id, stamp: p.stamp, waiting: p.waiting }] : [];
+      return p.kind === "open" ? [{ id, revision: p.revision, waiting: p.waiting }] : [];
     });
-    const conditions = open.slice(0, CONDITIONS - OWN_CONDITIONS);
+    const conditions = unfinishedParents.slice(0, MAX_CONDITIONS - OWN_RECORD_CONDITIONS);
     const { view } = node;
     // a cancel before a parent counts although it hasn't been passed on to the parent yet
-    const before = new Set(open.flatMap((p) => (p.waiting ? knownAncestors(pipelines, view, p.id) : [])));
-    const commits = [...before].slice(0, CONDITIONS - OWN_CONDITIONS - conditions.length);
+    const ancestors = new Set(
+      unfinishedParents.flatMap((p) => (p.waiting ? knownAncestors(waitingJobs, view, p.id) : [])),
+    );
+    const checkedAncestors = [...ancestors].slice(
+      0,
+      MAX_CONDITIONS - OWN_RECORD_CONDITIONS - conditions.length,
+    );
     let isNew = true;
-    const row = { spec, revision: 0, accepted: asked, released: host.now() };
-    const unchanged = (): boolean =>
-      conditions.every((c) => (c.waiting ? pipelines.waiting : host.jobs).get(c.id)?.revision === c.stamp) &&
-      (host.isWithoutGuard("before") || !commits.some((p) => host.commits.has(p)));
-    pipelines.transact(
+    const row = { spec, revision: 0, accepted: askedAt, released: host.now() };
+    const isUnchanged = (): boolean =>
+      conditions.every(
+        (c) => (c.waiting ? waitingJobs.waiting : host.jobs).get(c.id)?.revision === c.revision,
+      ) &&
+      (host.isWithoutGuard("before") || !checkedAncestors.some((p) => host.commits.has(p)));
+    waitingJobs.transact(
       node,
       () => {
-        const isWaiting = version === "new" && pipelines.waiting.has(spec.id);
+        const isWaiting = version === "new" && waitingJobs.waiting.has(spec.id);
         isNew = !host.commits.has(spec.id) && !host.jobs.has(spec.id) && !isWaiting;
-        if (isNew && !unchanged()) host.count("children refused as a parent went on");
-        return isNew && unchanged();
+        if (isNew && !isUnchanged()) host.count("children refused as a parent went on");
+        return isNew && isUnchanged();
       },
       () => {
         const stamp = host.nextRevision();
         row.revision = stamp;
-        if (doomed) return host.commit(spec.id, "cancelled");
-        if (open.length === 0) return pipelines.release(spec.id, row);
-        if (open.some((p) => host.commits.has(p.id)))
+        if (hasCancelledParent) return host.commit(spec.id, "cancelled");
+        if (unfinishedParents.length === 0) return waitingJobs.release(spec.id, row);
+        if (unfinishedParents.some((p) => host.commits.has(p.id)))
           host.count("children accepted while a parent committed");
-        pipelines.waiting.set(spec.id, row);
-        pipelines.fanins.set(spec.id, { joined, released: false, revision: stamp });
+        waitingJobs.waiting.set(spec.id, row);
+        waitingJobs.fanins.set(spec.id, { joined, released: false, revision: stamp });
       },
       (ok) => {
         // without an answer it may have been accepted all the same
-        if (ok === null || !isNew) return pipelines.ask(node, spec.id);
-        if (!ok) return acceptSubmission(pipelines, node, spec, true, tries + 1);
-        if (doomed) {
+        if (ok === null || !isNew) return waitingJobs.queryStatus(node, spec.id);
+        if (!ok) return acceptSubmission(waitingJobs, node, spec, true, attempts + 1);
+        if (hasCancelledParent) {
           host.count("children of cancelled jobs accepted");
-          view.finals.set(spec.id, "cancelled");
+          view.outcomes.set(spec.id, "cancelled");
           view.remove(spec.id);
-          return pipelines.receiveAnswer(spec.id, { kind: "final", outcome: "cancelled" }, asked);
+          return waitingJobs.receiveAnswer(spec.id, { kind: "final", outcome: "cancelled" }, askedAt);
         }
-        if (open.length === 0) view.put(spec.id, row);
+        if (unfinishedParents.length === 0) view.putJob(spec.id, row);
         else {
           view.putFanin(spec.id, { joined, released: false, revision: row.revision });
           view.putWaiting(spec.id, row);
         }
-        host.count(open.length === 0 ? "children of finished jobs accepted" : "waiting jobs accepted");
-        pipelines.receiveAnswer(
+        host.count(
+          unfinishedParents.length === 0 ? "children of finished jobs accepted" : "waiting jobs accepted",
+        );
+        waitingJobs.receiveAnswer(
           spec.id,
-          { kind: "open", stamp: row.revision, waiting: open.length > 0 },
-          asked,
+          { kind: "open", revision: row.revision, waiting: unfinishedParents.length > 0 },
+          askedAt,
         );
       },
     );
@@ -93,63 +105,64 @@
 
 /** The status of all parents; null: no answer about one of them. */
 export function readParents<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
-  awaits: readonly string[],
-  stale: boolean,
+  parentIds: readonly string[],
+  reread: boolean,
   then: (parents: JobStatus[] | null) => void,
 ): void {
-  if (awaits.length === 0) return then([]);
+  if (parentIds.length === 0) return then([]);
   const { view } = node;
   const found = new Map<string, JobStatus | null>();
-  const set = (id: string, standing: JobStatus | null): void => {
-    found.set(id, standing);
-    if (found.size < awaits.length) return;
-    const all = awaits.map((p) => found.get(p) ?? null);
+  const setStatus = (id: string, status: JobStatus | null): void => {
+    found.set(id, status);
+    if (found.size < parentIds.length) return;
+    const all = parentIds.map((p) => found.get(p) ?? null);
     then(all.includes(null) ? null : (all as JobStatus[]));
   };
-  for (const id of awaits) {
-    const outcome = view.finals.get(id);
-    const isHeardOf = knownAncestors(pipelines, view, id).every((p) => view.isUnfinished(p));
-    const row = stale || !isHeardOf ? undefined : (view.jobs.get(id) ?? view.waiting.get(id));
-    if (outcome !== undefined) set(id, { kind: "final", outcome });
-    else if (row !== undefined) set(id, { kind: "open", stamp: row.revision, waiting: !view.jobs.has(id) });
-    else readJob(pipelines, node, id, (standing) => set(id, standing));
+  for (const id of parentIds) {
+    const outcome = view.outcomes.get(id);
+    const areAncestorsKnown = knownAncestors(waitingJobs, view, id).every((p) => view.isUnfinished(p));
+    const row = reread || !areAncestorsKnown ? undefined : (view.jobs.get(id) ?? view.waiting.get(id));
+    if (outcome !== undefined) setStatus(id, { kind: "final", outcome });
+    else if (row !== undefined)
+      setStatus(id, { kind: "open", revision: row.revision, waiting: !view.jobs.has(id) });
+    else readJob(waitingJobs, node, id, (standing) => setStatus(id, standing));
   }
 }
 
 /** One process cancels a job, on condition that its record is still what it read. */
 export function cancelAtNode<N extends Process>(
-  pipelines: WaitingJobs<N>,
+  waitingJobs: WaitingJobs<N>,
   node: N,
   id: string,
-  tries: number,
+  attempts: number,
 ): void {
-  const { host } = pipelines;
-  if (tries >= CANCEL_TRIES) return;
-  const asked = host.now();
-  readJob(pipelines, node, id, (standing) => {
-    if (standing?.kind === "final" && standing.outcome === "done")
-      host.count("cancels that met the job's end");
-    if (standing?.kind !== "open") return pipelines.receiveAnswer(id, standing, asked);
-    const { stamp, waiting } = standing;
+  const { host } = waitingJobs;
+  if (attempts >= MAX_CANCEL_ATTEMPTS) return;
+  const askedAt = host.now();
+  readJob(waitingJobs, node, id, (status) => {
+    if (status?.kind === "final" && status.outcome === "done") host.count("cancels that met the job's end");
+    if (status?.kind !== "open") return waitingJobs.receiveAnswer(id, status, askedAt);
+    const { revision, waiting } = status;
     const { version } = node;
-    pipelines.transact(
+    waitingJobs.transact(
       node,
-      () => !host.commits.has(id) && (waiting ? pipelines.waiting : host.jobs).get(id)?.revision === stamp,
+      () =>
+        !host.commits.has(id) && (waiting ? waitingJobs.waiting : host.jobs).get(id)?.revision === revision,
       () => {
         host.count(waiting ? "waiting jobs called off" : "released jobs called off");
-        pipelines.cancelled(id, version);
+        waitingJobs.commitCancellation(id, version);
       },
       (ok) => {
         if (ok === false) {
           host.count(waiting ? "cancels that met the parent's end" : "cancels that met the job's end");
-          return cancelAtNode(pipelines, node, id, tries + 1);
+          return cancelAtNode(waitingJobs, node, id, attempts + 1);
         }
         if (ok !== true) return;
-        node.view.finals.set(id, "cancelled");
+        node.view.outcomes.set(id, "cancelled");
         node.view.remove(id);
-        pipelines.receiveOutcome(id, "cancelled");
+        waitingJobs.receiveOutcome(id, "cancelled");
       },
     );
   });
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -8,14 +8,14 @@
 import { workersRunning } from "./workers.js";
 import { type JobSpec } from "../../src/core/records.js";
 import { type RangeSet } from "../../src/core/ranges.js";
-import { type Row } from "./job-views.js";
+import { type JobRow } from "./job-views.js";
 
 /** The users of one step: some submit, some cancel. */
 export function stepUsers(world: WorldState): void {
   if (world.now < world.stateDownUntil) return;
-  if (world.jobs.size < 8 && world.rough > 0 && chance(world, 0.8 / world.rough)) {
+  if (world.jobs.size < 8 && world.faultRate > 0 && chance(world, 0.8 / world.faultRate)) {
     const kind = pick(world, ["array", "array", "service"] as const);
-    const n = world.nextJob++;
+    const n = world.nextJobNumber++;
     const spec: JobSpec = {
       id: `req-${String(n).padStart(6, "0")}`,
       className: kind,
@@ -41,7 +41,12 @@
     };
     acceptJob(world, spec);
   }
-  if (world.jobs.size > 0 && world.rough > 0 && chance(world, 0.15 / world.rough) && world.usersCancel)
+  if (
+    world.jobs.size > 0 &&
+    world.faultRate > 0 &&
+    chance(world, 0.15 / world.faultRate) &&
+    world.randomCancels
+  )
     cancelJob(world, pick(world, [...world.jobs.keys()]));
 }
 
@@ -50,45 +55,46 @@
   world.allJobs.set(spec.id, spec);
   world.jobs.set(spec.id, newRow(world, spec));
   // the user sent it twice, and the first one comes last
-  if (world.lateWrites > 0 && world.extra() < world.lateWrites)
+  if (world.lateWriteShare > 0 && world.extraRandom() < world.lateWriteShare)
     carryOutLate(
       world,
       (late) => !world.jobs.has(spec.id) && hasNoCommit(world, spec.id, late),
       () => {
         if (world.commits.has(spec.id))
-          world.broken.push({ rule: "went_back", text: `${spec.id} queued at ${world.now}` });
+          world.violations.push({ rule: "went_back", text: `${spec.id} queued at ${world.now}` });
         world.jobs.set(spec.id, newRow(world, spec));
       },
     );
 }
 
 /** A new record of a job. */
-export function newRow(world: WorldState, spec: JobSpec): Row {
+export function newRow(world: WorldState, spec: JobSpec): JobRow {
   return { spec, revision: ++world.revision, accepted: world.now, released: world.now };
 }
 
 /** A user calls a job off, and is told that it is over; says on how many machines it was. */
 export function cancelJob(world: WorldState, id: string): number {
   if (!world.jobs.has(id) || world.now < world.stateDownUntil) return 0;
-  const on = workersRunning(world, id).length;
+  const machineCount = workersRunning(world, id).length;
   commitJob(world, id, "cancelled");
-  world.pipelines.receiveOutcome(id, "cancelled", true);
-  if (world.lateWrites > 0 && world.extra() < world.lateWrites)
+  world.waitingJobs.receiveOutcome(id, "cancelled", true);
+  if (world.lateWriteShare > 0 && world.extraRandom() < world.lateWriteShare)
     carryOutLate(
       world,
       (late) => hasNoCommit(world, id, late),
       () => commitJob(world, id, "cancelled"),
     );
-  return on;
+  return machineCount;
 }
 
 /** The last task of a job has completed: some users call it off at this very moment, before or after it is known. */
-export function onTaskEnded(world: WorldState, id: string, done: RangeSet): void {
-  if (world.askedAtEnd.has(id) && done.covers(world.allJobs.get(id)!.tasks)) askAtEnd(world, id);
-  if (world.cancelsAtEnd === 0 || !world.jobs.has(id)) return;
-  if (!done.covers(world.allJobs.get(id)!.tasks) || world.extra() >= world.cancelsAtEnd) return;
+export function onTaskEnded(world: WorldState, id: string, completed: RangeSet): void {
+  if (world.queriedAtEnd.has(id) && completed.covers(world.allJobs.get(id)!.tasks)) queryAtEnd(world, id);
+  if (world.cancelAtEndShare === 0 || !world.jobs.has(id)) return;
+  if (!completed.covers(world.allJobs.get(id)!.tasks) || world.extraRandom() >= world.cancelAtEndShare)
+    return;
   world.messages.push({
-    at: world.now + world.extra() * 1500,
+    at: world.now + world.extraRandom() * 1500,
     run: () => {
       if (world.now < world.stateDownUntil) return;
       const outcome = world.commits.get(id)?.outcome;
@@ -100,13 +106,13 @@
 }
 
 /** Users ask about a job at all nodes and send it once more. */
-export function askAtEnd(world: WorldState, id: string): void {
+export function queryAtEnd(world: WorldState, id: string): void {
   for (const node of world.nodes)
     world.messages.push({
-      at: world.now + world.extra() * 1500,
+      at: world.now + world.extraRandom() * 1500,
       run: () => {
         world.count("questions at the end of the last task");
-        world.pipelines.askAndRepeat(node, id);
+        world.waitingJobs.queryAndResubmit(node, id);
       },
     });
 }
@@ -115,12 +121,12 @@
 export function newSpecs(
   world: WorldState,
   count: number,
-  change: Partial<JobSpec>,
-  lasts?: readonly number[],
+  overrides: Partial<JobSpec>,
+  durationsMs?: readonly number[],
 ): JobSpec[] {
   const specs: JobSpec[] = [];
   for (let i = 0; i < count; i++) {
-    const id = `req-${String(world.nextJob++).padStart(6, "0")}`;
+    const id = `req-${String(world.nextJobNumber++).padStart(6, "0")}`;
     const spec: JobSpec = {
       id,
       className: "array",
@@ -143,9 +149,9 @@
       saveDuration: Duration.zero,
       deadline: null,
       dependsOn: [],
-      ...change,
+      ...overrides,
     };
-    if (lasts !== undefined) world.lasts.set(id, lasts);
+    if (durationsMs !== undefined) world.taskDurationsMs.set(id, durationsMs);
     specs.push(spec);
   }
   return specs;
--- a/test/model/versions.ts
+++ b/test/model/versions.ts
@@ -9,37 +9,37 @@
 /** What users and operators keep to, and what the earlier version leaves behind. */
 export class MixedVersions {
   /** Whether users send jobs that wait for others. */
-  pipelinesOpen = true;
+  usersSendDependents = true;
   /** Whether users go to processes of this version only. */
   usersAvoidOld = false;
   /** Whether users who get no answer go on to the next process; without it they ask some other time. */
-  usersTryOthers = false;
+  usersRetryElsewhere = false;
   /** Sets whose job a process of the earlier version committed. */
-  readonly leftSets = new Set<string>();
+  readonly leftoverSets = new Set<string>();
   private readonly releasedJobs = new Set<string>();
   private readonly counted = new Map<object, Set<string>>();
 
-  usersChoose<N extends { readonly version: Version }>(nodes: readonly N[]): readonly N[] {
+  nodesForUsers<N extends { readonly version: Version }>(nodes: readonly N[]): readonly N[] {
     return this.usersAvoidOld ? nodes.filter((n) => n.version === "new") : nodes;
   }
 
   /** Whether this is the job's first release. */
-  released(id: string): boolean {
+  markReleased(id: string): boolean {
     if (this.releasedJobs.has(id)) return false;
     this.releasedJobs.add(id);
     return true;
   }
 
   /** What is to be counted of a leader that may act, each only once. */
-  leads(leadership: object, version: Version, hasReleased: boolean, hasWaiting: boolean): string[] {
+  leaderEvents(leadership: object, version: Version, hasReleased: boolean, hasWaiting: boolean): string[] {
     const counted = this.counted.get(leadership) ?? new Set<string>();
     this.counted.set(leadership, counted);
-    const what = [
+    const events = [
       `${version} leaders`,
       ...(hasReleased ? [`${version} leaders with released jobs of pipelines`] : []),
       ...(hasWaiting ? [`${version} leaders while jobs wait`] : []),
     ].filter((text) => !counted.has(text));
-    for (const text of what) counted.add(text);
-    return what;
+    for (const text of events) counted.add(text);
+    return events;
   }
 }
--- a/test/model/workers.ts
+++ b/test/model/workers.ts
@@ -2,7 +2,7 @@
  * Simulated workers: machines that carry out commands, run tasks and send heartbeats.
  */
 import * as Duration from "effect/Duration";
-import { TIMINGS, STEP, QUICK_BOOT_MS, TYPES } from "./settings.js";
+import { TIMINGS, STEP_MS, FAST_BOOT_MS, TYPES } from "./settings.js";
 import { type WorldState } from "./world-state.js";
 import { chance, pick, sendLater, whenAwake, areZonesApart } from "./network.js";
 import { deliverCopy, deliverHeartbeat } from "./heartbeats.js";
@@ -17,7 +17,7 @@
   index: number;
   state: "fetching" | "running" | "exited";
   exitReason: "done" | "stopped" | "error" | "busy" | "no_room" | null;
-  left: number;
+  remainingMs: number;
 }
 
 /** A simulated worker on its machine. */
@@ -34,28 +34,28 @@
   deafUntil = 0;
   /** Its reports reach nobody, but direct orders reach it. */
   muteUntil = 0;
-  node = 0;
+  nodeIndex = 0;
   nextHeartbeatAt: number;
   readonly tasks = new Map<string, WorkerTask>();
   constructor(
     readonly id: string,
     readonly record: MachineRecord,
-    readonly rented: number,
-    readonly up: number,
+    readonly rentedAt: number,
+    readonly upAt: number,
     readonly cpus: number,
   ) {
-    this.leaseRenewedAt = up;
-    this.nextHeartbeatAt = up;
+    this.leaseRenewedAt = upAt;
+    this.nextHeartbeatAt = upAt;
   }
 }
 
 /** A machine is rented; it is up after its boot. */
 export function addMachine(world: WorldState, type: string, zone: string, spot: boolean): string {
-  const id = `n-${String(world.machines++).padStart(4, "0")}`;
+  const id = `n-${String(world.machineCount++).padStart(4, "0")}`;
   const cpus = TYPES.find((t) => t.name === type)!.cpus;
-  const usual = 500 + world.random() * 3000;
-  const boot = world.quickBoots ? world.extra() * QUICK_BOOT_MS : usual;
-  world.workers.set(id, new Worker(id, { type, zone, spot, addr: id }, world.now, world.now + boot, cpus));
+  const usualBootMs = 500 + world.random() * 3000;
+  const bootMs = world.fastBoots ? world.extraRandom() * FAST_BOOT_MS : usualBootMs;
+  world.workers.set(id, new Worker(id, { type, zone, spot, addr: id }, world.now, world.now + bootMs, cpus));
   return id;
 }
 
@@ -84,7 +84,7 @@
 
 /** One step of a worker: its tasks go on, and it sends a heartbeat when one is due. */
 export function stepWorker(world: WorldState, worker: Worker): void {
-  if (worker.gone || world.now < worker.up) return;
+  if (worker.gone || world.now < worker.upAt) return;
   if (world.now - worker.leaseRenewedAt > Duration.toMillis(TIMINGS.workerLease)) {
     worker.tasks.clear();
     worker.workerEpoch++;
@@ -94,71 +94,78 @@
   if (world.now < worker.hungUntil) return;
   for (const t of worker.tasks.values()) {
     if (t.state === "exited") continue;
-    t.left -= STEP;
-    if (t.state === "fetching" && t.left <= 0) {
+    t.remainingMs -= STEP_MS;
+    if (t.state === "fetching" && t.remainingMs <= 0) {
       // the result is kept: what completed before exits as soon as it has its image
-      const before = world.completed.get(t.job)?.has(t.index) ?? false;
-      t.state = before ? "exited" : "running";
-      if (before) t.exitReason = "done";
-      const usual = world.allJobs.get(t.job)!.kind === "service" ? Infinity : 500 + world.random() * 6000;
-      t.left = world.lasts.get(t.job)?.[t.index] ?? usual;
-    } else if (t.left <= 0) {
+      const wasCompleted = world.completedTasks.get(t.job)?.has(t.index) ?? false;
+      t.state = wasCompleted ? "exited" : "running";
+      if (wasCompleted) t.exitReason = "done";
+      const usualDurationMs =
+        world.allJobs.get(t.job)!.kind === "service" ? Infinity : 500 + world.random() * 6000;
+      t.remainingMs = world.taskDurationsMs.get(t.job)?.[t.index] ?? usualDurationMs;
+    } else if (t.remainingMs <= 0) {
       t.state = "exited";
       // what a script wants to last so long doesn't fail
-      t.exitReason = world.random() < 0.05 && !world.lasts.has(t.job) ? "error" : "done";
-      if (world.failing.has(t.job)) {
+      t.exitReason = world.random() < 0.05 && !world.taskDurationsMs.has(t.job) ? "error" : "done";
+      if (world.failingJobs.has(t.job)) {
         t.exitReason = "error";
         world.count("attempts that failed");
       }
       if (t.exitReason === "done") {
-        const done = world.completed.get(t.job) ?? new RangeSet();
-        if (!done.has(t.index)) done.add(t.index);
-        world.completed.set(t.job, done);
-        onTaskEnded(world, t.job, done);
+        const completed = world.completedTasks.get(t.job) ?? new RangeSet();
+        if (!completed.has(t.index)) completed.add(t.index);
+        world.completedTasks.set(t.job, completed);
+        onTaskEnded(world, t.job, completed);
       }
     }
   }
   if (world.now < worker.nextHeartbeatAt || world.now < worker.cutUntil) return;
   worker.nextHeartbeatAt = world.now + 1000;
-  const sent = world.now;
+  const sentAt = world.now;
   if (world.now < worker.muteUntil) {
-    worker.node++;
+    worker.nodeIndex++;
     return;
   }
   const heartbeat = newHeartbeat(worker);
-  if (world.lateHeartbeats > 0 && world.extra() < world.lateHeartbeats) {
+  if (world.lateHeartbeatShare > 0 && world.extraRandom() < world.lateHeartbeatShare) {
     const lease = Duration.toMillis(TIMINGS.workerLease);
-    deliverCopy(world, worker, heartbeat, world.now + 2000 + world.extra() * (2.5 * lease - 2000), null);
+    deliverCopy(
+      world,
+      worker,
+      heartbeat,
+      world.now + 2000 + world.extraRandom() * (2.5 * lease - 2000),
+      null,
+    );
   }
-  const node = world.nodes[worker.node % world.nodes.length]!;
+  const node = world.nodes[worker.nodeIndex % world.nodes.length]!;
   // a copy may come late, from seconds to well over a lease, and to whoever is there then
   if (chance(world, 0.2)) {
-    const late = world.now + world.random() * 2.5 * Duration.toMillis(TIMINGS.workerLease);
-    const to = pick(world, world.nodes);
+    const arrivesAt = world.now + world.random() * 2.5 * Duration.toMillis(TIMINGS.workerLease);
+    const target = pick(world, world.nodes);
     world.messages.push({
-      at: late,
-      run: whenAwake(world, to, () => {
-        if (to.alive) deliverHeartbeat(world, to, heartbeat);
+      at: arrivesAt,
+      run: whenAwake(world, target, () => {
+        if (target.alive) deliverHeartbeat(world, target, heartbeat);
       }),
     });
   }
   // its connection waits for an answer at a process that stands still; the next heartbeat goes elsewhere
-  if (world.now < node.frozenUntil) worker.node++;
+  if (world.now < node.frozenUntil) worker.nodeIndex++;
   if (areZonesApart(world, node.zone, worker.record.zone)) {
-    worker.node++;
+    worker.nodeIndex++;
     return;
   }
   sendLater(
     world,
     whenAwake(world, node, () => {
       if (!node.alive) {
-        worker.node++;
+        worker.nodeIndex++;
         return;
       }
       const answer = deliverHeartbeat(world, node, heartbeat);
       if (answer.kind === "elsewhere")
-        worker.node = world.nodes.findIndex((node) => node.name === answer.member);
-      else if (answer.kind === "unsure") worker.node++;
+        worker.nodeIndex = world.nodes.findIndex((node) => node.name === answer.member);
+      else if (answer.kind === "unsure") worker.nodeIndex++;
       if (answer.kind !== "taken") return;
       const { fencingToken, stopCommands } = answer;
       const workerEpoch = heartbeat.workerEpoch;
@@ -166,9 +173,9 @@
         if (world.now < Math.max(worker.cutUntil, worker.deafUntil) || worker.workerEpoch !== workerEpoch)
           return;
         if (areZonesApart(world, node.zone, worker.record.zone)) return;
-        if (fencingToken < worker.fencingToken || world.now - sent > 4000) return;
+        if (fencingToken < worker.fencingToken || world.now - sentAt > 4000) return;
         executeCommands(world, worker, fencingToken, workerEpoch, stopCommands);
-        worker.leaseRenewedAt = Math.max(worker.leaseRenewedAt, sent);
+        worker.leaseRenewedAt = Math.max(worker.leaseRenewedAt, sentAt);
       });
     }),
   );
@@ -201,34 +208,37 @@
 export function startAttempt(world: WorldState, worker: Worker, command: Command, key: string): void {
   const live = [...worker.tasks.values()].filter((t) => t.state !== "exited");
   const spec = world.allJobs.get(command.job)!;
-  const used = live.reduce((sum, t) => sum + world.allJobs.get(t.job)!.cpus, 0);
-  const base = { attempt: command.attempt, job: command.job, index: command.index, left: 0 };
+  const usedCpus = live.reduce((sum, t) => sum + world.allJobs.get(t.job)!.cpus, 0);
+  const base = { attempt: command.attempt, job: command.job, index: command.index, remainingMs: 0 };
   if (live.some((t) => t.job === command.job && t.index === command.index)) {
     worker.tasks.set(key, { ...base, state: "exited", exitReason: "busy" });
     return;
   }
-  if (used + spec.cpus > worker.cpus) {
+  if (usedCpus + spec.cpus > worker.cpus) {
     worker.tasks.set(key, { ...base, state: "exited", exitReason: "no_room" });
     return;
   }
-  world.started++;
+  world.attemptsStarted++;
   if (spec.dependsOn.some((p) => world.commits.get(p)?.outcome !== "done"))
-    world.broken.push({ rule: "too_early", text: `${command.job}/${command.index} starts at ${world.now}` });
+    world.violations.push({
+      rule: "too_early",
+      text: `${command.job}/${command.index} starts at ${world.now}`,
+    });
   const commit = world.commits.get(command.job);
   if (commit?.outcome === "cancelled") {
     world.count("starts after a confirmed cancellation");
     // gone within a step perhaps, so the check after each step wouldn't see it
     if (world.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline))
-      world.broken.push({
+      world.violations.push({
         rule: "ran_cancelled",
         text: `${command.job}/${command.index} starts at ${world.now}`,
       });
   }
-  const elsewhere = workersRunningTask(world, command.job, command.index).filter((x) => x !== worker);
-  if (elsewhere.length > 0)
-    world.broken.push({
+  const otherWorkers = workersRunningTask(world, command.job, command.index).filter((x) => x !== worker);
+  if (otherWorkers.length > 0)
+    world.violations.push({
       rule: "ran_twice",
-      text: `${command.job}/${command.index} on ${worker.id} and ${elsewhere[0]!.id} at ${world.now}`,
+      text: `${command.job}/${command.index} on ${worker.id} and ${otherWorkers[0]!.id} at ${world.now}`,
     });
   const record = worker.record;
   const zones = new Set(workersRunning(world, command.job).map((worker) => worker.record.zone));
@@ -238,11 +248,11 @@
     (!spec.spot && record.spot) ||
     (spec.oneZone && [...zones].some((z) => z !== record.zone))
   )
-    world.broken.push({
+    world.violations.push({
       rule: "wrong_place",
       text: `${command.job}/${command.index} on ${worker.id} at ${world.now}`,
     });
-  worker.tasks.set(key, { ...base, state: "fetching", exitReason: null, left: 200 });
+  worker.tasks.set(key, { ...base, state: "fetching", exitReason: null, remainingMs: 200 });
 }
 
 /** The workers with live attempts of a job. */
@@ -260,6 +270,6 @@
 }
 
 /** How many machines there are. */
-export function machinesUp(world: WorldState): number {
+export function machineTotal(world: WorldState): number {
   return [...world.workers.values()].filter((worker) => !worker.gone).length;
 }
--- a/test/model/world.ts
+++ b/test/model/world.ts
@@ -3,10 +3,10 @@
  * and hangs drawn from a seed. Every rule of the protocol that the core answers for is checked after each step.
  */
 import * as Duration from "effect/Duration";
-import { type Guard, type MachineTrouble, TIMINGS, STEP, QUICK_BOOT_MS } from "./settings.js";
+import { type Guard, type MachineFault, TIMINGS, STEP_MS, FAST_BOOT_MS } from "./settings.js";
 import { WorldState } from "./world-state.js";
 import { endOutage, beginOutage, commitJob } from "./state-service.js";
-import { injectFaults, endProcess } from "./faults.js";
+import { injectFaults, crashProcess } from "./faults.js";
 import { type Node } from "./nodes.js";
 import {
   type Worker,
@@ -20,7 +20,7 @@
 import { mayAct } from "./election.js";
 import { stepController } from "./controllers.js";
 import { cancelJob, stepUsers, acceptJob, newSpecs } from "./users.js";
-import { checkInvariants, isKeptOut } from "./invariants.js";
+import { checkInvariants, isExcludedByServices } from "./invariants.js";
 import { type JobSpec, type Heartbeat } from "../../src/core/records.js";
 import { type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { type MixedVersions, type Version } from "./versions.js";
@@ -35,11 +35,11 @@
   }
 
   step(): void {
-    this.now += STEP;
+    this.now += STEP_MS;
     endOutage(this);
     injectFaults(this);
     stepUsers(this);
-    this.pipelines.step();
+    this.waitingJobs.step();
     this.messages.sort((a, b) => a.at - b.at);
     while (this.messages.length > 0 && this.messages[0]!.at <= this.now) this.messages.shift()!.run();
     for (const worker of this.workers.values()) stepWorker(this, worker);
@@ -47,56 +47,56 @@
     checkInvariants(this);
   }
 
-  /** Jobs of one kind; `lasts`: how long each of the tasks runs. */
-  submit(count: number, change: Partial<JobSpec>, lasts?: readonly number[]): string[] {
-    return newSpecs(this, count, change, lasts).map((spec) => {
+  /** Jobs of one kind; `durationsMs`: how long each of the tasks runs. */
+  submit(count: number, overrides: Partial<JobSpec>, durationsMs?: readonly number[]): string[] {
+    return newSpecs(this, count, overrides, durationsMs).map((spec) => {
       acceptJob(this, spec);
       return spec.id;
     });
   }
   /** Jobs that users send through any node, repeat until they are answered, and ask about. */
-  submitByUsers(count: number, change: Partial<JobSpec>, lasts?: readonly number[]): string[] {
-    return newSpecs(this, count, change, lasts).map((spec) => {
+  submitByUsers(count: number, overrides: Partial<JobSpec>, durationsMs?: readonly number[]): string[] {
+    return newSpecs(this, count, overrides, durationsMs).map((spec) => {
       this.allJobs.set(spec.id, spec);
-      this.pipelines.submit(spec);
+      this.waitingJobs.submit(spec);
       return spec.id;
     });
   }
   /** The share of answers after which users ask all nodes at once. */
-  set closeLooks(share: number) {
-    this.pipelines.closeLooks.share = share;
+  set probeShare(share: number) {
+    this.waitingJobs.statusProbes.share = share;
   }
-  askAboutNothing(): void {
+  queryUnknownJob(): void {
     this.count("questions about jobs that nobody sent");
-    this.pipelines.askAboutNothing(`req-9${String(this.nextJob).padStart(5, "0")}`);
+    this.waitingJobs.queryUnknownJob(`req-9${String(this.nextJobNumber).padStart(5, "0")}`);
   }
   /** A job that waits for others, sent by a user through any node as soon as they are accepted. */
-  submitAfter(
+  submitDependent(
     dependsOn: readonly string[],
-    change: Partial<JobSpec> = {},
-    lasts?: readonly number[],
+    overrides: Partial<JobSpec> = {},
+    durationsMs?: readonly number[],
   ): string {
-    const spec = newSpecs(this, 1, { ...change, dependsOn }, lasts)[0]!;
+    const spec = newSpecs(this, 1, { ...overrides, dependsOn }, durationsMs)[0]!;
     this.allJobs.set(spec.id, spec);
-    this.pipelines.submit(spec);
+    this.waitingJobs.submit(spec);
     return spec.id;
   }
   /** A user calls a job off, or sends it once more, through any node. */
   cancelThroughNode(id: string): void {
-    this.pipelines.cancel(id);
+    this.waitingJobs.cancel(id);
   }
-  repeat(id: string): void {
-    this.pipelines.repeat(id);
+  resubmit(id: string): void {
+    this.waitingJobs.resubmit(id);
   }
   /** At the end of the job's last task a user asks about it at all nodes and sends it once more. */
-  repeatWhenDone(id: string): void {
-    this.askedAtEnd.add(id);
+  resubmitWhenDone(id: string): void {
+    this.queriedAtEnd.add(id);
   }
   isAccepted(id: string): boolean {
-    return this.pipelines.isAccepted(id);
+    return this.waitingJobs.isAccepted(id);
   }
   isWaiting(id: string): boolean {
-    return this.pipelines.waiting.has(id);
+    return this.waitingJobs.waiting.has(id);
   }
 
   /** A user calls a job off, and is told that it is over; says on how many machines it was. */
@@ -105,16 +105,16 @@
   }
 
   wait(ms: number): this {
-    return this.run(this.now + ms);
+    return this.runTo(this.now + ms);
   }
   /** Goes on until this is so, or so long at the most; says whether it is. */
-  until(so: () => boolean, most: number): boolean {
-    const end = this.now + most;
-    while (!so() && this.now < end && this.broken.length === 0) this.step();
-    return so();
+  runUntil(condition: () => boolean, maxMs: number): boolean {
+    const end = this.now + maxMs;
+    while (!condition() && this.now < end && this.violations.length === 0) this.step();
+    return condition();
   }
 
-  private leads(): Node | undefined {
+  private actingLeader(): Node | undefined {
     return this.nodes.find(
       (node) =>
         node.alive && node.scheduler !== null && node.term?.leader === node.name && mayAct(this, node),
@@ -122,51 +122,51 @@
   }
   /** What users and operators keep to while versions are mixed. */
   get versions(): MixedVersions {
-    return this.pipelines.versions;
+    return this.waitingJobs.versions;
   }
   /** All processes have this version, from the beginning. */
-  beginWith(version: Version): void {
+  setAllVersions(version: Version): void {
     for (const node of this.nodes) node.version = version;
   }
   /** A member's process ends and comes back with this version. */
-  replace(which: number, version: Version): void {
-    const node = this.nodes[which]!;
+  restartWithVersion(index: number, version: Version): void {
+    const node = this.nodes[index]!;
     if (node.version === "new" && version === "old") this.count("processes that went back");
-    endProcess(this, node, 200 + this.extra() * 3000);
+    crashProcess(this, node, 200 + this.extraRandom() * 3000);
     node.version = version;
-    this.until(() => node.alive && node.term !== null, 20_000);
+    this.runUntil(() => node.alive && node.term !== null, 20_000);
   }
   isAllNew(): boolean {
     return this.nodes.every((node) => node.version === "new");
   }
-  mayGoBack(): boolean {
-    return this.without === "back" || this.pipelines.nothingWaits();
+  mayDowngrade(): boolean {
+    return this.disabledGuard === "back" || this.waitingJobs.hasNoWaitingJobs();
   }
   /** Leaders end until one of this version leads; says whether one does. */
-  leadBy(version: Version): boolean {
+  crashUntilLeaderHas(version: Version): boolean {
     for (let tries = 0; tries < 20; tries++) {
-      if (!this.until(() => this.led(), 30_000)) return false;
-      if (this.leads()?.version === version) return true;
-      this.endLeader(3500 + this.extra() * 1000);
+      if (!this.runUntil(() => this.hasLeader(), 30_000)) return false;
+      if (this.actingLeader()?.version === version) return true;
+      this.crashLeader(3500 + this.extraRandom() * 1000);
     }
     return false;
   }
   /** Whether somebody leads who can act. */
-  led(): boolean {
-    return this.leads() !== undefined;
+  hasLeader(): boolean {
+    return this.actingLeader() !== undefined;
   }
-  /** The process of the leader ends and is back after `away`; says whether there was one. */
-  endLeader(away: number): boolean {
+  /** The process of the leader ends and is back after `downMs`; says whether there was one. */
+  crashLeader(downMs: number): boolean {
     const node = this.nodes.find((node) => node.alive && node.name === this.leader?.name);
     if (node === undefined) return false;
     if (this.now < this.stateDownUntil) this.count("leaders ended inside an outage");
     this.count("leaders ended");
-    endProcess(this, node, away);
+    crashProcess(this, node, downMs);
     return true;
   }
   /** The leader stands still while its clocks run on, with `others` more; says how many do. */
   freezeLeader(ms: number, others = 0): number {
-    const leader = this.leads();
+    const leader = this.actingLeader();
     if (leader === undefined) return 0;
     const rest = this.nodes.filter((node) => node !== leader && node.alive);
     const frozen = [leader, ...rest.slice(0, others)];
@@ -175,62 +175,63 @@
     return frozen.length;
   }
   /** The process of a member that doesn't lead ends, so that its part changes hands; says whether there was one. */
-  endMember(away: number): boolean {
+  crashFollower(downMs: number): boolean {
     const node = this.nodes.find((node) => node.alive && node.name !== this.leader?.name);
     if (node === undefined) return false;
     this.count("members ended");
-    endProcess(this, node, away);
+    crashProcess(this, node, downMs);
     return true;
   }
-  /** All processes end; the one with this number is back after `first`, the others after `rest`. */
-  endAll(which: number, first: number, rest: number): void {
-    for (const [i, node] of this.nodes.entries()) endProcess(this, node, i === which ? first : rest);
+  /** All processes end; the one with this number is back after `firstDownMs`, the others after `otherDownMs`. */
+  crashAll(firstIndex: number, firstDownMs: number, otherDownMs: number): void {
+    for (const [i, node] of this.nodes.entries())
+      crashProcess(this, node, i === firstIndex ? firstDownMs : otherDownMs);
   }
   outage(ms: number): this {
     beginOutage(this, ms);
     return this;
   }
-  /** The state service refuses the leader alone; `peers`: the other controllers can't be reached by it either. */
-  cutLeader(ms: number, peers: boolean): string | null {
-    const node = this.leads();
+  /** The state service refuses the leader alone; `fromPeers`: the other controllers can't be reached by it either. */
+  isolateLeader(ms: number, fromPeers: boolean): string | null {
+    const node = this.actingLeader();
     if (node === undefined) return null;
-    if (peers) node.aloneUntil = this.now + ms;
+    if (fromPeers) node.isolatedUntil = this.now + ms;
     else node.stateCutUntil = this.now + ms;
     return node.name;
   }
 
-  /** A trouble of machines that hold tasks (of these jobs, if named), at most `most`; says of how many. */
-  strike(trouble: MachineTrouble, ms: number, most: number, jobs?: readonly string[]): number {
+  /** A trouble of machines that hold tasks (of these jobs, if named), at most `maxMs`; says of how many. */
+  injectMachineFault(fault: MachineFault, ms: number, max: number, jobs?: readonly string[]): number {
     let n = 0;
     for (const worker of this.workers.values()) {
       const live = [...worker.tasks.values()].filter((t) => t.state !== "exited");
-      if (n >= most || worker.gone || !live.some((t) => jobs?.includes(t.job) ?? true)) continue;
-      worker[`${trouble}Until`] = this.now + ms;
+      if (n >= max || worker.gone || !live.some((t) => jobs?.includes(t.job) ?? true)) continue;
+      worker[`${fault}Until`] = this.now + ms;
       n++;
     }
     return n;
   }
   /** Machines with tasks of these jobs die. */
-  killSome(most: number, jobs: readonly string[]): number {
-    const on = new Set(jobs.flatMap((id) => workersRunning(this, id)));
-    const dying = [...on].slice(0, most);
+  killMachines(max: number, jobs: readonly string[]): number {
+    const machines = new Set(jobs.flatMap((id) => workersRunning(this, id)));
+    const dying = [...machines].slice(0, max);
     for (const worker of dying) killWorker(this, worker);
     return dying.length;
   }
   /** How many tasks of these jobs are on machines; how many of their jobs' tasks have completed. */
-  running(jobs: readonly string[] = [...this.jobs.keys()]): number {
+  runningTaskCount(jobs: readonly string[] = [...this.jobs.keys()]): number {
     let n = 0;
     for (const worker of this.workers.values())
       for (const t of worker.tasks.values()) if (t.state !== "exited" && jobs.includes(t.job)) n++;
     return n;
   }
-  finished(jobs: readonly string[]): number {
-    return jobs.reduce((sum, id) => sum + (this.completed.get(id)?.size ?? 0), 0);
+  completedTaskCount(jobs: readonly string[]): number {
+    return jobs.reduce((sum, id) => sum + (this.completedTasks.get(id)?.size ?? 0), 0);
   }
   outcome(id: string): "done" | "cancelled" | null {
     return this.commits.get(id)?.outcome ?? null;
   }
-  open(): string[] {
+  unfinishedJobs(): string[] {
     return [...this.jobs.keys()];
   }
   /** A job's commit, if it has one. */
@@ -238,7 +239,7 @@
     return this.commits.get(id)?.outcome ?? null;
   }
   /** What this team has on machines, and how many tasks no leader could place. */
-  usageOf(team: string): number {
+  teamCpus(team: string): number {
     let sum = 0;
     for (const worker of this.workers.values())
       for (const t of worker.tasks.values()) {
@@ -247,47 +248,47 @@
       }
     return sum;
   }
-  waiting(): number {
+  pendingTaskCount(): number {
     let sum = 0;
-    for (const job of this.leads()?.scheduler?.cluster.pendingJobs ?? []) sum += job.pending.size;
+    for (const job of this.actingLeader()?.scheduler?.cluster.pendingJobs ?? []) sum += job.pending.size;
     return sum;
   }
   /** The heartbeats that all machines with tasks send now are held back; they arrive at whoever leads when it is called. */
-  holdBackHeartbeats(): () => number {
-    const held: [Worker, Heartbeat][] = [];
+  captureHeartbeats(): () => number {
+    const captured: [Worker, Heartbeat][] = [];
     for (const worker of this.workers.values())
-      if (!worker.gone && this.now >= worker.up && worker.tasks.size > 0)
-        held.push([worker, newHeartbeat(worker)]);
+      if (!worker.gone && this.now >= worker.upAt && worker.tasks.size > 0)
+        captured.push([worker, newHeartbeat(worker)]);
     return () => {
-      const node = this.leads();
+      const node = this.actingLeader();
       if (node === undefined) return 0;
-      for (const [worker, heartbeat] of held) deliverCopy(this, worker, heartbeat, this.now, node);
-      return held.length;
+      for (const [worker, heartbeat] of captured) deliverCopy(this, worker, heartbeat, this.now, node);
+      return captured.length;
     };
   }
   /** The heartbeats of all machines are held back; they arrive at every controller when it is called. */
-  holdBackAllHeartbeats(): () => number {
-    const held: [Worker, Heartbeat][] = [];
+  captureAllHeartbeats(): () => number {
+    const captured: [Worker, Heartbeat][] = [];
     for (const worker of this.workers.values())
-      if (!worker.gone && this.now >= worker.up) held.push([worker, newHeartbeat(worker)]);
+      if (!worker.gone && this.now >= worker.upAt) captured.push([worker, newHeartbeat(worker)]);
     return () => {
-      for (const [worker, heartbeat] of held)
+      for (const [worker, heartbeat] of captured)
         for (const node of this.nodes) deliverCopy(this, worker, heartbeat, this.now, node);
-      return held.length;
+      return captured.length;
     };
   }
   /** How many machines that were quick to be up have tasks and have been up for at most so long. */
-  newAtWork(ms: number): number {
+  busyNewMachines(maxAgeMs: number): number {
     return [...this.workers.values()].filter(
       (worker) =>
         !worker.gone &&
         worker.tasks.size > 0 &&
-        this.now - worker.up <= ms &&
-        worker.up - worker.rented <= QUICK_BOOT_MS,
+        this.now - worker.upAt <= maxAgeMs &&
+        worker.upAt - worker.rentedAt <= FAST_BOOT_MS,
     ).length;
   }
-  note(what: string, n = 1): void {
-    this.count(what, n);
+  note(event: string, n = 1): void {
+    this.count(event, n);
   }
 
   /** A zone with workers and a controller is cut off, while the cloud releases nothing: only time is proof. */
@@ -302,48 +303,48 @@
    * longer than a cancel has, while workers go on reporting to the old leader. Says how many jobs were cancelled that
    * then had tasks on machines, and that the leader knew nothing of.
    */
-  gap(refused: number, untilOutage: number): number {
+  cancelUnseenByLeader(refusedMs: number, untilOutageMs: number): number {
     const leader = this.nodes.find((node) => node.name === this.leader?.name);
     if (leader === undefined) return 0;
-    leader.stateCutUntil = this.now + refused;
-    const outage = this.now + untilOutage;
-    this.run(outage - 2 * STEP);
-    let met = 0;
+    leader.stateCutUntil = this.now + refusedMs;
+    const outageAt = this.now + untilOutageMs;
+    this.runTo(outageAt - 2 * STEP_MS);
+    let affected = 0;
     for (const id of [...this.jobs.keys()]) {
-      if (!leader.known.has(id) || this.random() < 0.3) continue;
-      if (workersRunning(this, id).length > 0) met++;
+      if (!leader.knownJobs.has(id) || this.random() < 0.3) continue;
+      if (workersRunning(this, id).length > 0) affected++;
       commitJob(this, id, "cancelled");
-      this.pipelines.receiveOutcome(id, "cancelled", true);
+      this.waitingJobs.receiveOutcome(id, "cancelled", true);
     }
-    this.run(outage);
+    this.runTo(outageAt);
     beginOutage(this, Duration.toMillis(TIMINGS.cancelDeadline) + 5000);
-    this.run(this.stateDownUntil + 20_000);
-    return met;
+    this.runTo(this.stateDownUntil + 20_000);
+    return affected;
   }
 
   /** No more troubles, and no more jobs: what was accepted has to run. */
-  calmDown(): this {
-    this.rough = 0;
-    this.calmSince ??= this.now;
-    this.lateWrites = 0;
-    this.lostAnswers = 0;
-    this.lateCommands = 0;
-    this.quickBoots = false;
-    this.closeLooks = 0;
-    this.lateHeartbeats = 0;
-    this.delayedCommands = 0;
-    this.cancelsAtEnd = 0;
-    this.endsAfterCommit = 0;
-    this.slowLinksMs = 0;
-    this.slowStateMs = 0;
+  stopFaults(): this {
+    this.faultRate = 0;
+    this.faultFreeSince ??= this.now;
+    this.lateWriteShare = 0;
+    this.lostAnswerShare = 0;
+    this.lateCommandShare = 0;
+    this.fastBoots = false;
+    this.probeShare = 0;
+    this.lateHeartbeatShare = 0;
+    this.delayedCommandShare = 0;
+    this.cancelAtEndShare = 0;
+    this.crashAfterCommitShare = 0;
+    this.maxLinkDelayMs = 0;
+    this.maxStateDelayMs = 0;
     this.stateDownUntil = 0;
     this.cloudDownUntil = 0;
     this.zoneCutUntil.clear();
     for (const node of this.nodes) {
       node.stateCutUntil = 0;
-      node.aloneUntil = 0;
+      node.isolatedUntil = 0;
       node.frozenUntil = 0;
-      node.back = 0;
+      node.restartAt = 0;
     }
     for (const worker of this.workers.values()) {
       worker.hungUntil = 0;
@@ -356,22 +357,23 @@
 
   /** Accepted jobs that are neither over nor, as services are, all running. */
   unserved(): string[] {
-    const out = this.pipelines.unserved();
+    const unserved = this.waitingJobs.unserved();
     for (const { spec } of this.jobs.values()) {
       let running = 0;
       for (let i = 0; i < spec.tasks; i++) if (workersRunningTask(this, spec.id, i).length > 0) running++;
-      if (spec.kind === "service" ? running < spec.tasks : !isKeptOut(this, spec)) out.push(spec.id);
+      if (spec.kind === "service" ? running < spec.tasks : !isExcludedByServices(this, spec))
+        unserved.push(spec.id);
     }
-    return out;
+    return unserved;
   }
 
   /** The pictures of all leaders that there are. */
-  pictures(): Scheduler["cluster"][] {
+  leaderClusters(): Scheduler["cluster"][] {
     return this.nodes.flatMap((node) => (node.scheduler === null ? [] : [node.scheduler.cluster]));
   }
 
-  run(ms: number): this {
-    while (this.now < ms && this.broken.length === 0) this.step();
+  runTo(timeMs: number): this {
+    while (this.now < timeMs && this.violations.length === 0) this.step();
     return this;
   }
 }
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -14,15 +14,15 @@
 const WORKERS = 4000;
 const MAX_CONNECTIONS = 2500;
 /** Workers that heartbeat at the same time. */
-const AT_ONCE = 100;
+const CONCURRENT_HEARTBEATS = 100;
 const ROUNDS = 2;
 /** A controller that gets too little of the processor to renew its lease answers 503, and is asked again, as by a worker. */
-const ATTEMPTS = 100;
-const ATTEMPT_EVERY_MS = 100;
-const NO_CONNECTION = 0;
+const MAX_ATTEMPTS = 100;
+const RETRY_INTERVAL_MS = 100;
+const STATUS_NO_CONNECTION = 0;
 
 const service = new ServiceFixture(new FakeStateService());
-let child: ChildProcess | null = null;
+let controllerProcess: ChildProcess | null = null;
 
 before(async () => {
   await service.start();
@@ -31,11 +31,14 @@
     workers: { report_s: 30, lease_s: 300, cancel_s: 600 },
     machine_limits: { max_connections: MAX_CONNECTIONS },
   });
-  child = startController(writeSettings(settings));
-  await until("the node is up", async () => (await fetch(`http://${service.front}/up`)).status === 200);
+  controllerProcess = startController(writeSettings(settings));
+  await until(
+    "the node is up",
+    async () => (await fetch(`http://${service.frontAddress}/up`)).status === 200,
+  );
 });
 after(() => {
-  child?.kill("SIGKILL");
+  controllerProcess?.kill("SIGKILL");
   service.stop();
 });
 
@@ -49,8 +52,8 @@
   /** Sends a heartbeat until it is answered or finds no connection. */
   async heartbeatUntilAnswered(): Promise<number> {
     let status = 503;
-    for (let attempt = 0; attempt < ATTEMPTS && status === 503; attempt++) {
-      if (attempt > 0) await new Promise((resolve) => setTimeout(resolve, ATTEMPT_EVERY_MS));
+    for (let attempt = 0; attempt < MAX_ATTEMPTS && status === 503; attempt++) {
+      if (attempt > 0) await new Promise((resolve) => setTimeout(resolve, RETRY_INTERVAL_MS));
       status = await this.sendHeartbeat();
     }
     return status;
@@ -69,11 +72,11 @@
       recall_s: null,
       chores: [],
     });
-    const [host, port] = service.front.split(":");
+    const [host, port] = service.frontAddress.split(":");
     return new Promise((resolve) => {
       const request = http.request({ host, port, method: "POST", path: "/agent/beat", agent: this.agent });
       request.setTimeout(20_000, () => request.destroy());
-      request.on("error", () => resolve(NO_CONNECTION));
+      request.on("error", () => resolve(STATUS_NO_CONNECTION));
       request.on("response", (response) => {
         response.resume().on("end", () => resolve(response.statusCode ?? 0));
       });
@@ -89,19 +92,19 @@
   );
   let failed = 0;
   for (let round = 0; round < ROUNDS; round++) {
-    for (let at = 0; at < WORKERS; at += AT_ONCE) {
-      const some = workers.slice(at, at + AT_ONCE);
-      const answers = await Promise.all(some.map((worker) => worker.heartbeatUntilAnswered()));
+    for (let first = 0; first < WORKERS; first += CONCURRENT_HEARTBEATS) {
+      const batch = workers.slice(first, first + CONCURRENT_HEARTBEATS);
+      const answers = await Promise.all(batch.map((worker) => worker.heartbeatUntilAnswered()));
       failed += answers.filter((status) => status !== 200).length;
     }
   }
   assert.equal(failed, 0);
   // users find room beside them
   const answers = await Promise.all(
-    Array.from({ length: 50 }, (_, n) => fetch(`http://${service.front}/v2/runs/req-${n}`)),
+    Array.from({ length: 50 }, (_, n) => fetch(`http://${service.frontAddress}/v2/runs/req-${n}`)),
   );
   assert.ok(answers.every(({ status }) => status === 404));
-  const status = readFileSync(`/proc/${child?.pid}/status`, "utf8");
+  const status = readFileSync(`/proc/${controllerProcess?.pid}/status`, "utf8");
   console.log(`memory with ${WORKERS} workers: ${/VmRSS:\s*(\d+ kB)/.exec(status)?.[1]}`);
   for (const { agent } of workers) agent.destroy();
 });
--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -7,35 +7,35 @@
 import { type JobSpec, RANK } from "../src/core/records.js";
 import { Scheduler } from "../src/core/scheduler/scheduler.js";
 import { instant } from "../src/core/time.js";
-import { checkInvariants } from "./invariant-checker.js";
-import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { checkClusterIndices } from "./index-checker.js";
+import { ClusterFixture, EAST_MACHINES } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
 const PIPELINE_END = { id: "req-000009", dependsOn: ["req-000002"], priority: "high" } as const;
 
 test("an idle first stage of an urgent pipeline goes before plain normal work, as long as the pipeline stands", () => {
-  const firstStarted = (submit: (scheduler: Scheduler) => void): string => {
-    const fixture = new ClusterFixture(EAST);
+  const firstStartedJob = (submit: (scheduler: Scheduler) => void): string => {
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6, priority: "low" }), 21, instant(0));
     submit(fixture.scheduler);
     fixture.step();
-    checkInvariants(fixture.scheduler.cluster);
-    assert.equal(fixture.live().length, 6);
-    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
+    checkClusterIndices(fixture.scheduler.cluster);
+    assert.equal(fixture.activeTasks().length, 6);
+    return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   const end = spec(PIPELINE_END);
   assert.equal(
-    firstStarted(() => undefined),
+    firstStartedJob(() => undefined),
     "req-000001",
   );
   assert.equal(
-    firstStarted((scheduler) => scheduler.jobBlocked(end, instant(500))),
+    firstStartedJob((scheduler) => scheduler.jobBlocked(end, instant(500))),
     "req-000002",
   );
   assert.equal(
-    firstStarted((scheduler) => {
+    firstStartedJob((scheduler) => {
       scheduler.jobBlocked(spec({ ...PIPELINE_END, dependsOn: ["req-000005"] }), instant(500));
       scheduler.jobBlocked(
         spec({ id: "req-000005", dependsOn: ["req-000002"], priority: "low" }),
@@ -45,7 +45,7 @@
     "req-000002",
   );
   assert.equal(
-    firstStarted((scheduler) => {
+    firstStartedJob((scheduler) => {
       scheduler.jobBlocked(end, instant(500));
       scheduler.jobUnblocked(end.id);
     }),
@@ -54,66 +54,69 @@
 });
 
 test("a stage of an urgent pipeline isn't stopped for normal or urgent work, but for production, and once it is plain", () => {
-  const running = (): ClusterFixture => {
-    const fixture = new ClusterFixture(EAST);
+  const fixtureWithRunningStage = (): ClusterFixture => {
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
     fixture.step();
-    assert.equal(fixture.live().length, 6);
+    assert.equal(fixture.activeTasks().length, 6);
     fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     return fixture;
   };
-  const stopped = (fixture: ClusterFixture, more: Partial<JobSpec>): number => {
+  const stopsAfterRelease = (fixture: ClusterFixture, more: Partial<JobSpec>): number => {
     fixture.scheduler.jobReleased(spec({ id: "req-000003", ...more }), 21, instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
-    checkInvariants(fixture.scheduler.cluster);
-    return fixture.ops("stop");
+    checkClusterIndices(fixture.scheduler.cluster);
+    return fixture.commandCount("stop");
   };
-  assert.equal(stopped(running(), { priority: "normal" }), 0);
-  assert.equal(stopped(running(), { priority: "high" }), 0);
-  assert.equal(stopped(running(), { kind: "service", priority: "production", spot: false }), 1);
-  const lowered = running();
-  assert.equal(stopped(lowered, { priority: "normal" }), 0);
+  assert.equal(stopsAfterRelease(fixtureWithRunningStage(), { priority: "normal" }), 0);
+  assert.equal(stopsAfterRelease(fixtureWithRunningStage(), { priority: "high" }), 0);
+  assert.equal(
+    stopsAfterRelease(fixtureWithRunningStage(), { kind: "service", priority: "production", spot: false }),
+    1,
+  );
+  const lowered = fixtureWithRunningStage();
+  assert.equal(stopsAfterRelease(lowered, { priority: "normal" }), 0);
   lowered.scheduler.jobUnblocked(PIPELINE_END.id);
   for (let i = 0; i < 4; i++) lowered.step();
-  assert.equal(lowered.ops("stop"), 1);
+  assert.equal(lowered.commandCount("stop"), 1);
 });
 
 test("a stage of an urgent pipeline makes room for itself among normal work", () => {
-  const stops = (urgent: boolean): number => {
-    const fixture = new ClusterFixture(EAST);
+  const stopCount = (urgent: boolean): number => {
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
     fixture.step();
     fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
     if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
-    return fixture.ops("stop");
+    return fixture.commandCount("stop");
   };
-  assert.equal(stops(false), 0);
-  assert.equal(stops(true), 1);
+  assert.equal(stopCount(false), 0);
+  assert.equal(stopCount(true), 1);
 });
 
 test("a deadline counts from the submission, a long wait from the release", () => {
-  const firstStarted = (accepted: number, released: number, more: Partial<JobSpec>): string => {
-    const fixture = new ClusterFixture(EAST);
+  const firstStarted = (acceptedAt: number, releasedAt: number, more: Partial<JobSpec>): string => {
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
     const job = spec({ id: "req-000001", priority: "low", tasks: 6, estimate, ...more });
-    fixture.scheduler.jobReleased(job, 20, instant(accepted), instant(released));
+    fixture.scheduler.jobReleased(job, 20, instant(acceptedAt), instant(releasedAt));
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
-    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
     fixture.step();
-    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
+    return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
-  const due = { deadline: Duration.seconds(90) };
-  assert.equal(firstStarted(150_000, 199_000, due), "req-000001");
-  assert.equal(firstStarted(195_000, 199_000, due), "req-000002");
+  const withDeadline = { deadline: Duration.seconds(90) };
+  assert.equal(firstStarted(150_000, 199_000, withDeadline), "req-000001");
+  assert.equal(firstStarted(195_000, 199_000, withDeadline), "req-000002");
   assert.equal(firstStarted(90_000, 90_000, {}), "req-000001");
   assert.equal(firstStarted(90_000, 199_000, {}), "req-000002");
 });
 
 test("a stage hurries when the jobs after it would otherwise miss their deadline", () => {
   const firstStarted = (deadline: number): string => {
-    const fixture = new ClusterFixture(EAST);
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
     fixture.scheduler.jobReleased(
@@ -125,9 +128,9 @@
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
     const end = spec({ ...PIPELINE_END, priority: "low", estimate, deadline: Duration.seconds(deadline) });
     fixture.scheduler.jobBlocked(end, instant(190_000));
-    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
     fixture.step();
-    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
+    return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   // each of the two takes 45 s at most
   assert.equal(firstStarted(120), "req-000001");
@@ -136,7 +139,7 @@
 
 test("a waiting job holds nothing, and its release keeps what flows back through it", () => {
   for (const releasedFirst of [true, false]) {
-    const { scheduler } = new ClusterFixture(EAST);
+    const { scheduler } = new ClusterFixture(EAST_MACHINES);
     const job = (id: string) => scheduler.cluster.jobs.get(id);
     const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
     const due = Duration.seconds(300);
@@ -169,14 +172,14 @@
 
 test("room is kept for the stages of urgent pipelines that are likely to arrive, and for no other idle work", () => {
   const options = { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(45) };
-  const fleet = new Autoscaler(options);
+  const autoscaler = new Autoscaler(options);
   const job = addJob(newCluster(), spec({ priority: "low", tasks: 3 }), 20, instant(0), instant(100_000));
-  fleet.recordArrival(job);
+  autoscaler.recordArrival(job);
   const at = instant(110_000);
-  assert.equal(fleet.expectedCpus(at), 0);
+  assert.equal(autoscaler.expectedCpus(at), 0);
   job.rank = RANK.high;
-  assert.equal(fleet.expectedCpus(at), 12);
-  assert.equal(fleet.expectedCpus(instant(150_000)), 0);
+  assert.equal(autoscaler.expectedCpus(at), 12);
+  assert.equal(autoscaler.expectedCpus(instant(150_000)), 0);
 });
 
 test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
@@ -186,19 +189,19 @@
     fixture.step();
     fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
     fixture.step();
-    assert.equal(fixture.live().length, 2);
+    assert.equal(fixture.activeTasks().length, 2);
     if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     const service = spec({ id: "req-000003", kind: "service", priority: "production", spot: false });
     fixture.scheduler.jobReleased(service, 22, instant(fixture.now));
     for (let i = 0; i < 4; i++) fixture.step();
-    return fixture.sent.filter((sent) => sent.command.op === "stop").map((sent) => sent.command.job);
+    return fixture.sentCommands.filter((sent) => sent.command.op === "stop").map((sent) => sent.command.job);
   };
   assert.deepEqual(stopped(false), ["req-000002"]);
   assert.deepEqual(stopped(true), ["req-000001"]);
 });
 
 test("a last job submitted later counts at once, without other news", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
   fixture.step();
   fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
@@ -215,7 +218,7 @@
 
 test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
   const firstStarted = (urgent: boolean): string => {
-    const fixture = new ClusterFixture(EAST);
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const late = {
       priority: "low",
@@ -231,17 +234,17 @@
       instant(150_000),
     );
     if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(199_000));
-    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
     fixture.step();
-    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
+    return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   assert.equal(firstStarted(false), "req-000003");
   assert.equal(firstStarted(true), "req-000001");
 
   const started = (urgent: boolean): number => {
-    const fixture = new ClusterFixture(EAST);
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 50_000;
-    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", image: "x" }), 20, instant(fixture.now));
     fixture.step();
     fixture.scheduler.jobReleased(
@@ -252,7 +255,7 @@
     if (urgent) fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
     fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6 }), 22, instant(fixture.now));
     fixture.step();
-    return fixture.live().length;
+    return fixture.activeTasks().length;
   };
   assert.equal(started(false), 6);
   assert.equal(started(true), 1);
--- a/test/pipeline-rules.test.ts
+++ b/test/pipeline-rules.test.ts
@@ -4,48 +4,48 @@
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
-import { playAll, type Scenario } from "./scenarios.js";
+import { runScenarios, type Scenario } from "./scenarios.js";
 
-const CANCEL = Duration.toMillis(TIMINGS.cancelDeadline);
-const SMALL = { tasks: 2, cpus: 1 } as const;
-const led = (world: World): boolean => world.until(() => world.led(), 30_000);
+const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
+const SMALL_JOB = { tasks: 2, cpus: 1 } as const;
+const waitForLeader = (world: World): boolean => world.runUntil(() => world.hasLeader(), 30_000);
 /** A job that waits for nothing, of tasks that each run so long. */
-const root = (world: World, ms = 2000): string => world.submit(1, SMALL, [ms, ms])[0]!;
-const after = (world: World, awaits: readonly string[], ms = 1000): string =>
-  world.submitAfter(awaits, SMALL, [ms, ms]);
-const chain = (world: World, length: number, ms = 1000): string[] => {
-  const jobs = [root(world, ms)];
-  while (jobs.length < length) jobs.push(after(world, [jobs.at(-1)!], ms));
+const submitRoot = (world: World, ms = 2000): string => world.submit(1, SMALL_JOB, [ms, ms])[0]!;
+const submitDependent = (world: World, dependencies: readonly string[], ms = 1000): string =>
+  world.submitDependent(dependencies, SMALL_JOB, [ms, ms]);
+const submitChain = (world: World, length: number, ms = 1000): string[] => {
+  const jobs = [submitRoot(world, ms)];
+  while (jobs.length < length) jobs.push(submitDependent(world, [jobs.at(-1)!], ms));
   return jobs;
 };
 /** One job, several that need it, and one that needs all of these. */
-const diamond = (world: World, width: number, ms = 1000): string[] => {
-  const first = root(world, ms);
-  const middle = Array.from({ length: width }, (_, i) => after(world, [first], ms + (i % 3) * 700));
-  return [first, ...middle, after(world, middle, ms)];
+const submitDiamond = (world: World, width: number, ms = 1000): string[] => {
+  const first = submitRoot(world, ms);
+  const middle = Array.from({ length: width }, (_, i) => submitDependent(world, [first], ms + (i % 3) * 700));
+  return [first, ...middle, submitDependent(world, middle, ms)];
 };
 /** One job that needs many, of different lengths. */
-const fan = (world: World, width: number, ms = 1000): string[] => {
-  const parents = Array.from({ length: width }, (_, i) => root(world, ms + (i % 4) * 900));
-  return [...parents, after(world, parents, ms)];
+const submitFanIn = (world: World, width: number, ms = 1000): string[] => {
+  const parents = Array.from({ length: width }, (_, i) => submitRoot(world, ms + (i % 4) * 900));
+  return [...parents, submitDependent(world, parents, ms)];
 };
-const accepted = (world: World, jobs: readonly string[]): boolean =>
-  world.until(() => jobs.every((id) => world.isAccepted(id)), 20_000);
+const waitUntilAccepted = (world: World, jobs: readonly string[]): boolean =>
+  world.runUntil(() => jobs.every((id) => world.isAccepted(id)), 20_000);
 
 const SCENARIOS: readonly Scenario[] = [
   {
     name: "chains, diamonds and wide fans run through all that happens on a rough day",
-    rough: 1,
-    play: (world, seed) => {
+    faultRate: 1,
+    run: (world, seed) => {
       world.wait(8000);
-      const sent = [chain(world, 5), diamond(world, 3), fan(world, 7)];
+      const pipelines = [submitChain(world, 5), submitDiamond(world, 3), submitFanIn(world, 7)];
       world.wait(6000);
-      sent.push(diamond(world, 6), chain(world, 3));
-      for (const jobs of sent) world.repeat(jobs.at(-1)!);
-      if (seed % 3 === 0) world.endLeader(2000);
+      pipelines.push(submitDiamond(world, 6), submitChain(world, 3));
+      for (const jobs of pipelines) world.resubmit(jobs.at(-1)!);
+      if (seed % 3 === 0) world.crashLeader(2000);
       world.wait(25_000);
     },
-    met: {
+    minimumCounts: {
       "waiting jobs accepted": 250,
       joins: 300,
       releases: 250,
@@ -56,59 +56,68 @@
   },
   {
     name: "a leader ends between a commit and the joins that follow from it",
-    rough: 0.3,
-    play: (world) => {
-      world.usersCancel = false;
+    faultRate: 0.3,
+    run: (world) => {
+      world.randomCancels = false;
       world.wait(8000);
-      world.endsAfterCommit = 0.4;
-      chain(world, 4);
-      diamond(world, 3);
-      fan(world, 5);
+      world.crashAfterCommitShare = 0.4;
+      submitChain(world, 4);
+      submitDiamond(world, 3);
+      submitFanIn(world, 5);
       world.wait(35_000);
     },
-    met: { "leaders ended between commit and join": 60, "lost joins found again": 36, releases: 120 },
+    minimumCounts: {
+      "leaders ended between commit and join": 60,
+      "lost joins found again": 36,
+      releases: 120,
+    },
     guards: [["join", ["unserved"]]],
   },
   {
     name: "joins, cancels and acceptances come late, or meet those of another leader",
-    rough: 0.5,
-    play: (world, seed) => {
+    faultRate: 0.5,
+    run: (world, seed) => {
       world.wait(8000);
-      world.lateWrites = 0.25;
+      world.lateWriteShare = 0.25;
       for (let i = 0; i < 3; i++) {
-        const jobs = [...chain(world, 4), ...diamond(world, 3), ...fan(world, 6)];
+        const jobs = [...submitChain(world, 4), ...submitDiamond(world, 3), ...submitFanIn(world, 6)];
         world.wait(3000 + (seed % 4) * 1000);
         for (const [n, id] of jobs.entries()) if ((n + i + seed) % 6 === 0) world.cancelThroughNode(id);
         world.wait(5000);
-        world.endLeader(300);
+        world.crashLeader(300);
         world.wait(6000);
       }
     },
-    met: { "late joins refused": 60, "joins refused": 5, "lost joins found again": 3, releases: 240 },
+    minimumCounts: {
+      "late joins refused": 60,
+      "joins refused": 5,
+      "lost joins found again": 3,
+      releases: 240,
+    },
     guards: [["filling", ["went_back", "too_early"]]],
   },
   {
     name: "users call off a waiting job as its last parent ends",
-    rough: 0.3,
-    play: (world, seed) => {
-      world.usersCancel = false;
+    faultRate: 0.3,
+    run: (world, seed) => {
+      world.randomCancels = false;
       world.wait(8000);
       for (let i = 0; i < 5; i++) {
-        const jobs = Array.from({ length: 4 }, () => chain(world, 2, 1500));
-        accepted(
+        const jobs = Array.from({ length: 4 }, () => submitChain(world, 2, 1500));
+        waitUntilAccepted(
           world,
           jobs.map(([, last]) => last!),
         );
         // its end is on the way to the state service, and the release follows at once
         for (const [n, [first, last]] of (jobs as [string, string][]).entries()) {
-          if (!world.until(() => world.finished([first]) >= 2, 15_000)) continue;
+          if (!world.runUntil(() => world.completedTaskCount([first]) >= 2, 15_000)) continue;
           world.wait(((seed + n) % 4) * 150);
           world.cancelThroughNode(last);
         }
         world.wait(2500);
       }
     },
-    met: {
+    minimumCounts: {
       "cancels that met the parent's end": 30,
       "joins refused": 18,
       "waiting jobs called off": 40,
@@ -117,48 +126,49 @@
   },
   {
     name: "users call off a parent as it ends: told that it is done, the jobs after it go on",
-    rough: 0.3,
-    play: (world) => {
-      world.usersCancel = false;
+    faultRate: 0.3,
+    run: (world) => {
+      world.randomCancels = false;
       world.wait(8000);
       for (let i = 0; i < 4; i++) {
-        const jobs = Array.from({ length: 4 }, () => chain(world, 3, 1000));
+        const jobs = Array.from({ length: 4 }, () => submitChain(world, 3, 1000));
         for (const [first] of jobs as [string, string][])
-          if (world.until(() => world.finished([first]) >= 2, 15_000)) world.cancelThroughNode(first);
+          if (world.runUntil(() => world.completedTaskCount([first]) >= 2, 15_000))
+            world.cancelThroughNode(first);
         world.wait(6000);
       }
     },
-    met: { "cancels that met the job's end": 120, "cancels passed on": 180, releases: 200 },
+    minimumCounts: { "cancels that met the job's end": 120, "cancels passed on": 180, releases: 200 },
   },
   {
     name: "a last job comes late: its parents are done, running, waiting, cancelled or just about to end",
-    rough: 0.3,
-    play: (world, seed) => {
-      world.usersCancel = false;
+    faultRate: 0.3,
+    run: (world, seed) => {
+      world.randomCancels = false;
       world.wait(8000);
       for (let i = 0; i < 4; i++) {
-        const [first, second, third] = chain(world, 3, 1500) as [string, string, string];
-        const off = root(world, 20_000);
-        accepted(world, [second, third]);
-        after(world, [first, third]);
-        world.until(() => world.finished([first]) >= 2, 15_000);
+        const [first, second, third] = submitChain(world, 3, 1500) as [string, string, string];
+        const cancelledJob = submitRoot(world, 20_000);
+        waitUntilAccepted(world, [second, third]);
+        submitDependent(world, [first, third]);
+        world.runUntil(() => world.completedTaskCount([first]) >= 2, 15_000);
         // its end is on the way to the state service
         for (let n = 0; n < 4; n++) {
-          after(world, [first]);
-          after(world, [first, second]);
+          submitDependent(world, [first]);
+          submitDependent(world, [first, second]);
           world.wait(150 + (seed % 5) * 100);
         }
-        world.until(() => world.outcome(first) !== null, 15_000);
-        after(world, [first]);
-        world.cancelThroughNode(off);
-        world.until(() => world.outcome(off) !== null, 10_000);
-        const child = after(world, [first, off]);
-        accepted(world, [child]);
-        after(world, [child]);
+        world.runUntil(() => world.outcome(first) !== null, 15_000);
+        submitDependent(world, [first]);
+        world.cancelThroughNode(cancelledJob);
+        world.runUntil(() => world.outcome(cancelledJob) !== null, 10_000);
+        const child = submitDependent(world, [first, cancelledJob]);
+        waitUntilAccepted(world, [child]);
+        submitDependent(world, [child]);
       }
       world.wait(10_000);
     },
-    met: {
+    minimumCounts: {
       "children refused as a parent went on": 120,
       "children of finished jobs accepted": 180,
       "children of cancelled jobs accepted": 120,
@@ -167,45 +177,45 @@
   },
   {
     name: "a job needs more jobs than a transaction compares, and some end while it is accepted",
-    rough: 0.3,
-    play: (world) => {
-      world.usersCancel = false;
+    faultRate: 0.3,
+    run: (world) => {
+      world.randomCancels = false;
       world.wait(8000);
-      world.slowStateMs = 300;
+      world.maxStateDelayMs = 300;
       for (let i = 0; i < 4; i++) {
-        const parents = Array.from({ length: 13 }, (_, n) => root(world, n < 8 ? 10_000 : 1000));
-        world.until(() => world.finished(parents.slice(8)) >= 3, 15_000);
+        const parents = Array.from({ length: 13 }, (_, n) => submitRoot(world, n < 8 ? 10_000 : 1000));
+        world.runUntil(() => world.completedTaskCount(parents.slice(8)) >= 3, 15_000);
         for (let n = 0; n < 6; n++) {
-          after(world, parents);
+          submitDependent(world, parents);
           world.wait(200);
         }
         world.wait(5000);
       }
     },
-    met: { "children accepted while a parent committed": 120, releases: 360 },
+    minimumCounts: { "children accepted while a parent committed": 120, releases: 360 },
   },
   {
     name: "a job is cancelled, and an outage or the loss of the leader holds up what has to follow from it",
-    rough: 0,
-    play: (world, seed) => {
-      world.usersCancel = false;
+    faultRate: 0,
+    run: (world, seed) => {
+      world.randomCancels = false;
       world.wait(8000);
       for (let i = 0; i < 2; i++) {
         // one of them hears of nothing that is submitted
-        if (seed % 3 === 1) world.cutLeader(16_000, false);
-        const jobs = [...chain(world, 6, 40_000), ...diamond(world, 4, 40_000).slice(1)];
-        accepted(world, jobs.slice(1, 6));
+        if (seed % 3 === 1) world.isolateLeader(16_000, false);
+        const jobs = [...submitChain(world, 6, 40_000), ...submitDiamond(world, 4, 40_000).slice(1)];
+        waitUntilAccepted(world, jobs.slice(1, 6));
         world.wait(2000);
         // nobody is there to pass it on when the user is told
-        if (seed % 3 === 0) world.endLeader(6000);
+        if (seed % 3 === 0) world.crashLeader(6000);
         world.cancelThroughNode(jobs[0]!);
-        if (!world.until(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
+        if (!world.runUntil(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
         if (world.isWaiting(jobs[2]!)) world.note("outages before a cancel was passed on");
-        world.outage(CANCEL + 2000 + (seed % 4) * 1000).wait(CANCEL + 15_000);
-        led(world);
+        world.outage(CANCEL_DEADLINE_MS + 2000 + (seed % 4) * 1000).wait(CANCEL_DEADLINE_MS + 15_000);
+        waitForLeader(world);
       }
     },
-    met: { "outages before a cancel was passed on": 36, "cancels passed on": 150 },
+    minimumCounts: { "outages before a cancel was passed on": 36, "cancels passed on": 150 },
     guards: [
       ["ancestors", ["orphaned"]],
       ["unheard", ["orphaned"]],
@@ -214,44 +224,44 @@
   },
   {
     name: "a job is cancelled, and those that need it through others are sent until the state service is back",
-    rough: 0,
-    play: (world, seed) => {
-      world.usersCancel = false;
+    faultRate: 0,
+    run: (world, seed) => {
+      world.randomCancels = false;
       world.wait(8000);
       for (let i = 0; i < 2; i++) {
-        const jobs = chain(world, 3, 60_000);
-        accepted(world, jobs.slice(1));
+        const jobs = submitChain(world, 3, 60_000);
+        waitUntilAccepted(world, jobs.slice(1));
         world.wait(2000);
-        if (seed % 3 === 0) world.endLeader(6000);
+        if (seed % 3 === 0) world.crashLeader(6000);
         world.cancelThroughNode(jobs[0]!);
-        if (!world.until(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
-        world.outage(CANCEL + 2000 + (seed % 4) * 1000);
-        for (let n = 0; n < 6; n++) jobs.push(after(world, [jobs[2]!]));
+        if (!world.runUntil(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
+        world.outage(CANCEL_DEADLINE_MS + 2000 + (seed % 4) * 1000);
+        for (let n = 0; n < 6; n++) jobs.push(submitDependent(world, [jobs[2]!]));
         if (world.isWaiting(jobs[2]!)) world.note("jobs sent inside an outage", 6);
-        world.wait(CANCEL + 15_000);
-        led(world);
+        world.wait(CANCEL_DEADLINE_MS + 15_000);
+        waitForLeader(world);
       }
     },
-    met: { "jobs sent inside an outage": 150, "children of cancelled jobs accepted": 100 },
+    minimumCounts: { "jobs sent inside an outage": 150, "children of cancelled jobs accepted": 100 },
     guards: [["before", ["orphaned"]]],
   },
   {
     name: "leaders change one after the other while pipelines run and are called off anywhere",
-    rough: 0.8,
-    play: (world, seed) => {
+    faultRate: 0.8,
+    run: (world, seed) => {
       world.wait(8000);
-      world.endsAfterCommit = 0.1;
+      world.crashAfterCommitShare = 0.1;
       for (let i = 0; i < 5; i++) {
-        const jobs = [...chain(world, 4), ...diamond(world, 3)];
+        const jobs = [...submitChain(world, 4), ...submitDiamond(world, 3)];
         world.wait(4000);
-        if (i % 2 === 1) world.cutLeader(8000, seed % 2 === 0);
-        else world.endLeader(seed % 2 === 0 ? 200 : 5000);
+        if (i % 2 === 1) world.isolateLeader(8000, seed % 2 === 0);
+        else world.crashLeader(seed % 2 === 0 ? 200 : 5000);
         world.cancelThroughNode(jobs[(seed + i) % jobs.length]!);
         if (i === 2) world.outage(6000);
         world.wait(7000);
       }
     },
-    met: {
+    minimumCounts: {
       "leaders ended": 40,
       "leaders ended between commit and join": 24,
       "cancels passed on": 80,
@@ -263,4 +273,10 @@
 ];
 
 // the longest chain needs three minutes
-playAll(SCENARIOS, { seeds: 24, first: 5000, tries: 40, servedWithin: 180_000, countsServing: true });
+runScenarios(SCENARIOS, {
+  seedCount: 24,
+  firstSeed: 5000,
+  maxSeedsWithoutGuard: 40,
+  servedWithinMs: 180_000,
+  countsWhileServing: true,
+});
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -12,21 +12,21 @@
 const spec = (id: string, dependsOn: readonly string[], more: Partial<JobSpec> = {}): JobSpec =>
   jobSpec({ id, dependsOn, ...more });
 
-interface Values {
+interface InheritedValues {
   readonly rank: number;
-  readonly inner: number | null;
+  readonly deadline: number | null;
 }
 type Jobs = ReadonlyMap<string, { spec: JobSpec; accepted: Instant }>;
 
 /** Goes along every path from a job to the jobs that need it. */
-const naive = (jobs: Jobs, id: string): Values => {
+const recomputeInherited = (jobs: Jobs, id: string): InheritedValues => {
   let rank: number = RANK[jobs.get(id)!.spec.priority];
-  let inner: number | null = null;
+  let deadline: number | null = null;
   const longest = new Map<string, number>();
-  const walk = (at: string, takes: number): void => {
+  const walk = (at: string, durationMs: number): void => {
     for (const [child, row] of jobs) {
       if (!row.spec.dependsOn.includes(at)) continue;
-      const sum = takes + Duration.toMillis(estimatedJobDuration(row.spec));
+      const sum = durationMs + Duration.toMillis(estimatedJobDuration(row.spec));
       longest.set(child, Math.max(longest.get(child) ?? 0, sum));
       walk(child, sum);
     }
@@ -36,73 +36,76 @@
     const row = jobs.get(other)!;
     rank = Math.max(rank, RANK[row.spec.priority]);
     if (row.spec.deadline === null) continue;
-    const by = row.accepted + Duration.toMillis(row.spec.deadline) - takes;
-    inner = inner === null ? by : Math.min(inner, by);
+    const latestEnd = row.accepted + Duration.toMillis(row.spec.deadline) - takes;
+    deadline = deadline === null ? latestEnd : Math.min(deadline, latestEnd);
   }
-  return { rank, inner };
+  return { rank, deadline };
 };
 
-const valuesOf = (p: DependencyGraph, id: string): Values => ({
+const inheritedValues = (p: DependencyGraph, id: string): InheritedValues => ({
   rank: p.rank(id)!,
-  inner: p.inheritedDeadline(id),
+  deadline: p.inheritedDeadline(id),
 });
 const seconds = (s: number): Instant => instant(s * 1000);
-const TAKES = Duration.toSeconds(estimatedJobDuration(spec("x", [])));
+const DEFAULT_JOB_SECONDS = Duration.toSeconds(estimatedJobDuration(spec("x", [])));
 
 test("in random graphs, what flows back is right after each job that comes, goes or comes again, in any order", () => {
-  let raised = 0;
-  let hurried = 0;
-  let events = 0;
+  let raisedCount = 0;
+  let withDeadlineCount = 0;
+  let checkCount = 0;
   for (let seed = 1; seed <= 60; seed++) {
     const random = xoroshiro128plus(seed);
-    const below = (n: number): number => Math.floor(uniformFloat64(random) * n);
+    const randomBelow = (n: number): number => Math.floor(uniformFloat64(random) * n);
     const priorities: Priority[] = ["low", "low", "low", "normal", "high", "production"];
     const all = Array.from({ length: 14 }, (_, n) => {
       // a job names only earlier ones, some of them twice
-      const awaits = n === 0 ? [] : Array.from({ length: below(4) }, () => `j-${below(n)}`);
-      return spec(`j-${n}`, awaits, {
-        priority: priorities[below(priorities.length)]!,
-        estimate: Duration.seconds(below(40)),
-        deadline: below(3) === 0 ? Duration.seconds(100 + below(400)) : null,
+      const dependencies = n === 0 ? [] : Array.from({ length: randomBelow(4) }, () => `j-${randomBelow(n)}`);
+      return spec(`j-${n}`, dependencies, {
+        priority: priorities[randomBelow(priorities.length)]!,
+        estimate: Duration.seconds(randomBelow(40)),
+        deadline: randomBelow(3) === 0 ? Duration.seconds(100 + randomBelow(400)) : null,
       });
     });
     const p = new DependencyGraph();
     const jobs = new Map<string, { spec: JobSpec; accepted: Instant }>();
     /** What somebody knows who only ever hears of changes. */
-    const told = new Map<string, Values>();
+    const reported = new Map<string, InheritedValues>();
     for (let step = 0; step < 120; step++) {
-      const job = all[below(all.length)]!;
-      if (jobs.has(job.id) && below(4) > 0) {
+      const job = all[randomBelow(all.length)]!;
+      if (jobs.has(job.id) && randomBelow(4) > 0) {
         p.remove(job.id);
         jobs.delete(job.id);
-        told.delete(job.id);
+        reported.delete(job.id);
       } else {
         // a job that is known already has been released, and its submission may be dated anew
-        const accepted = seconds(below(2) === 0 ? step : below(200));
+        const accepted = seconds(randomBelow(2) === 0 ? step : randomBelow(200));
         p.add(job, accepted);
         jobs.set(job.id, { spec: job, accepted });
       }
       for (const id of p.takeChanged()) {
         assert.ok(jobs.has(id), `${id} changed, but is gone`);
-        told.set(id, valuesOf(p, id));
+        reported.set(id, inheritedValues(p, id));
       }
       assert.equal(p.size, jobs.size);
       for (const [id, row] of jobs) {
-        const right = naive(jobs, id);
-        assert.deepEqual(valuesOf(p, id), right, `seed ${seed}, step ${step}, ${id}`);
-        assert.deepEqual(told.get(id), right, `seed ${seed}, step ${step}: ${id} changed silently`);
+        const expected = recomputeInherited(jobs, id);
+        assert.deepEqual(inheritedValues(p, id), expected, `seed ${seed}, step ${step}, ${id}`);
+        assert.deepEqual(reported.get(id), expected, `seed ${seed}, step ${step}: ${id} changed silently`);
         const own = row.spec.deadline;
-        const dues = [right.inner, own === null ? null : row.accepted + Duration.toMillis(own)];
-        const known = dues.filter((d) => d !== null);
+        const deadlines = [expected.deadline, own === null ? null : row.accepted + Duration.toMillis(own)];
+        const known = deadlines.filter((d) => d !== null);
         assert.equal(p.effectiveDeadline(id), known.length === 0 ? null : Math.min(...known));
-        events++;
-        if (right.rank > RANK[row.spec.priority]) raised++;
-        if (right.inner !== null) hurried++;
+        checkCount++;
+        if (expected.rank > RANK[row.spec.priority]) raisedCount++;
+        if (expected.deadline !== null) withDeadlineCount++;
       }
     }
   }
   // the graphs are no trivial ones
-  assert.ok(raised > events / 10 && hurried > events / 10, `${raised} and ${hurried} of ${events}`);
+  assert.ok(
+    raisedCount > checkCount / 10 && withDeadlineCount > checkCount / 10,
+    `${raisedCount} and ${withDeadlineCount} of ${checkCount}`,
+  );
 });
 
 test("a last job submitted late raises the chain before it; its end lowers it again", () => {
@@ -119,8 +122,8 @@
   assert.deepEqual([p.rank("a"), p.rank("b"), p.rank("c")], [RANK.high, RANK.high, RANK.high]);
   assert.equal(p.effectiveDeadline("d"), seconds(700));
   assert.equal(p.inheritedDeadline("d"), null);
-  assert.equal(p.effectiveDeadline("c"), seconds(700 - TAKES));
-  assert.equal(p.effectiveDeadline("a"), seconds(700 - 3 * TAKES));
+  assert.equal(p.effectiveDeadline("c"), seconds(700 - DEFAULT_JOB_SECONDS));
+  assert.equal(p.effectiveDeadline("a"), seconds(700 - 3 * DEFAULT_JOB_SECONDS));
   // released: nothing is lost, nothing changes
   p.add(spec("c", ["b"]), seconds(2));
   assert.deepEqual(p.takeChanged(), []);
@@ -143,71 +146,71 @@
     spec("start", [], { priority: "low" }),
   ];
   const longTakes = Duration.toSeconds(estimatedJobDuration(jobs[1]!));
-  assert.ok(longTakes > TAKES);
+  assert.ok(longTakes > DEFAULT_JOB_SECONDS);
   for (const command of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
     const p = new DependencyGraph();
     for (const job of command) p.add(job, seconds(0));
     assert.equal(p.rank("start"), RANK.high);
-    assert.equal(p.effectiveDeadline("start"), seconds(900 - TAKES - longTakes));
+    assert.equal(p.effectiveDeadline("start"), seconds(900 - DEFAULT_JOB_SECONDS - longTakes));
     p.remove("left");
-    assert.equal(p.effectiveDeadline("start"), seconds(900 - 2 * TAKES));
+    assert.equal(p.effectiveDeadline("start"), seconds(900 - 2 * DEFAULT_JOB_SECONDS));
   }
 });
 
 test("an event looks at the jobs before its own only as far as they change, at few children of many", () => {
   const p = new DependencyGraph();
-  const work = (event: () => void): number => {
+  const visitsDuring = (event: () => void): number => {
     const before = p.visits;
     event();
     return p.visits - before;
   };
-  const due = { priority: "high", deadline: Duration.seconds(600) } as const;
+  const urgent = { priority: "high", deadline: Duration.seconds(600) } as const;
   // other pipelines are never looked at
   for (let n = 0; n < 2000; n++) p.add(spec(`other-${n}`, n % 4 === 0 ? [] : [`other-${n - 1}`]), seconds(0));
   p.add(spec("first", [], { priority: "low" }), seconds(0));
   p.add(spec("hub", ["first"], { priority: "low" }), seconds(0));
   for (let n = 0; n < 500; n++) {
-    const visits = work(() => p.add(spec(`leaf-${n}`, ["hub"], due), seconds(n)));
+    const visits = visitsDuring(() => p.add(spec(`leaf-${n}`, ["hub"], urgent), seconds(n)));
     assert.ok(visits <= 4, `${visits} visits for child ${n}`);
   }
-  assert.equal(p.effectiveDeadline("hub"), seconds(600 - TAKES));
+  assert.equal(p.effectiveDeadline("hub"), seconds(600 - DEFAULT_JOB_SECONDS));
   // the last one in decides nothing; the first decides all
-  assert.ok(work(() => p.remove("leaf-499")) <= 510);
-  assert.ok(work(() => p.remove("leaf-0")) <= 510);
-  assert.equal(p.effectiveDeadline("hub"), seconds(601 - TAKES));
+  assert.ok(visitsDuring(() => p.remove("leaf-499")) <= 510);
+  assert.ok(visitsDuring(() => p.remove("leaf-0")) <= 510);
+  assert.equal(p.effectiveDeadline("hub"), seconds(601 - DEFAULT_JOB_SECONDS));
   for (let n = 1; n < 499; n++) p.remove(`leaf-${n}`);
   assert.deepEqual([p.rank("first"), p.effectiveDeadline("first")], [RANK.low, null]);
 
   // without deadlines one child of the same rank is enough to know that nothing changes
   for (let n = 0; n < 500; n++) p.add(spec(`plain-${n}`, ["hub"]), seconds(n));
   for (let n = 0; n < 499; n++) {
-    const visits = work(() => p.remove(`plain-${n}`));
+    const visits = visitsDuring(() => p.remove(`plain-${n}`));
     assert.ok(visits <= 2, `${visits} visits for the end of child ${n}`);
   }
 
   // a chain's end changes all of it, a second one of the same sort nothing, however long it is
   for (let n = 0; n < 1000; n++) p.add(spec(`link-${n}`, n === 0 ? [] : [`link-${n - 1}`]), seconds(0));
-  assert.ok(work(() => p.add(spec("end", ["link-999"], due), seconds(0))) <= 1010);
-  assert.ok(work(() => p.add(spec("end-2", ["link-999"], due), seconds(0))) <= 4);
-  assert.ok(work(() => p.remove("end")) <= 4);
+  assert.ok(visitsDuring(() => p.add(spec("end", ["link-999"], urgent), seconds(0))) <= 1010);
+  assert.ok(visitsDuring(() => p.add(spec("end-2", ["link-999"], urgent), seconds(0))) <= 4);
+  assert.ok(visitsDuring(() => p.remove("end")) <= 4);
   // each job is looked at, and the one that needs it
-  assert.ok(work(() => p.remove("end-2")) <= 2 * 1010);
+  assert.ok(visitsDuring(() => p.remove("end-2")) <= 2 * 1010);
 });
 
 test("many ways through a wide graph aren't gone one by one", () => {
   const p = new DependencyGraph();
   const layers = 20;
-  const wide = 5;
-  const layer = (l: number): string[] => (l < 0 ? [] : Array.from({ length: wide }, (_, n) => `l${l}-${n}`));
+  const width = 5;
+  const layer = (l: number): string[] => (l < 0 ? [] : Array.from({ length: width }, (_, n) => `l${l}-${n}`));
   for (let l = 0; l < layers; l++) for (const id of layer(l)) p.add(spec(id, layer(l - 1)), seconds(0));
   const end = spec("end", layer(layers - 1), { priority: "high", deadline: Duration.seconds(3000) });
   let before = p.visits;
   p.add(end, seconds(0));
-  assert.ok(p.visits - before <= 2 * layers * wide * wide, `${p.visits - before} visits`);
-  assert.equal(p.effectiveDeadline("l0-0"), seconds(3000 - layers * TAKES));
+  assert.ok(p.visits - before <= 2 * layers * width * width, `${p.visits - before} visits`);
+  assert.equal(p.effectiveDeadline("l0-0"), seconds(3000 - layers * DEFAULT_JOB_SECONDS));
   before = p.visits;
   p.remove("end");
-  assert.ok(p.visits - before <= 4 * layers * wide * wide, `${p.visits - before} visits`);
+  assert.ok(p.visits - before <= 4 * layers * width * width, `${p.visits - before} visits`);
   assert.equal(p.rank("l0-0"), RANK.normal);
 });
 
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -3,51 +3,51 @@
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
 import { instant } from "../src/core/time.js";
-import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { ClusterFixture, EAST_MACHINES } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
 test("together keeps a job in one zone, apart puts at most half of it into one", () => {
-  const both = [...EAST, { id: "n-4", zone: "west" }, { id: "n-5", zone: "west" }];
-  const zoneOf = new Map(both.map((m) => [m.id, m.zone]));
-  const zones = (fixture: ClusterFixture, job: string): string[] =>
-    fixture.sent
+  const machines = [...EAST_MACHINES, { id: "n-4", zone: "west" }, { id: "n-5", zone: "west" }];
+  const zoneOf = new Map(machines.map((m) => [m.id, m.zone]));
+  const zonesOfStarts = (fixture: ClusterFixture, job: string): string[] =>
+    fixture.sentCommands
       .filter((sent) => sent.command.job === job && sent.command.op === "start")
       .map((sent) => present(zoneOf.get(sent.machine)));
-  const one = new ClusterFixture(both);
-  one.scheduler.jobReleased(spec({ oneZone: true, tasks: 9 }), 20, instant(0));
-  for (let i = 0; i < 5; i++) one.step();
-  assert.equal(new Set(zones(one, "req-000001")).size, 1);
-  const two = new ClusterFixture(both);
-  two.scheduler.jobReleased(spec({ spreadOverZones: true, tasks: 5, cpus: 1 }), 20, instant(0));
-  for (let i = 0; i < 5; i++) two.step();
-  const started = zones(two, "req-000001");
-  assert.equal(started.length, 5);
-  for (const zone of ["east", "west"]) assert.ok(started.filter((z) => z === zone).length <= 3);
+  const oneZone = new ClusterFixture(machines);
+  oneZone.scheduler.jobReleased(spec({ oneZone: true, tasks: 9 }), 20, instant(0));
+  for (let i = 0; i < 5; i++) oneZone.step();
+  assert.equal(new Set(zonesOfStarts(oneZone, "req-000001")).size, 1);
+  const spread = new ClusterFixture(machines);
+  spread.scheduler.jobReleased(spec({ spreadOverZones: true, tasks: 5, cpus: 1 }), 20, instant(0));
+  for (let i = 0; i < 5; i++) spread.step();
+  const startZones = zonesOfStarts(spread, "req-000001");
+  assert.equal(startZones.length, 5);
+  for (const zone of ["east", "west"]) assert.ok(startZones.filter((z) => z === zone).length <= 3);
 });
 
 test("production work stops the youngest idle work, and no more of it than needed", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ priority: "low", tasks: 6 }), 20, instant(0));
   fixture.step();
-  assert.equal(fixture.live().length, 6);
+  assert.equal(fixture.activeTasks().length, 6);
   fixture.scheduler.jobReleased(
     spec({ id: "req-000002", kind: "service", priority: "production", spot: false }),
     21,
     instant(fixture.now),
   );
   for (let i = 0; i < 6; i++) fixture.step();
-  assert.equal(fixture.ops("stop"), 1);
-  assert.equal(fixture.live().filter((task) => task.job === "req-000002").length, 1);
-  assert.equal(fixture.live().filter((task) => task.job === "req-000001").length, 5);
+  assert.equal(fixture.commandCount("stop"), 1);
+  assert.equal(fixture.activeTasks().filter((task) => task.job === "req-000002").length, 1);
+  assert.equal(fixture.activeTasks().filter((task) => task.job === "req-000001").length, 5);
 });
 
 test("replicas don't gather on the largest machine: losing it would cost most of them", () => {
-  const fixture = new ClusterFixture([...EAST, { id: "n-4", zone: "east", type: "large" }]);
+  const fixture = new ClusterFixture([...EAST_MACHINES, { id: "n-4", zone: "east", type: "large" }]);
   // the image is cached on all of them: a cached image comes first
   fixture.scheduler.jobReleased(spec({ id: "req-000100", tasks: 10 }), 11, instant(0));
   for (let i = 0; i < 3; i++) fixture.step();
-  assert.equal(fixture.live().length, 10);
+  assert.equal(fixture.activeTasks().length, 10);
   for (const machine of fixture.tasks.keys()) fixture.endTasks(machine, "done");
   fixture.step();
   fixture.scheduler.finishesStored("req-000100", [[0, 10]]);
@@ -64,21 +64,21 @@
     fixture.step();
     fixture.step();
   }
-  assert.equal(fixture.live().length, 8);
+  assert.equal(fixture.activeTasks().length, 8);
   for (const [machine, tasks] of fixture.tasks) assert.ok(tasks.size <= 2, `${tasks.size} on ${machine}`);
 });
 
 test("a large job of low priority begins in bounded time under a steady stream of others", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   let n = 0;
-  const arrive = (): void =>
+  const submitJob = (): void =>
     fixture.scheduler.jobReleased(
       spec({ id: `req-1${String(n).padStart(5, "0")}`, tasks: 6 }),
       100 + n++,
       instant(fixture.now),
     );
-  arrive();
-  arrive();
+  submitJob();
+  submitJob();
   fixture.step();
   fixture.scheduler.jobReleased(
     spec({ id: "req-000009", priority: "low", tasks: 500, cpus: 8 }),
@@ -86,14 +86,14 @@
     instant(fixture.now),
   );
   const began = fixture.now;
-  for (let i = 0; i < 480 && !fixture.sent.some((sent) => sent.command.job === "req-000009"); i++) {
+  for (let i = 0; i < 480 && !fixture.sentCommands.some((sent) => sent.command.job === "req-000009"); i++) {
     // more than fits, all the time
-    if (i % 4 === 0) arrive();
-    if (i % 6 === 0) for (const { id } of EAST) fixture.endTasks(id, "done");
+    if (i % 4 === 0) submitJob();
+    if (i % 6 === 0) for (const { id } of EAST_MACHINES) fixture.endTasks(id, "done");
     fixture.step();
   }
   assert.ok(
-    fixture.sent.some((sent) => sent.command.job === "req-000009"),
+    fixture.sentCommands.some((sent) => sent.command.job === "req-000009"),
     "it never began",
   );
   assert.ok(fixture.now - began < 240_000);
@@ -101,10 +101,11 @@
 
 test("work without a guarantee begins within four minutes under a steady stream of guaranteed jobs", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
-  const guest = spec({ id: "req-000009", priority: "low", tasks: 500 });
-  fixture.scheduler.jobReleased(guest, 10, instant(fixture.now));
+  const jobWithoutGuarantee = spec({ id: "req-000009", priority: "low", tasks: 500 });
+  fixture.scheduler.jobReleased(jobWithoutGuarantee, 10, instant(fixture.now));
   const began = fixture.now;
-  const isStarted = (): boolean => fixture.sent.some(({ command }) => command.job === guest.id);
+  const isStarted = (): boolean =>
+    fixture.sentCommands.some(({ command }) => command.job === jobWithoutGuarantee.id);
   for (let n = 0; n < 600 && !isStarted(); n++) {
     // two tasks take the whole machine, and all of their team's guarantee
     const job = spec({ id: `req-1${String(n).padStart(5, "0")}`, team: "red", priority: "high", tasks: 2 });
@@ -118,37 +119,39 @@
   // one task of it was enough
   fixture.step();
   assert.ok(
-    fixture.sent.filter(({ command }) => command.job === guest.id && command.op === "start").length <= 2,
+    fixture.sentCommands.filter(
+      ({ command }) => command.job === jobWithoutGuarantee.id && command.op === "start",
+    ).length <= 2,
   );
 });
 
 test("idle work with a deadline goes first when it is about to miss it, and a new leader knows its age", () => {
-  const firstStarted = (accepted: number): string => {
-    const fixture = new ClusterFixture(EAST);
+  const firstStartedJob = (acceptedAt: number): string => {
+    const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
-    const late = spec({
+    const jobWithDeadline = spec({
       id: "req-000001",
       priority: "low",
       tasks: 6,
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     });
-    fixture.scheduler.jobReleased(late, 20, instant(accepted));
+    fixture.scheduler.jobReleased(jobWithDeadline, 20, instant(acceptedAt));
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6 }), 21, instant(199_000));
-    for (const id of ["n-1", "n-2", "n-3"]) fixture.report(id);
+    for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
     fixture.step();
-    return present(fixture.sent.find((sent) => sent.command.op === "start")).command.job;
+    return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
-  assert.equal(firstStarted(195_000), "req-000002");
-  assert.equal(firstStarted(150_000), "req-000001");
+  assert.equal(firstStartedJob(195_000), "req-000002");
+  assert.equal(firstStartedJob(150_000), "req-000001");
   // too late for its deadline: it waits its turn
-  assert.equal(firstStarted(105_000), "req-000002");
+  assert.equal(firstStartedJob(105_000), "req-000002");
   // and not for ever
-  assert.equal(firstStarted(90_000), "req-000001");
+  assert.equal(firstStartedJob(90_000), "req-000001");
 });
 
 test("a machine that will be taken saves what can be saved and moves its replica", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(
     spec({ checkpointInterval: Duration.seconds(10), saveDuration: Duration.seconds(3) }),
     20,
@@ -160,7 +163,8 @@
     instant(0),
   );
   fixture.step();
-  for (const { machine } of [...fixture.sent]) fixture.report(machine, "east", { reclaimNoticeSeconds: 10 });
+  for (const { machine } of [...fixture.sentCommands])
+    fixture.sendHeartbeat(machine, "east", { reclaimNoticeSeconds: 10 });
   fixture.now += 10;
   const commands = fixture.scheduler
     .step(instant(fixture.now))
--- a/test/production-release.ts
+++ b/test/production-release.ts
@@ -19,55 +19,61 @@
 /** A JSON object. */
 export type Json = Record<string, unknown>;
 /** A record as production wrote it, with what it read from it. */
-export interface Kept {
+export interface KeptRecord {
   readonly key: string;
   readonly value: unknown;
   readonly meaning?: Json;
 }
 /** An update to a leader that production left in the state service, in fragments. */
-export interface KeptNews {
+export interface KeptUpdate {
   readonly trimmed: boolean;
   readonly pieces: readonly { key: string; value: { of: number; data: string } }[];
   readonly meaning: Json;
 }
 
 /** What is kept in a file of `production/`. */
-export const kept = <T>(name: string): T & { commit: string } =>
+export const readKeptFile = <T>(name: string): T & { commit: string } =>
   JSON.parse(readFileSync(new URL(`../../../test/production/${name}.json`, import.meta.url), "utf8")) as T & {
     commit: string;
   };
 /** Records, updates and the commit of the version in production. */
-export const { records, news, commit } = kept<{ records: Kept[]; news: KeptNews[] }>("records");
+export const {
+  records: productionRecords,
+  news: productionUpdates,
+  commit,
+} = readKeptFile<{ records: KeptRecord[]; news: KeptUpdate[] }>("records");
 /** Messages of production, with their meaning. */
-export const { messages } = kept<{ messages: { type: MessageType; data: string; meaning: Json }[] }>(
-  "messages",
-);
+export const { messages: productionMessages } = readKeptFile<{
+  messages: { type: MessageType; data: string; meaning: Json }[];
+}>("messages");
 /** Schemas and keys of production. */
-export const production = kept<{
+export const productionSchemas = readKeptFile<{
   messages: Record<MessageType, avro.Schema>;
   records: Record<string, object>;
   keys: { prefixes: string[]; single: string[]; byId: string[] };
 }>("schemas");
 
 const ajv = new Ajv({ strict: false });
-const checks = Object.entries(production.records)
+const recordValidators = Object.entries(productionSchemas.records)
   .map(([prefix, schema]): [string, ValidateFunction] => [prefix, ajv.compile(schema)])
   .sort(([a], [b]) => b.length - a.length);
 /** What the version in production would say to a record; null: it reads it. */
-export const misreadByProduction = (key: string, value: unknown): string | null => {
-  const check = checks.find(([prefix]) => (prefix.endsWith("/") ? key.startsWith(prefix) : key === prefix));
+export const productionReadError = (key: string, value: unknown): string | null => {
+  const check = recordValidators.find(([prefix]) =>
+    prefix.endsWith("/") ? key.startsWith(prefix) : key === prefix,
+  );
   if (check === undefined) return `${key}: not known there`;
   return check[1](value) ? null : `${key}: ${ajv.errorsText(check[1].errors)}`;
 };
 /** The Avro types of production. */
 export const productionTypes = Object.fromEntries(
-  Object.entries(production.messages).map(([name, schema]) => [
+  Object.entries(productionSchemas.messages).map(([name, schema]) => [
     name,
     avro.Type.forSchema(schema, { wrapUnions: false }),
   ]),
 ) as Record<MessageType, avro.Type>;
 /** The codecs of this version, by the Avro names of production. */
-export const codecs = {
+export const codecsByAvroName = {
   Sync: syncRequestCodec,
   SyncAnswer: syncResponseCodec,
   Deliver: commandDeliveryCodec,
@@ -76,8 +82,8 @@
   WordAnswer: termConfirmationCodec,
 } as unknown as Record<MessageType, Codec<Json>>;
 /** A value as JSON keeps it. */
-export const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+export const jsonClone = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 /** The kept records under a prefix. */
-export const recordsUnder = <T>(prefix: string): { key: string; value: T; meaning?: Json }[] =>
-  records.filter((r) => r.key.startsWith(prefix)) as { key: string; value: T; meaning?: Json }[];
+export const productionRecordsUnder = <T>(prefix: string): { key: string; value: T; meaning?: Json }[] =>
+  productionRecords.filter((r) => r.key.startsWith(prefix)) as { key: string; value: T; meaning?: Json }[];
--- a/test/rates.test.ts
+++ b/test/rates.test.ts
@@ -6,7 +6,7 @@
 import { instant } from "../src/core/time.js";
 
 /** A state service whose rate of changes falls, and nodes that want to write more than it ever takes. */
-const simulate = (spanS: number, fallS: number, lowered: boolean) => {
+const simulateNodes = (spanS: number, fallS: number, isLowered: boolean) => {
   const rates = { rps: 100, writeRps: 25 };
   const nodes = Array.from({ length: 3 }, () => {
     const own = new RateLimitSelector(rates, { rps: 100, writeRps: 18 });
@@ -16,7 +16,7 @@
   let tokens = 25;
   const refusals: number[] = [];
   for (let at = 0; at < spanS * 1000; at += 5) {
-    const limit = lowered && at >= fallS * 1000 ? 18 : 25;
+    const limit = isLowered && at >= fallS * 1000 ? 18 : 25;
     tokens = Math.min(limit, tokens + limit * 0.005);
     for (const n of nodes) {
       if (at < n.next) continue;
@@ -40,7 +40,7 @@
 };
 
 test("when the service's rate falls, few changes are refused, and fewer as time goes on", () => {
-  const { served, refusals } = simulate(3600, 60, true);
+  const { served, refusals } = simulateNodes(3600, 60, true);
   const between = (fromS: number, toS: number): number =>
     refusals.filter((at) => at >= fromS * 1000 && at < toS * 1000).length;
   assert.ok(refusals.length <= 60, `${refusals.length} refused`);
@@ -56,7 +56,7 @@
   const budget = new RateLimiter(25);
   let rate = 25;
   let tokens = 25;
-  let refused = 0;
+  let refusedCount = 0;
   let served = 0;
   // 400 that become due at once, when the service takes 18 a second
   let due = Array.from({ length: 400 }, () => ({ at: 0, sent: false }));
@@ -66,12 +66,12 @@
     for (const one of due) {
       if (one.at > at) continue;
       if (!one.sent) {
-        const inForce = rates.ratesAt(instant(at)).writeRps;
-        if (inForce !== rate) budget.setRate(instant(at), inForce);
-        rate = inForce;
-        const turn = budget.urgentDelay(instant(at), 1);
-        one.at = at + (turn === null ? 250 : Duration.toMillis(turn));
-        one.sent = turn !== null;
+        const currentRate = rates.ratesAt(instant(at)).writeRps;
+        if (currentRate !== rate) budget.setRate(instant(at), currentRate);
+        rate = currentRate;
+        const delay = budget.urgentDelay(instant(at), 1);
+        one.at = at + (delay === null ? 250 : Duration.toMillis(delay));
+        one.sent = delay !== null;
         if (one.at > at || !one.sent) continue;
       }
       one.sent = false;
@@ -80,7 +80,7 @@
         served++;
         one.at = Infinity;
       } else {
-        refused++;
+        refusedCount++;
         one.at = at + 250;
         rates.recordRefusal(instant(at));
         budget.recordRefusal(instant(at), Duration.millis(300));
@@ -89,13 +89,13 @@
     due = due.filter((one) => one.at !== Infinity);
   }
   assert.equal(served, 400);
-  assert.ok(refused <= 20, `${refused} refused`);
+  assert.ok(refusedCount <= 20, `${refusedCount} refused`);
   // in little more time than the service needs for them
   assert.ok(at < 30_000, `${at} ms`);
 });
 
 test("a rate that doesn't fall is used in full, but for a while after a refusal", () => {
-  const { served, refusals } = simulate(600, 0, false);
+  const { served, refusals } = simulateNodes(600, 0, false);
   assert.ok(refusals.length <= 3, `${refusals.length} refused`);
   assert.ok(served > 0.9 * 25 * 600, `${served} served`);
 });
@@ -103,23 +103,23 @@
 test("the lower rates stay for a minute, and for longer when a refusal follows soon", () => {
   const low = { rps: 80, writeRps: 18 };
   const rates = new RateLimitSelector({ rps: 100, writeRps: 25 }, low);
-  const lowAt = (s: number): boolean => rates.ratesAt(instant(s * 1000)).writeRps === 18;
+  const isLowAt = (s: number): boolean => rates.ratesAt(instant(s * 1000)).writeRps === 18;
   const refused = (s: number): void => rates.recordRefusal(instant(s * 1000));
-  assert.equal(lowAt(0), false);
+  assert.equal(isLowAt(0), false);
   refused(0);
   refused(30);
-  assert.deepEqual([lowAt(0), lowAt(59), lowAt(60)], [true, true, false]);
+  assert.deepEqual([isLowAt(0), isLowAt(59), isLowAt(60)], [true, true, false]);
   assert.deepEqual(rates.ratesAt(instant(0)), low);
   refused(61);
-  assert.deepEqual([lowAt(180), lowAt(181)], [true, false]);
+  assert.deepEqual([isLowAt(180), isLowAt(181)], [true, false]);
   let at = 181;
   for (const span of [240, 480, 600, 600]) {
     refused(at);
-    assert.deepEqual([lowAt(at + span - 1), lowAt(at + span)], [true, false]);
+    assert.deepEqual([isLowAt(at + span - 1), isLowAt(at + span)], [true, false]);
     at += span;
   }
   refused(at + 3600);
-  assert.equal(lowAt(at + 3600 + 60), false);
+  assert.equal(isLowAt(at + 3600 + 60), false);
 });
 
 test("without lower rates to come nothing changes", () => {
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -4,7 +4,7 @@
 import type { Heartbeat } from "../src/core/records.js";
 import { termNumberOf, fencingTokenOf } from "../src/core/leases/term.js";
 import { instant } from "../src/core/time.js";
-import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { ClusterFixture, EAST_MACHINES } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
@@ -19,20 +19,20 @@
   );
   fixture.tasks.set("n-2", new Map());
   for (let i = 0; i < 6; i++) fixture.step(["n-1"]);
-  assert.equal(fixture.ops("start"), 1);
+  assert.equal(fixture.commandCount("start"), 1);
   // asked under a token of its own that is higher than the start's, it answers without the task
-  const asked = present(fixture.questions("n-1").at(-1));
-  assert.ok(asked.fencingToken > present(fixture.sent[0]).fencingToken);
-  assert.equal(termNumberOf(asked.fencingToken), 1, "nobody else has to hear of it");
+  const question = present(fixture.heartbeatRequests("n-1").at(-1));
+  assert.ok(question.fencingToken > present(fixture.sentCommands[0]).fencingToken);
+  assert.equal(termNumberOf(question.fencingToken), 1, "nobody else has to hear of it");
   fixture.step();
   fixture.step();
-  assert.equal(fixture.ops("start"), 2);
-  assert.equal(fixture.live().length, 1);
+  assert.equal(fixture.commandCount("start"), 2);
+  assert.equal(fixture.activeTasks().length, 1);
 });
 
 test("after a take-over an old memory of a machine is not taken for the machine", () => {
   const fixture = new ClusterFixture([]);
-  const old = {
+  const machineState = {
     machine: "n-9",
     addr: "x",
     type: "small",
@@ -42,22 +42,27 @@
     sequence: 5,
     fencingToken: 0,
   };
-  const r = { ...old, reclaimNoticeSeconds: null, tasks: [] };
+  const staleHeartbeat = { ...machineState, reclaimNoticeSeconds: null, tasks: [] };
   // released by the leader before, so without a record: nobody is there
-  fixture.scheduler.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
+  fixture.scheduler.heartbeatReceived(staleHeartbeat, "a", instant(50_000), instant(20_000));
   assert.equal(fixture.scheduler.cluster.machines.size, 0);
   fixture.scheduler.machineRecorded(
     "n-9",
     { type: "small", zone: "east", spot: false, addr: "x" },
     instant(50_000),
   );
-  fixture.scheduler.heartbeatReceived(r, "a", instant(50_000), instant(20_000));
+  fixture.scheduler.heartbeatReceived(staleHeartbeat, "a", instant(50_000), instant(20_000));
   fixture.scheduler.jobReleased(spec({}), 20, instant(50_000));
   const commands = fixture.scheduler
     .step(instant(50_000))
     .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []));
   assert.deepEqual(commands, []);
-  fixture.scheduler.heartbeatReceived({ ...r, sequence: 6 }, "a", instant(50_100), instant(50_090));
+  fixture.scheduler.heartbeatReceived(
+    { ...staleHeartbeat, sequence: 6 },
+    "a",
+    instant(50_100),
+    instant(50_090),
+  );
   const starts = fixture.scheduler
     .step(instant(50_200))
     .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []));
@@ -65,11 +70,11 @@
 });
 
 test("a stranger in a late heartbeat is no machine, until it knows the present token", () => {
-  const fixture = new ClusterFixture(EAST);
+  const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
   fixture.step();
-  const started = present(fixture.sent[0]);
-  const copy: Heartbeat = {
+  const started = present(fixture.sentCommands[0]);
+  const lateHeartbeat: Heartbeat = {
     machine: "n-77",
     addr: "x",
     type: "small",
@@ -81,22 +86,22 @@
     reclaimNoticeSeconds: null,
     tasks: [{ job: "req-000001", index: 0, attempt: 1, state: "running", exitReason: null }],
   };
-  fixture.scheduler.heartbeatReceived(copy, "a", instant(fixture.now));
+  fixture.scheduler.heartbeatReceived(lateHeartbeat, "a", instant(fixture.now));
   assert.equal(fixture.scheduler.cluster.machines.has("n-77"), false);
   for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
   // nor does a machine speak for the present that is recorded, but has not reported under this term
-  const before = { type: "small", zone: "east", spot: false, addr: "n-9" };
-  fixture.scheduler.machineRecorded("n-9", before, instant(fixture.now));
-  fixture.scheduler.heartbeatReceived({ ...copy, machine: "n-9" }, "a", instant(fixture.now));
+  const machineRecord = { type: "small", zone: "east", spot: false, addr: "n-9" };
+  fixture.scheduler.machineRecorded("n-9", machineRecord, instant(fixture.now));
+  fixture.scheduler.heartbeatReceived({ ...lateHeartbeat, machine: "n-9" }, "a", instant(fixture.now));
   for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
   // the lower attempt in the copies doesn't get the real task stopped
-  assert.equal(fixture.ops("stop"), 0);
+  assert.equal(fixture.commandCount("stop"), 0);
   assert.deepEqual(
-    fixture.live().map((task) => task.attempt),
+    fixture.activeTasks().map((task) => task.attempt),
     [started.command.attempt],
   );
   fixture.scheduler.heartbeatReceived(
-    { ...copy, sequence: 901, fencingToken: fencingTokenOf(1), tasks: [] },
+    { ...lateHeartbeat, sequence: 901, fencingToken: fencingTokenOf(1), tasks: [] },
     "a",
     instant(fixture.now),
   );
@@ -110,18 +115,25 @@
     .step(instant(fixture.now))
     .filter((decision) => decision.kind === "commands");
   assert.equal(commands.length, 1);
-  const d = present(commands[0]);
-  fixture.scheduler.commandsAnswered("n-1", d.commands, d.fencingToken, "done", instant(fixture.now), {
-    workerEpoch: 1,
-    sequence: 50,
-  });
-  const again = (): number =>
+  const decision = present(commands[0]);
+  fixture.scheduler.commandsAnswered(
+    "n-1",
+    decision.commands,
+    decision.fencingToken,
+    "done",
+    instant(fixture.now),
+    {
+      workerEpoch: 1,
+      sequence: 50,
+    },
+  );
+  const stepAndCountBatches = (): number =>
     fixture.scheduler
       .step(instant((fixture.now += 600)))
       .filter((decision) => decision.kind === "commands" && decision.commands.length > 0).length;
-  assert.equal(again(), 0);
-  fixture.report("n-1", "east", { sequence: 49 });
-  assert.equal(again(), 0, "older than the answer");
-  fixture.report("n-1", "east", { sequence: 51 });
-  assert.equal(again(), 1, "the worker doesn't have it");
+  assert.equal(stepAndCountBatches(), 0);
+  fixture.sendHeartbeat("n-1", "east", { sequence: 49 });
+  assert.equal(stepAndCountBatches(), 0, "older than the answer");
+  fixture.sendHeartbeat("n-1", "east", { sequence: 51 });
+  assert.equal(stepAndCountBatches(), 1, "the worker doesn't have it");
 });
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -34,35 +34,35 @@
 import { present } from "./present.js";
 
 type Json = Record<string, unknown>;
-interface Write {
+interface KeyWrite {
   readonly key: string;
   /** Left out: the key was deleted. */
   readonly value?: unknown;
 }
-interface Records {
+interface KeptRecords {
   readonly records: readonly { key: string; value: Json; meaning?: Json }[];
-  readonly transactions: readonly { what: string; writes: readonly Write[] }[];
-  readonly news: readonly { trimmed: boolean; pieces: readonly Write[]; meaning: Json }[];
+  readonly transactions: readonly { what: string; writes: readonly KeyWrite[] }[];
+  readonly news: readonly { trimmed: boolean; pieces: readonly KeyWrite[]; meaning: Json }[];
 }
-interface Schemas {
+interface KeptSchemas {
   readonly messages: Record<MessageType, avro.Schema>;
   readonly records: Record<string, object>;
   readonly keys: { prefixes: string[]; single: string[]; byId: string[] };
 }
-interface Messages {
+interface KeptMessages {
   readonly messages: readonly { type: MessageType; data: string; meaning: Json }[];
 }
 
-const kept = <T>(name: string): T & { commit: string } =>
+const readKeptFile = <T>(name: string): T & { commit: string } =>
   JSON.parse(readFileSync(new URL(`../../../test/${name}.json`, import.meta.url), "utf8")) as T & {
     commit: string;
   };
-const LAST = "releases/ff552d5";
-const last = kept<Records>(`${LAST}/records`);
-const { messages } = kept<Messages>(`${LAST}/messages`);
+const LAST_RELEASE_DIR = "releases/ff552d5";
+const lastRelease = readKeptFile<KeptRecords>(`${LAST_RELEASE_DIR}/records`);
+const { messages } = readKeptFile<KeptMessages>(`${LAST_RELEASE_DIR}/messages`);
 const schemas = {
-  production: kept<Schemas>("production/schemas"),
-  last: kept<Schemas>(`${LAST}/schemas`),
+  production: readKeptFile<KeptSchemas>("production/schemas"),
+  last: readKeptFile<KeptSchemas>(`${LAST_RELEASE_DIR}/schemas`),
 };
 type Release = keyof typeof schemas;
 
@@ -74,33 +74,33 @@
   Word: peerCodec.termConfirmationRequestCodec,
   WordAnswer: peerCodec.termConfirmationCodec,
 } as unknown as Record<MessageType, peerCodec.Codec<Json>>;
-const MESSAGES = Object.keys(codecs) as MessageType[];
+const MESSAGE_TYPES = Object.keys(codecs) as MessageType[];
 
 const ajv = new Ajv({ strict: false });
-const compiled = (release: Release) =>
+const compileValidators = (release: Release) =>
   Object.entries(schemas[release].records)
     .map(([prefix, schema]) => ({ prefix, check: ajv.compile(schema) }))
     .sort((a, b) => b.prefix.length - a.prefix.length);
-const checks: Record<Release, ReturnType<typeof compiled>> = {
-  production: compiled("production"),
-  last: compiled("last"),
+const recordValidators: Record<Release, ReturnType<typeof compileValidators>> = {
+  production: compileValidators("production"),
+  last: compileValidators("last"),
 };
 /** What a release would say to a record; null: it reads it, or never sees its key. */
-const misread = (release: Release, key: string, value: unknown): string | null => {
+const readError = (release: Release, key: string, value: unknown): string | null => {
   const { prefixes, single, byId } = schemas[release].keys;
   const sees = single.includes(key) || [...prefixes, ...byId].some((p) => key.startsWith(p));
   if (!sees) return release === "last" ? `${key}: not known there` : null;
-  const found = checks[release].find(({ prefix }) =>
+  const found = recordValidators[release].find(({ prefix }) =>
     prefix.endsWith("/") ? key.startsWith(prefix) : key === prefix,
   );
   if (found === undefined) return `${key}: not known there`;
   return found.check(value) ? null : `${key}: ${ajv.errorsText(found.check.errors)}`;
 };
-const assertReadByBoth = (key: string, value: unknown): void => {
-  for (const release of ["production", "last"] as const) assert.equal(misread(release, key, value), null);
+const assertReadableByBoth = (key: string, value: unknown): void => {
+  for (const release of ["production", "last"] as const) assert.equal(readError(release, key, value), null);
 };
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
-const of = (prefix: string) => last.records.filter((r) => r.key.startsWith(prefix));
+const jsonClone = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+const recordsUnder = (prefix: string) => lastRelease.records.filter((r) => r.key.startsWith(prefix));
 const idOf = (key: string): string => present(key.split("/")[1]);
 
 // --- names ----------------------------------------------------------------------------------------------------
@@ -152,25 +152,29 @@
 });
 
 test("messages have the Avro names of both releases, in their order", () => {
-  for (const type of MESSAGES)
+  for (const type of MESSAGE_TYPES)
     for (const release of ["production", "last"] as const)
-      assert.deepEqual(plain(codecs[type].schema), schemas[release].messages[type], `${type} of ${release}`);
+      assert.deepEqual(
+        jsonClone(codecs[type].schema),
+        schemas[release].messages[type],
+        `${type} of ${release}`,
+      );
 });
 
 // --- what the last landing wrote ------------------------------------------------------------------------------
 
 test("the kept schemas fit what is kept", () => {
   for (const file of ["records", "messages", "schemas"])
-    assert.equal(kept(`${LAST}/${file}`).commit, last.commit);
-  const written = [...last.records, ...last.transactions.flatMap((t) => t.writes)];
-  for (const { key, value } of written) if (value !== undefined) assertReadByBoth(key, value);
-  for (const { key, value } of last.news.flatMap((n) => n.pieces)) assertReadByBoth(key, value);
+    assert.equal(readKeptFile(`${LAST_RELEASE_DIR}/${file}`).commit, lastRelease.commit);
+  const written = [...lastRelease.records, ...lastRelease.transactions.flatMap((t) => t.writes)];
+  for (const { key, value } of written) if (value !== undefined) assertReadableByBoth(key, value);
+  for (const { key, value } of lastRelease.news.flatMap((n) => n.pieces)) assertReadableByBoth(key, value);
   for (const prefix of Object.keys(schemas.last.records))
-    assert.ok(of(prefix).length > 0 || prefix === "news/", `no record of ${prefix}`);
+    assert.ok(recordsUnder(prefix).length > 0 || prefix === "news/", `no record of ${prefix}`);
 });
 
 test("jobs, waiting jobs and released jobs of the last landing are read as they were meant", () => {
-  const jobs = [...of("job/"), ...of("job-waiting/")];
+  const jobs = [...recordsUnder("job/"), ...recordsUnder("job-waiting/")];
   for (const { key, value, meaning } of jobs) {
     const spec = decodeJobRecord(idOf(key), value);
     assert.ok(spec !== null, key);
@@ -195,46 +199,51 @@
     const written = released === undefined ? record : withReleaseTime(record, new Date(released as number));
     assert.equal(JSON.stringify(written), JSON.stringify(value), key);
   }
-  assert.ok(of("job-waiting/").every(({ value }) => Array.isArray(value["awaits"])));
-  assert.ok(of("job/").filter(({ value }) => Number.isInteger(value["released_ms"])).length >= 3);
+  assert.ok(recordsUnder("job-waiting/").every(({ value }) => Array.isArray(value["awaits"])));
+  assert.ok(recordsUnder("job/").filter(({ value }) => Number.isInteger(value["released_ms"])).length >= 3);
 });
 
 test("sets, commits, ranges and machines of the last landing are read as they were meant", () => {
-  for (const { key, value, meaning } of of("job-fanin/"))
+  for (const { key, value, meaning } of recordsUnder("job-fanin/"))
     assert.deepEqual(decodeFanin(value), meaning, `${key} as it was read there`);
-  const released = of("job-fanin/").filter(({ meaning }) => present(meaning)["released"] === true);
-  assert.ok(released.length >= 2 && released.length < of("job-fanin/").length);
-  const outcomes = of("commit/").map(({ value }) => value["outcome"]);
+  const released = recordsUnder("job-fanin/").filter(({ meaning }) => present(meaning)["released"] === true);
+  assert.ok(released.length >= 2 && released.length < recordsUnder("job-fanin/").length);
+  const outcomes = recordsUnder("commit/").map(({ value }) => value["outcome"]);
   for (const outcome of ["done", "cancelled"]) assert.ok(outcomes.includes(outcome), outcome);
-  for (const { value } of of("ranges/")) {
+  for (const { value } of recordsUnder("ranges/")) {
     const ranges = value["ranges"] as [number, number][];
     assert.deepEqual(RangeSet.of(ranges).ranges(), ranges);
   }
-  for (const { key, value } of of("machines/")) {
+  for (const { key, value } of recordsUnder("machines/")) {
     const machines = value["machines"] as Record<string, MachineRecord>;
-    const [first, ...rest] = Object.keys(machines);
-    const blocks = new MachineRecordStore();
-    blocks.add(key, machines);
-    blocks.remove(present(first));
-    const left = rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, present(machines[id])]));
-    assert.deepEqual(present(blocks.pendingRewrites(1)[0]).machines, left);
+    const [removedId, ...rest] = Object.keys(machines);
+    const recordStore = new MachineRecordStore();
+    recordStore.add(key, machines);
+    recordStore.remove(present(removedId));
+    const remaining =
+      rest.length === 0 ? null : Object.fromEntries(rest.map((id) => [id, present(machines[id])]));
+    assert.deepEqual(present(recordStore.pendingRewrites(1)[0]).machines, remaining);
   }
 });
 
 test("messages and news of the last landing are read as they were meant, and written as it would read them", () => {
-  for (const type of MESSAGES)
+  for (const type of MESSAGE_TYPES)
     assert.ok(
       messages.some((m) => m.type === type),
       type,
     );
-  const theirs = (release: Release, type: MessageType) =>
+  const avroTypeOf = (release: Release, type: MessageType) =>
     avro.Type.forSchema(schemas[release].messages[type], { wrapUnions: false });
   for (const { type, data, meaning } of messages) {
     const bytes = Buffer.from(data, "base64");
     assert.deepEqual(toAvroNames(type, codecs[type].decode(bytes)), meaning, type);
     assert.equal(codecs[type].encode(toCodeNames(type, meaning)).toString("base64"), data, type);
     for (const release of ["production", "last"] as const)
-      assert.deepEqual(plain(theirs(release, type).fromBuffer(bytes)), meaning, `${type} at ${release}`);
+      assert.deepEqual(
+        jsonClone(avroTypeOf(release, type).fromBuffer(bytes)),
+        meaning,
+        `${type} at ${release}`,
+      );
   }
   // a member that couldn't name all workers vouches for nobody
   assert.ok(
@@ -243,35 +252,35 @@
     ),
   );
   assert.deepEqual(
-    last.news.map((n) => n.pieces.length),
+    lastRelease.news.map((n) => n.pieces.length),
     [1, 2, 4],
   );
-  for (const { pieces, trimmed, meaning } of last.news) {
+  for (const { pieces, trimmed, meaning } of lastRelease.news) {
     const decoded = fromFragments(pieces.map((p) => p.value as { of: number; data: string }));
     assert.ok(decoded !== null);
-    const sync = toAvroNames("Sync", plain(decoded));
+    const sync = toAvroNames("Sync", jsonClone(decoded));
     const { reports, seen, stored, outcomes, mark } = sync;
     const counts = { reports, seen, stored, outcomes };
-    const short = {
+    const summary = {
       ...Object.fromEntries(Object.entries(counts).map(([name, list]) => [name, (list as unknown[]).length])),
       mark,
       sha256: createHash("sha256").update(JSON.stringify(sync)).digest("hex"),
     };
-    assert.deepEqual(trimmed ? short : sync, meaning);
+    assert.deepEqual(trimmed ? summary : sync, meaning);
   }
 });
 
 // --- a process of this version on what the last landing left ----------------------------------------------------
 
-class RecordingState extends FakeStateService {
-  readonly transactions: Write[][] = [];
+class RecordingStateService extends FakeStateService {
+  readonly transactions: KeyWrite[][] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
-    const before = this.ledger;
-    const had = [...this.rows.keys()];
+    const before = this.revision;
+    const keysBefore = [...this.rows.keys()];
     const answer = await super.handle(request);
-    if (request.url !== "/commit" || this.ledger === before) return answer;
-    const written = [...this.rows].filter(([, row]) => row.stamp > before);
-    const deleted = had.filter((key) => !this.rows.has(key));
+    if (request.url !== "/commit" || this.revision === before) return answer;
+    const written = [...this.rows].filter(([, row]) => row.revision > before);
+    const deleted = keysBefore.filter((key) => !this.rows.has(key));
     this.transactions.push([
       ...written.map(([key, row]) => ({ key, value: row.value })),
       ...deleted.map((key) => ({ key })),
@@ -281,56 +290,56 @@
 }
 
 let child: ChildProcess | null = null;
-const stops: (() => void)[] = [];
+const stopFunctions: (() => void)[] = [];
 after(() => {
   child?.kill("SIGKILL");
-  for (const stop of stops) stop();
+  for (const stop of stopFunctions) stop();
 });
 
 /** The kinds of keys that a transaction writes and deletes of one job: its shape, whichever job it is. */
-const shapeOf = (writes: readonly Write[], id: string): string[] =>
+const operationsOn = (writes: readonly KeyWrite[], id: string): string[] =>
   writes
     .filter(({ key }) => key.split("/")[1] === id)
     .map(({ key, value }) => `${value === undefined ? "delete" : "write"} ${key.split("/")[0]}`)
     .sort();
-const keptShape = (what: string): string[] => {
-  const { writes } = present(last.transactions.find((t) => t.what === what));
-  return shapeOf(writes, idOf(present(writes[0]).key));
+const keptOperations = (what: string): string[] => {
+  const { writes } = present(lastRelease.transactions.find((t) => t.what === what));
+  return operationsOn(writes, idOf(present(writes[0]).key));
 };
 
 test("this version goes on from waiting jobs, sets and released jobs of the last landing", async () => {
-  const service = new ServiceFixture(new RecordingState());
+  const service = new ServiceFixture(new RecordingStateService());
   const { state, cloud } = service;
   await service.start();
-  stops.push(() => service.stop());
-  const first = (key: string, fits: (value: Json) => boolean = () => true): void => {
-    const found = last.records.find((r) => r.key === key && fits(r.value));
+  stopFunctions.push(() => service.stop());
+  const putRecord = (key: string, fits: (value: Json) => boolean = () => true): void => {
+    const found = lastRelease.records.find((r) => r.key === key && fits(r.value));
     assert.ok(found !== undefined, key);
     state.put(key, found.value);
   };
   const joined = (count: number) => (value: Json) => (value["joined"] as string[]).length === count;
-  first("types");
-  for (const id of ["01", "04", "19"]) first(`commit/req-0000${id}`);
+  putRecord("types");
+  for (const id of ["01", "04", "19"]) putRecord(`commit/req-0000${id}`);
   // released, with its set, by a leader that ended then
-  first("job/req-000002");
-  first("job-fanin/req-000002", (value) => value["released"] === true);
+  putRecord("job/req-000002");
+  putRecord("job-fanin/req-000002", (value) => value["released"] === true);
   // waits for that one, and for one whose commit was joined already
-  first("job-waiting/req-000003");
-  first("job-fanin/req-000003", joined(1));
+  putRecord("job-waiting/req-000003");
+  putRecord("job-fanin/req-000003", joined(1));
   // one that it needs is done, the last one without a join, since the leader ended
-  first("job-waiting/req-000030");
-  first("job-fanin/req-000030", joined(1));
+  putRecord("job-waiting/req-000030");
+  putRecord("job-fanin/req-000030", joined(1));
   state.put("commit/req-000029", { outcome: "done", tasks: 2 });
-  first("job-waiting/req-000031");
-  first("job-fanin/req-000031");
+  putRecord("job-waiting/req-000031");
+  putRecord("job-fanin/req-000031");
   // one that it needs is cancelled, and it wasn't passed on yet, nor from it
-  first("job-waiting/req-000010");
-  first("job-fanin/req-000010", joined(1));
-  first("job-waiting/req-000011");
-  first("job-fanin/req-000011", joined(0));
+  putRecord("job-waiting/req-000010");
+  putRecord("job-fanin/req-000010", joined(1));
+  putRecord("job-waiting/req-000011");
+  putRecord("job-fanin/req-000011", joined(0));
   // a set that the commit of an earlier version left
-  first("commit/req-000005");
-  first("job-fanin/req-000005", joined(1));
+  putRecord("commit/req-000005");
+  putRecord("job-fanin/req-000005", joined(1));
 
   const config = writeSettings(
     service.settings("north", {
@@ -341,26 +350,27 @@
     }),
   );
   child = startController(config);
-  const statusOf = async (id: string) => (await service.ask("GET", `/v2/runs/${id}`)).json["status"];
+  const statusOf = async (id: string) => (await service.request("GET", `/v2/runs/${id}`)).json["status"];
   for (const id of ["02", "03", "30", "31"])
     await until(`${id} is done`, async () => (await statusOf(`req-0000${id}`)) === "done");
   for (const id of ["10", "11"])
     await until(`${id} is cancelled`, async () => (await statusOf(`req-0000${id}`)) === "aborted");
-  const left = (prefix: string): string[] => [...state.rows.keys()].filter((key) => key.startsWith(prefix));
-  await until("nothing is left of them", () => left("job").length === 0);
+  const keysLeft = (prefix: string): string[] =>
+    [...state.rows.keys()].filter((key) => key.startsWith(prefix));
+  await until("nothing is left of them", () => keysLeft("job").length === 0);
 
   // before its parent's commit nothing of a job starts, and nothing of a cancelled one ever does
-  const at = (event: string): number => cloud.events.findIndex((e) => e.startsWith(event));
-  const lastDone = cloud.events.map((e) => e.startsWith("done req-000002/")).lastIndexOf(true);
-  assert.ok(at("start req-000003/") > lastDone && lastDone >= 0);
-  for (const id of ["10", "11", "01", "04"]) assert.equal(at(`start req-0000${id}/`), -1, id);
+  const firstEventIndex = (event: string): number => cloud.taskEvents.findIndex((e) => e.startsWith(event));
+  const lastDone = cloud.taskEvents.map((e) => e.startsWith("done req-000002/")).lastIndexOf(true);
+  assert.ok(firstEventIndex("start req-000003/") > lastDone && lastDone >= 0);
+  for (const id of ["10", "11", "01", "04"]) assert.equal(firstEventIndex(`start req-0000${id}/`), -1, id);
 
   // each step is the transaction that the last landing makes of it, in names that both read
   const shapes = (id: string): string[][] =>
-    state.transactions.map((t) => shapeOf(t, id)).filter((shape) => shape.length > 0);
+    state.transactions.map((t) => operationsOn(t, id)).filter((shape) => shape.length > 0);
   const includes = (id: string, what: string): void =>
     assert.ok(
-      shapes(id).some((shape) => JSON.stringify(shape) === JSON.stringify(keptShape(what))),
+      shapes(id).some((shape) => JSON.stringify(shape) === JSON.stringify(keptOperations(what))),
       `${id}: ${what}: ${JSON.stringify(shapes(id))}`,
     );
   for (const id of ["req-000003", "req-000030", "req-000031"])
@@ -368,5 +378,5 @@
   for (const id of ["req-000002", "req-000003"]) includes(id, "the commit of a released job deletes its set");
   for (const id of ["req-000010", "req-000011"]) includes(id, "a cancel is passed on to a waiting job");
   for (const { key, value } of state.transactions.flat())
-    if (value !== undefined) assertReadByBoth(key, value);
+    if (value !== undefined) assertReadableByBoth(key, value);
 });
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,11 +1,11 @@
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Guard, World } from "./model.js";
-import { checkInvariants } from "./invariant-checker.js";
+import { checkClusterIndices } from "./index-checker.js";
 
 const SEEDS = Array.from({ length: 24 }, (_, i) => 1000 + i);
 
-for (const [name, rough] of [
+for (const [name, faultRate] of [
   ["calm", 0.3],
   ["rough", 1],
   ["very rough", 3],
@@ -15,11 +15,11 @@
     let committed = 0;
     let terms = 0;
     for (const seed of SEEDS) {
-      const world = new World(seed, null, rough).run(180_000);
-      assert.deepEqual(world.broken, [], `seed ${seed}`);
-      started += world.started;
-      committed += world.committed;
-      terms += world.terms;
+      const world = new World(seed, null, faultRate).runTo(180_000);
+      assert.deepEqual(world.violations, [], `seed ${seed}`);
+      started += world.attemptsStarted;
+      committed += world.jobsCommitted;
+      terms += world.termsWritten;
     }
     // the runs must have had something to break
     assert.ok(started > 500, `only ${started} starts`);
@@ -38,50 +38,53 @@
   test(`the checker notices when the guard "${guard}" is taken out`, () => {
     const rules = new Set<string>();
     for (let seed = 1000; seed < 1100; seed++) {
-      for (const b of new World(seed, guard, 2).run(180_000).broken) rules.add(b.rule);
+      for (const b of new World(seed, guard, 2).runTo(180_000).violations) rules.add(b.rule);
       if (rules.has(rule)) return;
     }
     assert.fail(`no run broke ${rule}: ${[...rules].join(", ") || "nothing at all"}`);
   });
 
 test('a zone is cut off for longer than a lease, with workers and a controller: guard "fence"', () => {
-  const cut = (seed: number, guard: Guard | null): string[] => {
-    const world = new World(seed, guard, 0.3).run(20_000);
-    world.cutZone(seed % 2 === 0 ? "west" : "east", 60_000).run(100_000);
-    return world.broken.map((b) => b.rule);
+  const rulesBrokenByZoneCut = (seed: number, guard: Guard | null): string[] => {
+    const world = new World(seed, guard, 0.3).runTo(20_000);
+    world.cutZone(seed % 2 === 0 ? "west" : "east", 60_000).runTo(100_000);
+    return world.violations.map((b) => b.rule);
   };
-  const without: string[] = [];
+  const brokenWithoutGuard: string[] = [];
   for (let seed = 1000; seed < 1040; seed++) {
-    assert.deepEqual(cut(seed, null), [], `seed ${seed}`);
-    without.push(...cut(seed, "fence"));
+    assert.deepEqual(rulesBrokenByZoneCut(seed, null), [], `seed ${seed}`);
+    brokenWithoutGuard.push(...rulesBrokenByZoneCut(seed, "fence"));
   }
-  assert.ok(without.includes("ran_cancelled"), without.join(", "));
-  assert.ok(without.length >= 8, `only ${without.length} runs broke a rule without the guard`);
+  assert.ok(brokenWithoutGuard.includes("ran_cancelled"), brokenWithoutGuard.join(", "));
+  assert.ok(
+    brokenWithoutGuard.length >= 8,
+    `only ${brokenWithoutGuard.length} runs broke a rule without the guard`,
+  );
 });
 
 test("the core's indices agree with a recount, whatever happens", () => {
-  let seen = 0;
+  let machinesChecked = 0;
   for (let seed = 2000; seed < 2010; seed++) {
     const world = new World(seed, null, 2);
     while (world.now < 120_000) {
       world.step();
       if (world.now % 1000 !== 0) continue;
-      for (const picture of world.pictures()) {
-        checkInvariants(picture);
-        seen += picture.machines.size;
+      for (const picture of world.leaderClusters()) {
+        checkClusterIndices(picture);
+        machinesChecked += picture.machines.size;
       }
     }
   }
-  assert.ok(seen > 1000, `only ${seen} machines looked at`);
+  assert.ok(machinesChecked > 1000, `only ${machinesChecked} machines looked at`);
 });
 
 test("once all troubles are over, every accepted job runs or is done", () => {
   let accepted = 0;
   for (const seed of SEEDS) {
-    const world = new World(seed, null, 2).run(90_000);
+    const world = new World(seed, null, 2).runTo(90_000);
     accepted += world.unserved().length;
-    world.calmDown().run(world.now + 75_000);
-    assert.deepEqual(world.broken, [], `seed ${seed}`);
+    world.stopFaults().runTo(world.now + 75_000);
+    assert.deepEqual(world.violations, [], `seed ${seed}`);
     assert.deepEqual(world.unserved(), [], `seed ${seed}`);
   }
   assert.ok(accepted > 20, `only ${accepted} jobs were left to serve`);
--- a/test/scale.test.ts
+++ b/test/scale.test.ts
@@ -4,19 +4,19 @@
 import { countVisits, LargeFleet } from "./large-fleet.js";
 
 test("an event looks at each waiting job once, and at no more machines in a larger fleet: 2,000 of them", () => {
-  const perEvent = (machines: number, arrays: number): { visits: number; tasks: number } => {
+  const visitsPerEvent = (machines: number, arrays: number): { visits: number; tasks: number } => {
     const fleet = new LargeFleet(machines, arrays, machines / 8);
-    const tasks = fleet.running();
-    const counter = countVisits(fleet.s.cluster);
-    const before = [...fleet.s.cluster.pendingJobs].length;
-    assert.ok(before > 0, "work must be waiting");
+    const tasks = fleet.taskCount();
+    const counter = countVisits(fleet.scheduler.cluster);
+    const pendingBefore = [...fleet.scheduler.cluster.pendingJobs].length;
+    assert.ok(pendingBefore > 0, "work must be waiting");
     counter.visits = 0;
-    for (let i = 0; i < 200; i++) fleet.event(i);
+    for (let i = 0; i < 200; i++) fleet.finishOneTask(i);
     return { visits: counter.visits / 200, tasks };
   };
-  const small = perEvent(250, 200);
-  const large = perEvent(2000, 200);
-  const crowded = perEvent(2000, 800);
+  const small = visitsPerEvent(250, 200);
+  const large = visitsPerEvent(2000, 200);
+  const crowded = visitsPerEvent(2000, 800);
   assert.ok(large.tasks > 3000, `${large.tasks} tasks`);
   // each waiting job is looked at once, in the queue; machines are not gone through, however many there are
   assert.ok(large.visits <= small.visits + 20, `${small.visits} visits, then ${large.visits}`);
--- a/test/scenarios.ts
+++ b/test/scenarios.ts
@@ -9,73 +9,78 @@
 export interface Scenario {
   readonly name: string;
   /** How rough the rest of the run is. */
-  readonly rough?: number;
+  readonly faultRate?: number;
   /** On how many seeds it is played. */
-  readonly seeds?: number;
+  readonly seedCount?: number;
   /** The same with shards, if more: histories differ there, and the troubles may meet less often in as many. */
-  readonly seedsWithShards?: number;
-  readonly play: (world: World, seed: number) => void;
+  readonly seedCountWithShards?: number;
+  readonly run: (world: World, seed: number) => void;
   /** How often this has to be reached, summed over all seeds. */
-  readonly met: Readonly<Record<string, number>>;
+  readonly minimumCounts: Readonly<Record<string, number>>;
   /** What the checker has to notice when a guard is taken out; one of the rules. */
   readonly guards?: readonly (readonly [Guard, readonly string[]])[];
 }
 
-export interface Table {
-  readonly seeds: number;
-  readonly first: number;
+export interface SuiteOptions {
+  readonly seedCount: number;
+  readonly firstSeed: number;
   /** How many runs without a guard may pass before the checker notices. */
-  readonly tries: number;
+  readonly maxSeedsWithoutGuard: number;
   /** Once troubles are over, everything is served within so many milliseconds. */
-  readonly servedWithin: number;
+  readonly servedWithinMs: number;
   /** Whether what is met while all is served counts too. */
-  readonly countsServing: boolean;
+  readonly countsWhileServing: boolean;
 }
 
-const counts = process.env["COUNTS"] !== undefined;
+const printCounts = process.env["COUNTS"] !== undefined;
 
-export const playAll = (scenarios: readonly Scenario[], table: Table): void => {
-  const serve = (world: World): World => {
-    world.calmDown().until(() => world.unserved().length === 0, table.servedWithin);
+export const runScenarios = (scenarios: readonly Scenario[], options: SuiteOptions): void => {
+  const runUntilServed = (world: World): World => {
+    world.stopFaults().runUntil(() => world.unserved().length === 0, options.servedWithinMs);
     return world;
   };
   for (const scenario of scenarios) {
-    const { name, rough = 0.5, play, met, guards = [] } = scenario;
-    const usual = scenario.seeds ?? table.seeds;
-    const seeds = World.withShards ? (scenario.seedsWithShards ?? usual) : usual;
+    const { name, faultRate = 0.5, run, minimumCounts, guards = [] } = scenario;
+    const defaultSeedCount = scenario.seedCount ?? options.seedCount;
+    const seedCount = World.withShards
+      ? (scenario.seedCountWithShards ?? defaultSeedCount)
+      : defaultSeedCount;
     test(name, () => {
-      const total = new Map<string, number>();
-      const count = (world: World): void => {
-        for (const [what, n] of world.met) total.set(what, (total.get(what) ?? 0) + n);
+      const totals = new Map<string, number>();
+      const addCounts = (world: World): void => {
+        for (const [event, n] of world.eventCounts) totals.set(event, (totals.get(event) ?? 0) + n);
       };
-      for (let seed = table.first; seed < table.first + seeds; seed++) {
-        const world = new World(seed, null, rough);
-        play(world, seed);
-        assert.deepEqual(world.broken, [], `seed ${seed}`);
-        if (!table.countsServing) count(world);
-        serve(world);
-        if (table.countsServing) count(world);
-        assert.deepEqual(world.broken, [], `seed ${seed}, once all is over`);
+      for (let seed = options.firstSeed; seed < options.firstSeed + seedCount; seed++) {
+        const world = new World(seed, null, faultRate);
+        run(world, seed);
+        assert.deepEqual(world.violations, [], `seed ${seed}`);
+        if (!options.countsWhileServing) addCounts(world);
+        runUntilServed(world);
+        if (options.countsWhileServing) addCounts(world);
+        assert.deepEqual(world.violations, [], `seed ${seed}, once all is over`);
         assert.deepEqual(world.unserved(), [], `seed ${seed}: never served`);
       }
-      if (counts) console.log(name, Object.fromEntries(total));
-      for (const [what, least] of Object.entries(met))
-        assert.ok((total.get(what) ?? 0) >= least, `${what}: only ${total.get(what) ?? 0} of ${least}`);
+      if (printCounts) console.log(name, Object.fromEntries(totals));
+      for (const [what, minimum] of Object.entries(minimumCounts))
+        assert.ok((totals.get(what) ?? 0) >= minimum, `${what}: only ${totals.get(what) ?? 0} of ${minimum}`);
     });
 
     for (const [guard, rules] of guards)
       test(`${name}: noticed without the guard "${guard}"`, () => {
-        const seen = new Set<string>();
-        for (let seed = table.first; seed < table.first + table.tries; seed++) {
-          const world = new World(seed, guard, rough);
-          play(world, seed);
-          if (world.broken.length === 0 && serve(world).unserved().length > 0) seen.add("unserved");
-          for (const { rule } of world.broken) seen.add(rule);
-          if (!rules.some((rule) => seen.has(rule))) continue;
-          if (counts) console.log(guard, seed - table.first, [...seen]);
+        const violatedRules = new Set<string>();
+        for (let seed = options.firstSeed; seed < options.firstSeed + options.maxSeedsWithoutGuard; seed++) {
+          const world = new World(seed, guard, faultRate);
+          run(world, seed);
+          if (world.violations.length === 0 && runUntilServed(world).unserved().length > 0)
+            violatedRules.add("unserved");
+          for (const { rule } of world.violations) violatedRules.add(rule);
+          if (!rules.some((rule) => violatedRules.has(rule))) continue;
+          if (printCounts) console.log(guard, seed - options.firstSeed, [...violatedRules]);
           return;
         }
-        assert.fail(`no run broke ${rules.join(" or ")}: ${[...seen].join(", ") || "nothing at all"}`);
+        assert.fail(
+          `no run broke ${rules.join(" or ")}: ${[...violatedRules].join(", ") || "nothing at all"}`,
+        );
       });
   }
 };
--- a/test/seeded-with-shards.test.ts
+++ b/test/seeded-with-shards.test.ts
@@ -13,7 +13,7 @@
 test("shards really changed hands in seeded runs, were refused, given up, and left behind by leaders that ended", () => {
   const met = new Map<string, number>();
   for (let seed = 3000; seed < 3012; seed++)
-    for (const [what, n] of new World(seed, null, 1).run(120_000).met)
+    for (const [what, n] of new World(seed, null, 1).runTo(120_000).eventCounts)
       met.set(what, (met.get(what) ?? 0) + n);
   const least = {
     "shards handed over": 100,
--- a/test/service-fixture.ts
+++ b/test/service-fixture.ts
@@ -26,18 +26,18 @@
 /** The outside systems of one controller, and the addresses that it listens on. */
 export class ServiceFixture<State extends FakeStateService = FakeStateService> {
   /** Where the controller answers users and workers. */
-  front = "";
+  frontAddress = "";
   /** Where it answers other controllers. */
-  peer = "";
-  readonly cloud = new FakeCloud(() => this.front);
+  peerAddress = "";
+  readonly cloud = new FakeCloud(() => this.frontAddress);
 
   constructor(readonly state: State) {}
 
   async start(): Promise<void> {
     await this.state.start();
     await this.cloud.start();
-    this.front = `127.0.0.1:${await freePort()}`;
-    this.peer = `127.0.0.1:${await freePort()}`;
+    this.frontAddress = `127.0.0.1:${await freePort()}`;
+    this.peerAddress = `127.0.0.1:${await freePort()}`;
   }
 
   stop(): void {
@@ -50,8 +50,8 @@
     return {
       member,
       domain: "east",
-      front: this.front,
-      peer_bind: this.peer,
+      front: this.frontAddress,
+      peer_bind: this.peerAddress,
       seeds,
       external: { cloud: this.cloud.addr, state: this.state.addr },
       params: {
@@ -64,7 +64,7 @@
   }
 
   /** Sends a request to the controller. */
-  ask(method: string, path: string, body?: unknown): Promise<Answer> {
-    return request(this.front, method, path, body);
+  request(method: string, path: string, body?: unknown): Promise<Answer> {
+    return request(this.frontAddress, method, path, body);
   }
 }
