--- a/test/service.test.ts
+++ b/test/service.test.ts
@@ -10,14 +10,14 @@
 
 const service = new ServiceFixture(new FakeStateService());
 const { state, cloud } = service;
-let config = "";
-let child: ChildProcess | null = null;
+let configPath = "";
+let controllerProcess: ChildProcess | null = null;
 
-const start = (): void => {
-  child = startController(config);
+const startProcess = (): void => {
+  controllerProcess = startController(configPath);
 };
-const ask = (method: string, path: string, body?: unknown) => service.ask(method, path, body);
-const job = (ref: string, more: object = {}): object => ({
+const ask = (method: string, path: string, body?: unknown) => service.request(method, path, body);
+const jobBody = (ref: string, overrides: object = {}): object => ({
   ref,
   roster: "maps",
   crew: "red",
@@ -36,12 +36,12 @@
   bookmark_s: 0,
   stash_s: 0,
   not_known: "ignored",
-  ...more,
+  ...overrides,
 });
 
 before(async () => {
   await service.start();
-  config = writeSettings(
+  configPath = writeSettings(
     service.settings("one", {
       initial_size: 1,
       teams: [{ name: "red", cpus: 4, cpus_max: 8, gpus: 0, gpus_max: 0 }],
@@ -50,28 +50,28 @@
       machine_limits: { core_share: 1, ram_mb: 200, max_connections: 1000 },
     }),
   );
-  start();
+  startProcess();
   await until("the node is up", async () => (await ask("GET", "/up")).status === 200);
   // 503 until the machine types are known
   await until(
     "types are known",
-    async () => (await ask("POST", "/v2/runs", job("req-000001"))).status !== 503,
+    async () => (await ask("POST", "/v2/runs", jobBody("req-000001"))).status !== 503,
   );
 });
 after(() => {
-  child?.kill("SIGKILL");
+  controllerProcess?.kill("SIGKILL");
   service.stop();
 });
 
-const done = (ref: string) =>
+const untilDone = (ref: string) =>
   until(`${ref} done`, async () => (await ask("GET", `/v2/runs/${ref}`)).json["status"] === "done");
 
 test("a job is accepted, runs on rented machines, and stays done", async () => {
-  await done("req-000001");
-  const again = await ask("POST", "/v2/runs", job("req-000001"));
-  assert.deepEqual(again, { status: 200, json: { ref: "req-000001", status: "done" } });
-  const poll = await ask("GET", "/v2/runs/req-000001");
-  assert.deepEqual(poll.json, { ref: "req-000001", status: "done", done: 5, running: 0 });
+  await untilDone("req-000001");
+  const resubmission = await ask("POST", "/v2/runs", jobBody("req-000001"));
+  assert.deepEqual(resubmission, { status: 200, json: { ref: "req-000001", status: "done" } });
+  const status = await ask("GET", "/v2/runs/req-000001");
+  assert.deepEqual(status.json, { ref: "req-000001", status: "done", done: 5, running: 0 });
   assert.ok(state.rows.has("commit/req-000001"));
   assert.ok(!state.rows.has("job/req-000001"));
   assert.ok(![...state.rows.keys()].some((key) => key.startsWith("ranges/req-000001/")));
@@ -81,16 +81,16 @@
   const bad: [unknown, number][] = [
     ["{", 400],
     ["[]", 400],
-    [job("run-1"), 400],
-    [job("req-000002", { chores: 0 }), 400],
-    [job("req-000002", { vcpus: undefined }), 400],
-    [job("req-000002", { shape: "circle" }), 400],
-    [job("req-000002", { bundle: "x".repeat(20_000) }), 400],
-    [job("req-000002", { bundle: "x".repeat(70_000) }), 400],
-    [job("req-000002", { crew: "green" }), 422],
-    [job("req-000002", { vcpus: 5 }), 422],
-    [job("req-000002", { district: "north" }), 422],
-    [job("req-000002", { shape: "daemon", vcpus: 2 }), 422],
+    [jobBody("run-1"), 400],
+    [jobBody("req-000002", { chores: 0 }), 400],
+    [jobBody("req-000002", { vcpus: undefined }), 400],
+    [jobBody("req-000002", { shape: "circle" }), 400],
+    [jobBody("req-000002", { bundle: "x".repeat(20_000) }), 400],
+    [jobBody("req-000002", { bundle: "x".repeat(70_000) }), 400],
+    [jobBody("req-000002", { crew: "green" }), 422],
+    [jobBody("req-000002", { vcpus: 5 }), 422],
+    [jobBody("req-000002", { district: "north" }), 422],
+    [jobBody("req-000002", { shape: "daemon", vcpus: 2 }), 422],
   ];
   for (const [body, status] of bad)
     assert.equal((await ask("POST", "/v2/runs", body)).status, status, JSON.stringify(body).slice(0, 200));
@@ -100,7 +100,7 @@
 });
 
 test("a cancel ends a service for good, on every machine", async () => {
-  const service = job("req-000009", { shape: "daemon", urgency: "critical", chores: 1, loaners: false });
+  const service = jobBody("req-000009", { shape: "daemon", urgency: "critical", chores: 1, loaners: false });
   assert.equal((await ask("POST", "/v2/runs", service)).status, 201);
   await until("it runs", async () => (await ask("GET", "/v2/runs/req-000009")).json["running"] === 1);
   const answer = { status: 200, json: { ref: "req-000009", status: "aborted" } };
@@ -124,35 +124,39 @@
     [{ awaits: ["req-000001", "req-000199"] }, 422],
   ];
   for (const [more, status] of bad)
-    assert.equal((await ask("POST", "/v2/runs", job("req-000101", more as object))).status, status);
+    assert.equal((await ask("POST", "/v2/runs", jobBody("req-000101", more as object))).status, status);
   // null, empty and left out are the same
   for (const [ref, awaits] of [
     ["req-000101", null],
     ["req-000102", []],
   ] as const)
-    assert.equal((await ask("POST", "/v2/runs", job(ref, { awaits }))).status, 201);
-  const last = job("req-000104", { awaits: ["req-000103", "req-000101"] });
-  const middle = job("req-000103", { awaits: ["req-000101", "req-000102", "req-000101"] });
-  assert.equal((await ask("POST", "/v2/runs", middle)).status, 201);
-  assert.equal((await ask("POST", "/v2/runs", last)).status, 201);
+    assert.equal((await ask("POST", "/v2/runs", jobBody(ref, { awaits }))).status, 201);
+  const lastJob = jobBody("req-000104", { awaits: ["req-000103", "req-000101"] });
+  const middleJob = jobBody("req-000103", { awaits: ["req-000101", "req-000102", "req-000101"] });
+  assert.equal((await ask("POST", "/v2/runs", middleJob)).status, 201);
+  assert.equal((await ask("POST", "/v2/runs", lastJob)).status, 201);
   assert.ok(
-    ["queued", "running", "done"].includes(String((await ask("POST", "/v2/runs", last)).json["status"])),
+    ["queued", "running", "done"].includes(String((await ask("POST", "/v2/runs", lastJob)).json["status"])),
   );
-  await done("req-000104");
+  await untilDone("req-000104");
   assert.equal((await ask("GET", "/v2/runs/req-000103")).json["status"], "done");
   // a job after jobs that are over is released by its acceptance
-  assert.equal((await ask("POST", "/v2/runs", job("req-000105", { awaits: ["req-000104"] }))).status, 201);
-  await done("req-000105");
-  const at = (what: string): number[] => cloud.events.flatMap((e, i) => (e.startsWith(what) ? [i] : []));
+  assert.equal(
+    (await ask("POST", "/v2/runs", jobBody("req-000105", { awaits: ["req-000104"] }))).status,
+    201,
+  );
+  await untilDone("req-000105");
+  const eventIndices = (prefix: string): number[] =>
+    cloud.taskEvents.flatMap((e, i) => (e.startsWith(prefix) ? [i] : []));
   for (const [child, ...parents] of [
     ["req-000103", "req-000101", "req-000102"],
     ["req-000104", "req-000103"],
     ["req-000105", "req-000104"],
   ] as const)
     for (const parent of parents) {
-      assert.equal(at(`done ${parent}/`).length, 5);
+      assert.equal(eventIndices(`done ${parent}/`).length, 5);
       assert.ok(
-        Math.min(...at(`start ${child}/`)) > Math.max(...at(`done ${parent}/`)),
+        Math.min(...eventIndices(`start ${child}/`)) > Math.max(...eventIndices(`done ${parent}/`)),
         `${child} ${parent}`,
       );
     }
@@ -162,8 +166,8 @@
 });
 
 test("a cancel takes along all that needs the job, directly or through others, and what is submitted later", async () => {
-  assert.equal((await ask("POST", "/v2/runs", job("req-000119", { chores: 1 }))).status, 201);
-  const after = (ref: string, ...awaits: string[]) => ask("POST", "/v2/runs", job(ref, { awaits }));
+  assert.equal((await ask("POST", "/v2/runs", jobBody("req-000119", { chores: 1 }))).status, 201);
+  const after = (ref: string, ...awaits: string[]) => ask("POST", "/v2/runs", jobBody(ref, { awaits }));
   assert.equal((await after("req-000112", "req-000119")).json["status"], "queued");
   assert.equal((await after("req-000113", "req-000112", "req-000001")).json["status"], "queued");
   assert.deepEqual((await ask("GET", "/v2/runs/req-000113")).json, {
@@ -185,21 +189,21 @@
   assert.deepEqual(late, { status: 201, json: { ref: "req-000114", status: "aborted" } });
   assert.equal((await after("req-000114", "req-000113")).status, 200);
   // a job that waits can be called off by itself; a job after a done one isn't touched by a cancel that comes too late
-  assert.equal((await ask("POST", "/v2/runs", job("req-000129", { chores: 1 }))).status, 201);
+  assert.equal((await ask("POST", "/v2/runs", jobBody("req-000129", { chores: 1 }))).status, 201);
   assert.equal((await after("req-000122", "req-000129")).status, 201);
   assert.equal((await ask("POST", "/v2/runs/req-000122/cancel")).json["status"], "aborted");
   assert.notEqual((await ask("GET", "/v2/runs/req-000129")).json["status"], "aborted");
   await ask("POST", "/v2/runs/req-000129/cancel");
   assert.equal((await ask("POST", "/v2/runs/req-000001/cancel")).json["status"], "done");
   assert.equal((await after("req-000123", "req-000001")).status, 201);
-  await done("req-000123");
+  await untilDone("req-000123");
   assert.ok(![...state.rows.keys()].some((key) => /^job-waiting\/req-00011/.test(key)));
 });
 
 test("a job after one that waits is accepted as cancelled if something before that was, though nobody heard of it yet", async () => {
   // nothing has room for it
-  state.put("job/req-000151", { ...job("req-000151", { vcpus: 9999 }), accepted_ms: Date.now() });
-  const after = (ref: string, ...awaits: string[]) => ask("POST", "/v2/runs", job(ref, { awaits }));
+  state.put("job/req-000151", { ...jobBody("req-000151", { vcpus: 9999 }), accepted_ms: Date.now() });
+  const after = (ref: string, ...awaits: string[]) => ask("POST", "/v2/runs", jobBody(ref, { awaits }));
   assert.equal((await after("req-000152", "req-000151")).json["status"], "queued");
   assert.equal((await after("req-000153", "req-000152")).json["status"], "queued");
   // its job record is still there: for this controller it isn't over
@@ -212,7 +216,7 @@
 
 test("a join that was lost, and a cancel that wasn't passed on, are found again", async () => {
   const record = (ref: string, awaits: string[]) => ({
-    ...job(ref, { awaits, chores: 1 }),
+    ...jobBody(ref, { awaits, chores: 1 }),
     accepted_ms: Date.now(),
   });
   // as a controller leaves them that ended between a commit and what follows it
@@ -224,7 +228,7 @@
   state.put("job-waiting/req-000142", record("req-000142", ["req-000141", "req-000131"]));
   state.put("job-fanin/req-000143", { joined: [], released: false });
   state.put("job-waiting/req-000143", record("req-000143", ["req-000142"]));
-  await done("req-000132");
+  await untilDone("req-000132");
   await until(
     "the last is cancelled",
     async () =>
@@ -235,7 +239,7 @@
 
 test("while the state service is down users get 503 at once, and nothing older than they were told", async () => {
   state.down = true;
-  assert.equal((await ask("POST", "/v2/runs", job("req-000003"))).status, 503);
+  assert.equal((await ask("POST", "/v2/runs", jobBody("req-000003"))).status, 503);
   assert.equal((await ask("GET", "/v2/runs/req-000004")).status, 503);
   assert.equal((await ask("GET", "/v2/runs/req-000001")).json["status"], "done");
   state.down = false;
@@ -245,8 +249,8 @@
   const post = (addr: string, path: string, body: string) =>
     fetch(`http://${addr}${path}`, { method: "POST", body });
   for (const body of ["", "{", "null", '{"hearth":"n-1"}', "x".repeat(100_000)])
-    assert.equal((await post(service.front, "/agent/beat", body)).status, 400);
-  const { peer_bind } = JSON.parse(readFileSync(config, "utf8")) as { peer_bind: string };
+    assert.equal((await post(service.frontAddress, "/agent/beat", body)).status, 400);
+  const { peer_bind } = JSON.parse(readFileSync(configPath, "utf8")) as { peer_bind: string };
   for (const path of ["/sync", "/deliver", "/word"])
     assert.equal((await post(peer_bind, path, "\u0000\u0001nonsense")).status, 400);
   // a job's record that can't be read: no 404, since it is there, and nothing else suffers
@@ -258,8 +262,8 @@
 });
 
 test("more requests than can be under way are answered 503 at once, with a time to come back", async () => {
-  const [host, port] = service.front.split(":") as [string, string];
-  const slow = Array.from({ length: 400 }, () => {
+  const [host, port] = service.frontAddress.split(":") as [string, string];
+  const slowClients = Array.from({ length: 400 }, () => {
     const socket = connect(Number(port), host);
     socket.on("error", () => undefined);
     // the rest of the body never comes
@@ -269,22 +273,22 @@
   try {
     let answer: Response | null = null;
     await until("it is full", async () => {
-      answer = await fetch(`http://${service.front}/v2/runs/req-000001`);
+      answer = await fetch(`http://${service.frontAddress}/v2/runs/req-000001`);
       await answer.text();
       return answer.status === 503;
     });
     assert.ok(Number(answer!.headers.get("retry-after")) >= 1);
     assert.equal((await ask("GET", "/up")).status, 200);
   } finally {
-    for (const socket of slow) socket.destroy();
+    for (const socket of slowClients) socket.destroy();
   }
   await until("there is room", async () => (await ask("GET", "/v2/runs/req-000001")).status === 200);
 });
 
 test("a process that is killed comes back, takes over and finishes what was accepted", async () => {
-  assert.equal((await ask("POST", "/v2/runs", job("req-000010", { chores: 12 }))).status, 201);
-  child!.kill("SIGKILL");
-  start();
-  await done("req-000010");
-  await done("req-000010");
+  assert.equal((await ask("POST", "/v2/runs", jobBody("req-000010", { chores: 12 }))).status, 201);
+  controllerProcess!.kill("SIGKILL");
+  startProcess();
+  await untilDone("req-000010");
+  await untilDone("req-000010");
 });
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -4,74 +4,74 @@
 import type { Machine } from "../src/core/cluster/cluster.js";
 import type { TaskState } from "../src/core/records.js";
 import { instant } from "../src/core/time.js";
-import { ClusterFixture, EAST } from "./cluster-fixture.js";
+import { ClusterFixture, EAST_MACHINES } from "./cluster-fixture.js";
 import { jobSpec as spec } from "./specs.js";
 
-const GANG = "req-000002";
+const GANG_ID = "req-000002";
 
-const machine = (scene: ClusterFixture, id: string): Machine => scene.s.cluster.machines.get(id)!;
-const facts = (scene: ClusterFixture, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
-  scene.s.shardDrain.factsOf(ids.map((id) => machine(scene, id)));
+const machineOf = (scene: ClusterFixture, id: string): Machine => scene.s.cluster.machines.get(id)!;
+const drainFacts = (scene: ClusterFixture, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
+  scene.s.shardDrain.factsOf(ids.map((id) => machineOf(scene, id)));
 
-const started = (scene: ClusterFixture): number => scene.ops("start");
+const startCommandCount = (scene: ClusterFixture): number => scene.commandCount("start");
 
 test("a paused machine gets no commands, but is asked for heartbeats; once resumed it gets its share", () => {
-  const scene = new ClusterFixture(EAST);
-  for (const { id } of EAST) scene.paused.add(id);
+  const scene = new ClusterFixture(EAST_MACHINES);
+  for (const { id } of EAST_MACHINES) scene.pausedMachines.add(id);
   scene.s.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(scene.now));
   for (let i = 0; i < 6; i++) scene.step();
-  assert.equal(started(scene), 0);
-  scene.s.shardDrain.raiseTokens([machine(scene, "n-1")]);
+  assert.equal(startCommandCount(scene), 0);
+  scene.s.shardDrain.raiseTokens([machineOf(scene, "n-1")]);
   scene.step();
-  assert.equal(scene.questions("n-1").length, 1);
-  scene.paused.clear();
-  scene.s.shardDrain.resume(EAST.map(({ id }) => machine(scene, id)));
+  assert.equal(scene.heartbeatRequests("n-1").length, 1);
+  scene.pausedMachines.clear();
+  scene.s.shardDrain.resume(EAST_MACHINES.map(({ id }) => machineOf(scene, id)));
   for (let i = 0; i < 3; i++) scene.step();
-  assert.equal(started(scene), 6);
+  assert.equal(startCommandCount(scene), 6);
 });
 
 test("a machine is fenced only once it was seen under a token that was raised after the last command", () => {
-  const scene = new ClusterFixture(EAST);
+  const scene = new ClusterFixture(EAST_MACHINES);
   scene.step();
-  assert.equal(facts(scene).fenced, true);
-  scene.s.shardDrain.raiseTokens([machine(scene, "n-2")]);
-  assert.deepEqual([facts(scene).fenced, facts(scene).unfencedMachine], [false, "n-2"]);
-  assert.equal(facts(scene, ["n-1"]).fenced, true);
-  const [question] = (scene.step(), scene.questions("n-2"));
+  assert.equal(drainFacts(scene).fenced, true);
+  scene.s.shardDrain.raiseTokens([machineOf(scene, "n-2")]);
+  assert.deepEqual([drainFacts(scene).fenced, drainFacts(scene).unfencedMachine], [false, "n-2"]);
+  assert.equal(drainFacts(scene, ["n-1"]).fenced, true);
+  const [question] = (scene.step(), scene.heartbeatRequests("n-2"));
   assert.ok(question !== undefined);
   scene.step();
-  assert.equal(facts(scene).fenced, true);
-  assert.ok(!scene.s.cluster.awaitingFence.has(machine(scene, "n-2")));
+  assert.equal(drainFacts(scene).fenced, true);
+  assert.ok(!scene.s.cluster.awaitingFence.has(machineOf(scene, "n-2")));
 });
 
 test("a start without an answer stands against a handoff until it is settled", () => {
-  const scene = new ClusterFixture(EAST);
+  const scene = new ClusterFixture(EAST_MACHINES);
   scene.s.jobReleased(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
   scene.step(["n-1", "n-2", "n-3"]);
-  assert.equal(facts(scene).obstacle?._tag, "CommandInDoubt");
+  assert.equal(drainFacts(scene).obstacle?._tag, "CommandInDoubt");
   for (let i = 0; i < 6; i++) scene.step();
-  assert.equal(facts(scene).obstacle, null);
+  assert.equal(drainFacts(scene).obstacle, null);
 });
 
 test("a gang that is being assembled, or saves, stands against a handoff; one that runs doesn't", () => {
-  const scene = new ClusterFixture(EAST);
-  scene.s.jobReleased(spec({ id: GANG, kind: "gang", tasks: 3, cpus: 4 }), 20, instant(scene.now));
+  const scene = new ClusterFixture(EAST_MACHINES);
+  scene.s.jobReleased(spec({ id: GANG_ID, kind: "gang", tasks: 3, cpus: 4 }), 20, instant(scene.now));
   for (let i = 0; i < 4; i++) scene.step();
-  const shows = (state: TaskState): string | undefined => {
+  const obstacleWithTasksIn = (state: TaskState): string | undefined => {
     for (const tasks of scene.tasks.values())
       for (const [key, task] of tasks) tasks.set(key, { ...task, state });
-    for (const { id } of EAST) scene.report(id);
-    return facts(scene).obstacle?._tag;
+    for (const { id } of EAST_MACHINES) scene.sendHeartbeat(id);
+    return drainFacts(scene).obstacle?._tag;
   };
-  assert.equal(scene.live().length, 3);
-  assert.equal(shows("running"), undefined);
-  assert.equal(shows("fetching"), "GangAssembling");
-  assert.equal(shows("waiting"), "GangAssembling");
-  assert.equal(shows("saving"), "GangSaving");
+  assert.equal(scene.activeTasks().length, 3);
+  assert.equal(obstacleWithTasksIn("running"), undefined);
+  assert.equal(obstacleWithTasksIn("fetching"), "GangAssembling");
+  assert.equal(obstacleWithTasksIn("waiting"), "GangAssembling");
+  assert.equal(obstacleWithTasksIn("saving"), "GangSaving");
 });
 
 test("a machine that hasn't reported under the present token stands against a handoff; one on its way back doesn't", () => {
-  const scene = new ClusterFixture(EAST);
+  const scene = new ClusterFixture(EAST_MACHINES);
   scene.step();
   const term = {
     number: 2,
@@ -80,7 +80,7 @@
     members: [{ name: "a", incarnation: 1, zone: "east" }],
   };
   scene.s.renewTerm(term, instant(scene.now));
-  assert.equal(facts(scene).fenced, false);
-  machine(scene, "n-3").releaseRequestedAt = instant(scene.now);
-  assert.equal(facts(scene).machines, 2);
+  assert.equal(drainFacts(scene).fenced, false);
+  machineOf(scene, "n-3").releaseRequestedAt = instant(scene.now);
+  assert.equal(drainFacts(scene).machines, 2);
 });
--- a/test/shard-messages.test.ts
+++ b/test/shard-messages.test.ts
@@ -29,12 +29,12 @@
 ];
 
 /** Without the classes that Avro makes. */
-const plain = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
+const toPlainObject = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
 test("messages are read as they were written", () => {
   const workers = [{ addr: "127.0.0.1:1", session: 1, token: 7_000_001 }];
   const offer = { id: "m-1", term: 7, shard: SHARD, epoch: 3, machines: 80, workers };
-  assert.deepEqual(plain(offerCodec.decode(offerCodec.encode(offer))), offer);
+  assert.deepEqual(toPlainObject(offerCodec.decode(offerCodec.encode(offer))), offer);
   const release = { id: "m-1", term: 7, shard: SHARD, epoch: 3 };
   assert.deepEqual({ ...releaseCodec.decode(releaseCodec.encode(release)) }, release);
   const request = { verb: "move", name: SHARD, target: "south", epoch: -1 } as const;
@@ -51,16 +51,18 @@
     assert.equal(decodeRefusal({ refusal }, "m")?._tag, "NoAnswer", refusal);
 });
 
-let peers = "";
-let bare = "";
-let operators = "";
-const asked: string[] = [];
+let peersAddr = "";
+let peersWithoutShardsAddr = "";
+let operatorsAddr = "";
+const receivedCommands: string[] = [];
 const servers: http.Server[] = [];
 before(async () => {
-  [peers, bare, operators] = [await freePort(), await freePort(), await freePort()].map(
-    (port) => `127.0.0.1:${port}`,
-  ) as [string, string, string];
-  const others = {
+  [peersAddr, peersWithoutShardsAddr, operatorsAddr] = [
+    await freePort(),
+    await freePort(),
+    await freePort(),
+  ].map((port) => `127.0.0.1:${port}`) as [string, string, string];
+  const unusedHandlers = {
     sync: () => assert.fail("not asked"),
     deliver: () => assert.fail("not asked"),
     confirmTerm: () => assert.fail("not asked"),
@@ -70,11 +72,13 @@
     release: () => Effect.succeed(encodeRefusal(Refusal.NotInForce())),
     operate: () => Effect.succeed({ status: 200, body: "{}" }),
   };
-  servers.push(await Effect.runPromise(servePeers(peers, { ...others, shards })));
-  servers.push(await Effect.runPromise(servePeers(bare, { ...others, shards: null })));
+  servers.push(await Effect.runPromise(servePeers(peersAddr, { ...unusedHandlers, shards })));
+  servers.push(
+    await Effect.runPromise(servePeers(peersWithoutShardsAddr, { ...unusedHandlers, shards: null })),
+  );
   const operatorsServer = await Effect.runPromise(
-    serveOperators(operators, (request) => {
-      asked.push(`${request.verb} ${request.name} ${request.target} ${request.epoch}`);
+    serveOperators(operatorsAddr, (request) => {
+      receivedCommands.push(`${request.verb} ${request.name} ${request.target} ${request.epoch}`);
       return Effect.succeed({ status: 200, body: "{}" });
     }),
   );
@@ -103,25 +107,30 @@
 
 test("malformed messages get 400, and a controller without shards answers 404, as earlier versions do", async () => {
   const release = releaseCodec.encode({ id: "m-1", term: 7, shard: SHARD, epoch: 3 });
-  const [status, body] = await post(peers, shardPaths.release, release);
+  const [status, body] = await post(peersAddr, shardPaths.release, release);
   assert.equal(status, 200);
   assert.equal(decodeRefusal(refusalCodec.decode(body), "m")?._tag, "NotInForce");
   for (const path of Object.values(shardPaths)) {
     for (const bad of ["", "x", Buffer.alloc(3, 0xff), release.subarray(0, 4)])
-      assert.equal((await post(peers, path, bad))[0], 400, path);
-    assert.equal((await post(bare, path, release))[0], 404, path);
+      assert.equal((await post(peersAddr, path, bad))[0], 400, path);
+    assert.equal((await post(peersWithoutShardsAddr, path, release))[0], 404, path);
   }
   const list = operatorRequestCodec.encode({ verb: "list", name: "", target: "", epoch: -1 });
-  assert.equal(operatorAnswerCodec.decode((await post(peers, shardPaths.operate, list))[1]).status, 200);
+  assert.equal(operatorAnswerCodec.decode((await post(peersAddr, shardPaths.operate, list))[1]).status, 200);
 });
 
 test("operators' commands are read, and anything else gets a status of its own", async () => {
   const move = JSON.stringify({ shard: "east.07", to: "south", epoch: 3 });
-  assert.equal((await post(operators, "/shards/move", move))[0], 200);
-  assert.equal((await post(operators, "/shards/drain", '{"member":"south"}'))[0], 200);
-  assert.equal((await post(operators, "/shards/list", "", "GET"))[0], 200);
-  assert.equal((await post(operators, "/shards/moves/a%20b", "", "GET"))[0], 200);
-  assert.deepEqual(asked, ["move east.07 south 3", "drain south  -1", "list   -1", "outcome a b  -1"]);
+  assert.equal((await post(operatorsAddr, "/shards/move", move))[0], 200);
+  assert.equal((await post(operatorsAddr, "/shards/drain", '{"member":"south"}'))[0], 200);
+  assert.equal((await post(operatorsAddr, "/shards/list", "", "GET"))[0], 200);
+  assert.equal((await post(operatorsAddr, "/shards/moves/a%20b", "", "GET"))[0], 200);
+  assert.deepEqual(receivedCommands, [
+    "move east.07 south 3",
+    "drain south  -1",
+    "list   -1",
+    "outcome a b  -1",
+  ]);
   const bad: [string, string, string, number][] = [
     ["/other", "", "GET", 404],
     ["/shards/split", "{}", "POST", 404],
@@ -132,6 +141,6 @@
     ["/shards/drain", "x".repeat(5000), "POST", 413],
   ];
   for (const [path, body, method, status] of bad)
-    assert.equal((await post(operators, path, body, method))[0], status, `${method} ${path}`);
-  assert.equal(asked.length, 4);
+    assert.equal((await post(operatorsAddr, path, body, method))[0], status, `${method} ${path}`);
+  assert.equal(receivedCommands.length, 4);
 });
--- a/test/shards-on-loopback.test.ts
+++ b/test/shards-on-loopback.test.ts
@@ -5,39 +5,39 @@
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
 import { until } from "./controller-process.js";
-import { LoopbackCluster, type Name, NAMES } from "./loopback-cluster.js";
-import { checkHistory } from "./worker-history.js";
+import { LoopbackCluster, type ControllerName, CONTROLLER_NAMES } from "./loopback-cluster.js";
+import { historyViolations } from "./worker-history.js";
 
 const cluster = new LoopbackCluster();
 const { state, cloud } = cluster;
 before(() => cluster.start(6));
 after(() => cluster.stop());
 
-const GANG = { shape: "ensemble", chores: 2, vcpus: 2 };
-const SERVICE = { shape: "daemon", urgency: "critical", chores: 1 };
-const other = (owner: string | null): Name => NAMES.find((name) => name !== owner)!;
+const GANG_FIELDS = { shape: "ensemble", chores: 2, vcpus: 2 };
+const SERVICE_FIELDS = { shape: "daemon", urgency: "critical", chores: 1 };
+const otherThan = (owner: string | null): ControllerName => CONTROLLER_NAMES.find((name) => name !== owner)!;
 
 test("shards move back and forth under load: no task is killed, none runs twice", async () => {
-  await cluster.submit("req-000019", SERVICE);
-  await cluster.submit("req-000029", { ...SERVICE, vcpus: 2 });
+  await cluster.submit("req-000019", SERVICE_FIELDS);
+  await cluster.submit("req-000029", { ...SERVICE_FIELDS, vcpus: 2 });
   await until(
     "the services run",
     async () =>
-      (await cluster.status("req-000019")) === "running" &&
-      (await cluster.status("req-000029")) === "running",
+      (await cluster.jobStatus("req-000019")) === "running" &&
+      (await cluster.jobStatus("req-000029")) === "running",
   );
   let moved = 0;
   for (let round = 0; round < 6; round++) {
     await cluster.submit(`req-0001${round}1`, { chores: 8 });
     await cluster.submit(`req-0001${round}8`, { chores: 4 });
-    await cluster.submit(`req-0001${round}2`, GANG);
-    const shards = await cluster.busyShards();
+    await cluster.submit(`req-0001${round}2`, GANG_FIELDS);
+    const shards = await cluster.shardsWithMachines();
     const shard = shards[round % shards.length]!;
-    const { code, stdout, stderr } = await cluster.cli(
-      NAMES[round % NAMES.length]!,
+    const { code, stdout, stderr } = await cluster.runShardsCommand(
+      CONTROLLER_NAMES[round % CONTROLLER_NAMES.length]!,
       "move",
       shard.shard,
-      other(shard.owner),
+      otherThan(shard.owner),
     );
     if (code === 0) {
       moved++;
@@ -53,21 +53,22 @@
     for (const kind of [1, 2, 8])
       await until(
         `req-0001${round}${kind} done`,
-        async () => (await cluster.status(`req-0001${round}${kind}`)) === "done",
+        async () => (await cluster.jobStatus(`req-0001${round}${kind}`)) === "done",
       );
-  for (const service of ["req-000019", "req-000029"]) assert.equal(await cluster.status(service), "running");
-  assert.deepEqual(checkHistory(cloud.events), []);
+  for (const service of ["req-000019", "req-000029"])
+    assert.equal(await cluster.jobStatus(service), "running");
+  assert.deepEqual(historyViolations(cloud.taskEvents), []);
   const owners = [...state.rows].filter(([key]) => key.startsWith("shards/owner/"));
   assert.ok(owners.length > 0 && owners.every(([, { value }]) => !("phase" in (value as object))));
 });
 
 test("what can't be moved is refused with a sentence, and wrong use has another code", async () => {
-  const [shard] = await cluster.busyShards();
+  const [shard] = await cluster.shardsWithMachines();
   const bad: [string[], number, RegExp][] = [
     [["move", "east.99", "north"], 1, /there is no shard east\.99/],
     [["move", "nowhere.01", "north"], 1, /there is no shard nowhere\.01/],
     [["move", shard!.shard, "nobody"], 1, /there is no controller nobody/],
-    [["move", shard!.shard, other(shard!.owner), "--epoch", "77"], 1, /is in epoch \d+, not 77/],
+    [["move", shard!.shard, otherThan(shard!.owner), "--epoch", "77"], 1, /is in epoch \d+, not 77/],
     [["move", shard!.shard, shard!.owner!], 1, /owns shard .* already/],
     [["drain", "nobody"], 1, /there is no controller nobody/],
     [["cancel", "east.01"], 1, /no handoff or drain of east\.01/],
@@ -77,44 +78,47 @@
     [["split", "east.01"], 2, /unknown command|too many arguments/],
   ];
   for (const [args, code, expected] of bad) {
-    const ended = await cluster.cli("north", ...args);
+    const ended = await cluster.runShardsCommand("north", ...args);
     assert.equal(ended.code, code, `${args.join(" ")}: ${ended.stderr}`);
     assert.match(ended.stderr, expected);
   }
 });
 
 test("a drained controller has no machines left, and cancelling ends the drain", async () => {
-  const { code, stderr } = await cluster.cli("south", "drain", "inland", "--wait", "120");
+  const { code, stderr } = await cluster.runShardsCommand("south", "drain", "inland", "--wait", "120");
   assert.equal(code, 0, stderr);
-  const listing = await cluster.list("inland");
+  const listing = await cluster.listShards("inland");
   const inland = listing.controllers.find((c) => c.name === "inland")!;
   assert.deepEqual([inland.machines, inland.draining], [0, true]);
-  const [shard] = await cluster.busyShards();
-  const refused = await cluster.cli("north", "move", shard!.shard, "inland");
+  const [shard] = await cluster.shardsWithMachines();
+  const refused = await cluster.runShardsCommand("north", "move", shard!.shard, "inland");
   assert.match(refused.stderr, /inland is being drained/);
-  assert.equal((await cluster.cli("north", "cancel", "inland")).code, 0);
-  await until("the drain is over", async () => !(await cluster.list()).controllers.some((c) => c.draining));
+  assert.equal((await cluster.runShardsCommand("north", "cancel", "inland")).code, 0);
+  await until(
+    "the drain is over",
+    async () => !(await cluster.listShards()).controllers.some((c) => c.draining),
+  );
 });
 
 test("beside a controller without shards nothing is moved, and the way back needs no repair", async () => {
-  const [shard] = await cluster.busyShards();
+  const [shard] = await cluster.shardsWithMachines();
   cluster.restart("inland", false);
-  await cluster.untilInForce(false);
-  const refused = await cluster.cli("north", "move", shard!.shard, other(shard!.owner));
+  await cluster.untilShardsInForce(false);
+  const refused = await cluster.runShardsCommand("north", "move", shard!.shard, otherThan(shard!.owner));
   assert.equal(refused.code, 1);
   assert.match(refused.stderr, /not every controller of the term uses them/);
   await cluster.submit("req-000301", { chores: 8 });
-  await until("the array is done", async () => (await cluster.status("req-000301")) === "done");
+  await until("the array is done", async () => (await cluster.jobStatus("req-000301")) === "done");
   cluster.restart("inland");
-  await cluster.untilInForce();
+  await cluster.untilShardsInForce();
   await until("every shard has an owner", async () =>
-    (await cluster.busyShards()).every((s) => s.owner !== null),
+    (await cluster.shardsWithMachines()).every((s) => s.owner !== null),
   );
-  assert.deepEqual(checkHistory(cloud.events), []);
+  assert.deepEqual(historyViolations(cloud.taskEvents), []);
 });
 
 /** Holds a handoff at a step: before the release, or before the take. */
-const STEPS = {
+const IS_HELD_WRITE = {
   draining: (value: ShardRecord) => value.phase === "released",
   released: (value: ShardRecord) => value.phase === undefined && value.epoch > 1,
 } as const;
@@ -123,35 +127,41 @@
   readonly phase?: string;
 }
 
-let arrays = 0;
-for (const step of ["draining", "released"] as const)
+let arrayCount = 0;
+for (const heldPhase of ["draining", "released"] as const)
   for (const victim of ["source", "target", "leader"] as const)
-    test(`the ${victim} ends while a shard is ${step}, in the middle of an array: it is done once, and the handoff ends`, async () => {
-      const array = `req-0004${arrays++}8`;
-      const shards = await cluster.busyShards();
-      const shard = shards[arrays % shards.length]!;
+    test(`the ${victim} ends while a shard is ${heldPhase}, in the middle of an array: it is done once, and the handoff ends`, async () => {
+      const arrayRef = `req-0004${arrayCount++}8`;
+      const shards = await cluster.shardsWithMachines();
+      const shard = shards[arrayCount % shards.length]!;
       const key = `shards/owner/${shard.shard}`;
-      const target = other(shard.owner);
-      const leader = (await cluster.list()).leader as Name;
-      const dies = victim === "source" ? (shard.owner as Name) : victim === "target" ? target : leader;
-      const at = NAMES.find((name) => name !== dies)!;
-      await cluster.submit(array, { chores: 8 });
-      await until("its tasks run", () => cloud.events.some((event) => event.startsWith(`start ${array}/`)));
-      state.holdsBack = (written, value) => written === key && STEPS[step](value as ShardRecord);
-      const moving = cluster.cli(at, "move", shard.shard, target, "--wait", "5");
+      const target = otherThan(shard.owner);
+      const leader = (await cluster.listShards()).leader as ControllerName;
+      const restarted =
+        victim === "source" ? (shard.owner as ControllerName) : victim === "target" ? target : leader;
+      const askedController = CONTROLLER_NAMES.find((name) => name !== restarted)!;
+      await cluster.submit(arrayRef, { chores: 8 });
+      await until("its tasks run", () =>
+        cloud.taskEvents.some((event) => event.startsWith(`start ${arrayRef}/`)),
+      );
+      state.failsWrite = (written, value) =>
+        written === key && IS_HELD_WRITE[heldPhase](value as ShardRecord);
+      const moving = cluster.runShardsCommand(askedController, "move", shard.shard, target, "--wait", "5");
       const phase = (): string | undefined => (state.rows.get(key)?.value as ShardRecord | undefined)?.phase;
       let isOver = false;
       void moving.then(() => (isOver = true));
-      await until("it is held there, or was refused", () => phase() === step || isOver);
-      cluster.restart(dies);
-      state.holdsBack = () => false;
+      await until("it is held there, or was refused", () => phase() === heldPhase || isOver);
+      cluster.restart(restarted);
+      state.failsWrite = () => false;
       await moving;
-      await cluster.untilInForce(true, at);
+      await cluster.untilShardsInForce(true, askedController);
       await until("no handoff is left", async () =>
-        (await cluster.list(at)).shards.every((s) => s.state === "owned" || s.state === "default"),
+        (await cluster.listShards(askedController)).shards.every(
+          (s) => s.state === "owned" || s.state === "default",
+        ),
       );
-      await until("the array is done", async () => (await cluster.status(array)) === "done");
+      await until("the array is done", async () => (await cluster.jobStatus(arrayRef)) === "done");
       for (const service of ["req-000019", "req-000029"])
-        assert.equal(await cluster.status(service), "running");
-      assert.deepEqual(checkHistory(cloud.events), []);
+        assert.equal(await cluster.jobStatus(service), "running");
+      assert.deepEqual(historyViolations(cloud.taskEvents), []);
     });
--- a/test/specs.ts
+++ b/test/specs.ts
@@ -3,7 +3,7 @@
 import type { JobSpec } from "../src/core/records.js";
 
 /** A job of one task, with the given fields in place of the defaults. */
-export const jobSpec = (more: Partial<JobSpec>): JobSpec => ({
+export const jobSpec = (overrides: Partial<JobSpec>): JobSpec => ({
   id: "req-000001",
   className: "maps",
   team: "blue",
@@ -25,5 +25,5 @@
   saveDuration: Duration.zero,
   deadline: null,
   dependsOn: [],
-  ...more,
+  ...overrides,
 });
--- a/test/state-client.test.ts
+++ b/test/state-client.test.ts
@@ -44,9 +44,9 @@
 });
 
 test("what was refused is told from what may have been carried out", async () => {
-  fakeState.failing = [{ status: 503, carriedOut: false }];
+  fakeState.injectedFailures = [{ status: 503, carriedOut: false }];
   assert.equal(await tagOf(client.commit([], [{ put: "a", value: 1 }])), "Unavailable");
-  fakeState.failing = [{ status: 500, carriedOut: true }];
+  fakeState.injectedFailures = [{ status: 500, carriedOut: true }];
   assert.equal(await tagOf(client.commit([], [{ put: "b", value: 1 }])), "Unanswered");
   // resolved by rereading
   assert.equal((await run(client.get("b")))?.value, 1);
--- a/test/term-fixture.ts
+++ b/test/term-fixture.ts
@@ -15,7 +15,7 @@
 };
 
 /** A heartbeat of a worker without tasks, for tests that name only what they are about. */
-export const heartbeatWith = (more: Partial<Heartbeat>): Heartbeat => ({
+export const heartbeatWith = (overrides: Partial<Heartbeat>): Heartbeat => ({
   machine: "n-1",
   addr: "x",
   type: "small",
@@ -26,5 +26,5 @@
   fencingToken: fencingTokenOf(4),
   reclaimNoticeSeconds: null,
   tasks: [],
-  ...more,
+  ...overrides,
 });
--- a/test/upgrade-failover.test.ts
+++ b/test/upgrade-failover.test.ts
@@ -10,21 +10,21 @@
 import { FakeStateService } from "./fakes/fake-state-service.js";
 import {
   type Json,
-  misreadByProduction,
-  plain,
+  productionReadError,
+  jsonClone,
   productionTypes,
-  records,
-  recordsUnder,
+  productionRecords,
+  productionRecordsUnder,
 } from "./production-release.js";
 import { ServiceFixture } from "./service-fixture.js";
 import type { MessageType } from "./wire-names.js";
 import { present } from "./present.js";
 
 let child: ChildProcess | null = null;
-const stops: (() => void)[] = [];
+const stopFunctions: (() => void)[] = [];
 after(() => {
   child?.kill("SIGKILL");
-  for (const stop of stops) stop();
+  for (const stop of stopFunctions) stop();
 });
 
 /** Writes down what is written, by whomever. */
@@ -32,10 +32,11 @@
   /** All keys that were written, with their values. */
   readonly puts: { key: string; value: unknown }[] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
-    const before = this.ledger;
+    const before = this.revision;
     const answer = await super.handle(request);
-    if (request.url === "/commit" && this.ledger > before)
-      for (const [key, row] of this.rows) if (row.stamp > before) this.puts.push({ key, value: row.value });
+    if (request.url === "/commit" && this.revision > before)
+      for (const [key, row] of this.rows)
+        if (row.revision > before) this.puts.push({ key, value: row.value });
     return answer;
   }
 }
@@ -54,7 +55,7 @@
           "/word": ["Word", "WordAnswer"] as const,
         }[request.url ?? ""],
       );
-      const value = plain(productionTypes[type].fromBuffer(Buffer.concat(chunks))) as Json;
+      const value = jsonClone(productionTypes[type].fromBuffer(Buffer.concat(chunks))) as Json;
       this.received.push({ type, value });
       const answer = {
         SyncAnswer: {
@@ -110,17 +111,17 @@
   }
 
   async statusOf(ref: string): Promise<unknown> {
-    return (await this.ask("GET", `/v2/runs/${ref}`)).json["status"];
+    return (await this.request("GET", `/v2/runs/${ref}`)).json["status"];
   }
   /** What the process sent to the leader of production under the term with both. */
-  syncs(): Json[] {
+  syncRequests(): Json[] {
     return this.leader.received
       .filter(({ type, value }) => type === "Sync" && value["token"] === 5)
       .map(({ value }) => value);
   }
   /** Sends a message of production to the process. */
-  async send(type: MessageType, answer: MessageType, path: string, value: object): Promise<Json> {
-    const response = await fetch(`http://${this.peer}${path}`, {
+  async sendMessage(type: MessageType, answer: MessageType, path: string, value: object): Promise<Json> {
+    const response = await fetch(`http://${this.peerAddress}${path}`, {
       method: "POST",
       body: new Uint8Array(productionTypes[type].toBuffer(value)),
     });
@@ -130,30 +131,30 @@
 }
 
 /** Machines have names that the cloud here doesn't give, and nobody answers at their addresses. */
-const nowhere = (value: MachinesRecord): MachinesRecord => ({
+const withUnreachableAddresses = (value: MachinesRecord): MachinesRecord => ({
   machines: Object.fromEntries(
     Object.entries(value.machines).map(([id, record]) => [`old-${id}`, { ...record, addr: "127.0.0.1:1" }]),
   ),
 });
 
 /** A job that production accepted, as a user submitted it. */
-const newSubmission = (): Json => {
-  const submission = { ...present(recordsUnder<Json>(keys.job("req-000001"))[0]).value };
+const sampleSubmission = (): Json => {
+  const submission = { ...present(productionRecordsUnder<Json>(keys.job("req-000001"))[0]).value };
   delete submission["accepted_ms"];
   return submission;
 };
 
 /** What production left: the last write of each key. */
-const putRecords = (state: FakeStateService): void => {
-  for (const { key, value } of records) {
+const putProductionRecords = (state: FakeStateService): void => {
+  for (const { key, value } of productionRecords) {
     if (key.startsWith(keys.cluster)) continue;
     // as it was while two of the jobs were unfinished
     const [kind, id] = key.split("/");
-    const open = id !== undefined && ["req-000001", "req-000003", "req-000019"].includes(id);
-    if (kind === (open ? "commit" : "job")) continue;
-    state.put(key, key.startsWith(keys.machines) ? nowhere(value as MachinesRecord) : value);
+    const isUnfinished = id !== undefined && ["req-000001", "req-000003", "req-000019"].includes(id);
+    if (kind === (isUnfinished ? "commit" : "job")) continue;
+    state.put(key, key.startsWith(keys.machines) ? withUnreachableAddresses(value as MachinesRecord) : value);
   }
-  const [unfinished] = recordsUnder<Json>(keys.job("req-000003"));
+  const [unfinished] = productionRecordsUnder<Json>(keys.job("req-000003"));
   state.put(keys.job("req-000050"), {
     ...present(unfinished).value,
     ref: "req-000050",
@@ -165,14 +166,14 @@
 };
 
 /** Makes the controller of production the leader. */
-const putTerm = (upgrade: UpgradeFixture): void => {
+const putProductionTerm = (upgrade: UpgradeFixture): void => {
   const { state } = upgrade;
   state.put(keys.member("south"), { zone: "east", permit: 1 });
-  const incarnation = state.ledger;
+  const incarnation = state.revision;
   state.put(keys.leader, { member: "south", permit: 1 });
   upgrade.term = {
     ...upgrade.term,
-    key: state.ledger,
+    key: state.revision,
     members: [{ name: "south", incarnation, zone: "east" }],
   };
   state.put(keys.term, upgrade.term);
@@ -190,9 +191,9 @@
     [{ member: "south", domain: "east", addr: upgrade.leader.addr }],
   );
 
-const assertServesUnderProduction = async (upgrade: UpgradeFixture): Promise<void> => {
+const assertServesUnderProductionLeader = async (upgrade: UpgradeFixture): Promise<void> => {
   await until("it joined", () => upgrade.state.rows.has(keys.member("north")));
-  const joined = present(upgrade.state.rows.get(keys.member("north"))).stamp;
+  const joined = present(upgrade.state.rows.get(keys.member("north"))).revision;
   upgrade.term = {
     ...upgrade.term,
     token: 5,
@@ -200,16 +201,16 @@
   };
   upgrade.state.put(keys.term, upgrade.term);
   await until("it sends its updates and echoes the mark", () =>
-    upgrade.syncs().some((s) => (s["mark"] as number) > 1000),
+    upgrade.syncRequests().some((s) => (s["mark"] as number) > 1000),
   );
   await until("users are answered", async () => (await upgrade.statusOf("req-000050")) === "queued");
-  const submission = newSubmission();
-  const accept = await upgrade.ask("POST", "/v2/runs", { ...submission, ref: "req-000051" });
+  const submission = sampleSubmission();
+  const accept = await upgrade.request("POST", "/v2/runs", { ...submission, ref: "req-000051" });
   assert.equal(accept.status, 201);
   const record = present(upgrade.state.rows.get(keys.job("req-000051"))).value as Json;
   assert.deepEqual({ ...submission, ref: "req-000051", accepted_ms: record["accepted_ms"] }, record);
-  assert.equal((await upgrade.send("Word", "WordAnswer", "/word", { token: 5 }))["noneNewer"], true);
-  assert.equal((await upgrade.send("Word", "WordAnswer", "/word", { token: 4 }))["noneNewer"], false);
+  assert.equal((await upgrade.sendMessage("Word", "WordAnswer", "/word", { token: 5 }))["noneNewer"], true);
+  assert.equal((await upgrade.sendMessage("Word", "WordAnswer", "/word", { token: 4 }))["noneNewer"], false);
 };
 
 const assertDeliversForProduction = async (upgrade: UpgradeFixture): Promise<void> => {
@@ -218,16 +219,16 @@
   const deliver = { term: upgrade.term, items: [item] };
   await until(
     "it delivers",
-    async () => (await upgrade.send("Deliver", "Delivered", "/deliver", deliver))["accepted"] === true,
+    async () => (await upgrade.sendMessage("Deliver", "Delivered", "/deliver", deliver))["accepted"] === true,
   );
   await until("the outcome is sent", () =>
     upgrade
-      .syncs()
+      .syncRequests()
       .some((s) => (s["outcomes"] as Json[]).some((o) => o["id"] === 71 && o["outcome"] === "unsent")),
   );
 };
 
-const assertGoesOnFromRecords = async (upgrade: UpgradeFixture): Promise<void> => {
+const assertContinuesFromRecords = async (upgrade: UpgradeFixture): Promise<void> => {
   // that leader ends; all that it accepted and left goes on
   upgrade.state.remove(keys.leader);
   upgrade.state.remove(keys.member("south"));
@@ -236,11 +237,11 @@
   // it asks for two zones and there is one
   await until(
     "half of the service runs",
-    async () => (await upgrade.ask("GET", "/v2/runs/req-000019")).json["running"] === 1,
+    async () => (await upgrade.request("GET", "/v2/runs/req-000019")).json["running"] === 1,
   );
-  const ran = upgrade.cloud.events.filter((event) => event.startsWith("start req-000050/"));
+  const startEvents = upgrade.cloud.taskEvents.filter((event) => event.startsWith("start req-000050/"));
   assert.deepEqual(
-    ran.sort(),
+    startEvents.sort(),
     [35, 36, 37, 38, 39].map((index) => `start req-000050/${index}`),
   );
   for (const [ref, outcome] of [
@@ -253,14 +254,14 @@
     () => ![...upgrade.state.rows.keys()].some((key) => /^ranges\/req-00000[24]\//.test(key)),
   );
   // what production had rented would do for the next job: only once some of it is returned has this version to rent
-  await until("idle machines are returned", () => upgrade.cloud.up.size < upgrade.cloud.capacity);
-  const more = { ...newSubmission(), ref: "req-000052", chores: 3, vcpus: 4 };
-  assert.equal((await upgrade.ask("POST", "/v2/runs", more)).status, 201);
+  await until("idle machines are returned", () => upgrade.cloud.machines.size < upgrade.cloud.maxMachines);
+  const more = { ...sampleSubmission(), ref: "req-000052", chores: 3, vcpus: 4 };
+  assert.equal((await upgrade.request("POST", "/v2/runs", more)).status, 201);
   await until("it rents", async () => (await upgrade.statusOf("req-000052")) === "done");
   assert.equal(decodeTerm(present(upgrade.state.rows.get(keys.term)).value).number > 5, true);
 };
 
-const assertLeadsProduction = async (upgrade: UpgradeFixture): Promise<void> => {
+const assertLeadsProductionMember = async (upgrade: UpgradeFixture): Promise<void> => {
   // production comes back as a member: it is sent messages that it knows
   const before = upgrade.leader.received.length;
   upgrade.state.put(keys.member("south"), { zone: "east", permit: 2 });
@@ -269,7 +270,7 @@
     () => decodeTerm(present(upgrade.state.rows.get(keys.term)).value).members.length === 2,
   );
   const both = decodeTerm(present(upgrade.state.rows.get(keys.term)).value);
-  const answer = await upgrade.send("Sync", "SyncAnswer", "/sync", {
+  const answer = await upgrade.sendMessage("Sync", "SyncAnswer", "/sync", {
     token: both.number,
     member: "south",
     incarnation: present(both.members.find((member) => member.name === "south")).incarnation,
@@ -286,9 +287,9 @@
     assert.ok(type === "Deliver" || type === "Sync" || type === "Word");
 };
 
-const assertReadByProduction = (written: readonly { key: string; value: unknown }[]): void => {
+const assertReadableByProduction = (written: readonly { key: string; value: unknown }[]): void => {
   assert.ok(written.length > 10);
-  for (const { key, value } of written) assert.equal(misreadByProduction(key, value), null);
+  for (const { key, value } of written) assert.equal(productionReadError(key, value), null);
   for (const prefix of ["cluster/", "commit/", "machines/", "rental/", "job/"])
     assert.ok(
       written.some(({ key }) => key.startsWith(prefix)),
@@ -299,13 +300,13 @@
 test("this version serves under a leader of production, and goes on from its records", async () => {
   const upgrade = new UpgradeFixture();
   await upgrade.start();
-  stops.push(() => upgrade.stop());
-  putRecords(upgrade.state);
-  putTerm(upgrade);
+  stopFunctions.push(() => upgrade.stop());
+  putProductionRecords(upgrade.state);
+  putProductionTerm(upgrade);
   child = startController(writeSettings(settingsOf(upgrade)));
-  await assertServesUnderProduction(upgrade);
+  await assertServesUnderProductionLeader(upgrade);
   await assertDeliversForProduction(upgrade);
-  await assertGoesOnFromRecords(upgrade);
-  await assertLeadsProduction(upgrade);
-  assertReadByProduction(upgrade.state.puts);
+  await assertContinuesFromRecords(upgrade);
+  await assertLeadsProductionMember(upgrade);
+  assertReadableByProduction(upgrade.state.puts);
 });
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -35,36 +35,36 @@
 import { type MessageType, toAvroNames, toCodeNames, toJobSpecNames } from "./wire-names.js";
 import {
   type Json,
-  codecs,
+  codecsByAvroName,
   commit,
-  kept,
-  messages,
-  misreadByProduction,
-  news,
-  plain,
-  production,
+  readKeptFile,
+  productionMessages,
+  productionReadError,
+  productionUpdates,
+  jsonClone,
+  productionSchemas,
   productionTypes,
-  records,
-  recordsUnder,
+  productionRecords,
+  productionRecordsUnder,
 } from "./production-release.js";
 import { present } from "./present.js";
 
 test("what is kept comes from the version that deploy/service.toml names", () => {
   const deployed = readFileSync(new URL("../../../deploy/service.toml", import.meta.url), "utf8");
-  for (const file of ["messages", "records", "schemas"]) assert.equal(kept(file).commit, commit);
+  for (const file of ["messages", "records", "schemas"]) assert.equal(readKeptFile(file).commit, commit);
   assert.equal(/^production = "([0-9a-f]{40})"$/m.exec(deployed)?.[1], commit);
 });
 
 test("the kept schemas fit the kept records", () => {
-  for (const { key, value } of records) assert.equal(misreadByProduction(key, value), null);
-  for (const { key, value } of news.flatMap((n) => n.pieces))
-    assert.equal(misreadByProduction(key, value), null);
-  for (const prefix of Object.keys(production.records))
-    assert.ok(recordsUnder(prefix).length > 0 || prefix === "news/", `no record of ${prefix}`);
+  for (const { key, value } of productionRecords) assert.equal(productionReadError(key, value), null);
+  for (const { key, value } of productionUpdates.flatMap((n) => n.pieces))
+    assert.equal(productionReadError(key, value), null);
+  for (const prefix of Object.keys(productionSchemas.records))
+    assert.ok(productionRecordsUnder(prefix).length > 0 || prefix === "news/", `no record of ${prefix}`);
 });
 
 test("records of production are read as they were meant", () => {
-  for (const { key, value, meaning } of recordsUnder<Json>(keys.jobs)) {
+  for (const { key, value, meaning } of productionRecordsUnder<Json>(keys.jobs)) {
     const spec = decodeJobRecord(key.slice(keys.jobs.length), value);
     assert.ok(spec !== null, key);
     const read = Object.entries(spec).map(([name, x]) => [
@@ -80,28 +80,28 @@
     assert.ok(typeof parsed !== "string");
     assert.deepEqual(encodeJobRecord(parsed.wire, new Date(accepted as number)), value);
   }
-  for (const { key, value } of recordsUnder<CommitRecord>("commit/")) {
+  for (const { key, value } of productionRecordsUnder<CommitRecord>("commit/")) {
     assert.equal(keys.commit(key.slice("commit/".length)), key);
     assert.ok(value.outcome === "done" || value.outcome === "cancelled");
   }
-  for (const { key, value } of recordsUnder<RangesRecord>(keys.ranges)) {
+  for (const { key, value } of productionRecordsUnder<RangesRecord>(keys.ranges)) {
     const [, id, writer, window] = key.split("/");
     assert.equal(keys.rangesOf(present(id), present(writer), Number(window)), key);
     assert.deepEqual(RangeSet.of(value.ranges).ranges(), value.ranges);
   }
-  for (const { key, value } of recordsUnder<MachinesRecord>(keys.machines)) {
-    const blocks = new MachineRecordStore();
-    blocks.add(key, value.machines);
+  for (const { key, value } of productionRecordsUnder<MachinesRecord>(keys.machines)) {
+    const recordStore = new MachineRecordStore();
+    recordStore.add(key, value.machines);
     const [first, ...rest] = Object.keys(value.machines);
-    blocks.remove(present(first));
-    const left = Object.fromEntries(rest.map((id) => [id, present(value.machines[id])]));
-    const [rewrite] = blocks.pendingRewrites(1);
-    assert.deepEqual(present(rewrite).machines, rest.length === 0 ? null : left);
+    recordStore.remove(present(first));
+    const remaining = Object.fromEntries(rest.map((id) => [id, present(value.machines[id])]));
+    const [rewrite] = recordStore.pendingRewrites(1);
+    assert.deepEqual(present(rewrite).machines, rest.length === 0 ? null : remaining);
     assert.equal(present(rewrite).key, key);
   }
-  for (const { key, value } of recordsUnder<RentalRecord>(keys.rentals))
+  for (const { key, value } of productionRecordsUnder<RentalRecord>(keys.rentals))
     assert.equal(keys.rental(key.slice(keys.rentals.length)), key, JSON.stringify(value));
-  for (const { value: stored } of recordsUnder<object>(keys.term)) {
+  for (const { value: stored } of productionRecordsUnder<object>(keys.term)) {
     const value = decodeTerm(stored);
     assert.deepEqual(encodeTerm(value), stored);
     assert.deepEqual(
@@ -110,7 +110,7 @@
     );
     assert.ok(value.members.some((member) => member.name === value.leader));
   }
-  for (const { value } of recordsUnder<unknown[]>(keys.types)) {
+  for (const { value } of productionRecordsUnder<unknown[]>(keys.types)) {
     const rows = parseMachineTypes({ builds: value });
     assert.ok(rows !== null);
     assert.deepEqual(
@@ -128,21 +128,25 @@
 });
 
 test("messages of production are read as they were meant, also news left in the state service", () => {
-  for (const type of Object.keys(codecs) as MessageType[])
+  for (const type of Object.keys(codecsByAvroName) as MessageType[])
     assert.ok(
-      messages.some((m) => m.type === type),
+      productionMessages.some((m) => m.type === type),
+      type,
+    );
+  for (const { type, data, meaning } of productionMessages)
+    assert.deepEqual(
+      toAvroNames(type, codecsByAvroName[type].decode(Buffer.from(data, "base64"))),
+      meaning,
       type,
     );
-  for (const { type, data, meaning } of messages)
-    assert.deepEqual(toAvroNames(type, codecs[type].decode(Buffer.from(data, "base64"))), meaning, type);
   assert.deepEqual(
-    news.map((n) => n.pieces.length),
+    productionUpdates.map((n) => n.pieces.length),
     [1, 2],
   );
-  for (const { pieces, trimmed, meaning } of news) {
+  for (const { pieces, trimmed, meaning } of productionUpdates) {
     const decoded = fromFragments(pieces.map((p) => p.value));
     assert.ok(decoded !== null);
-    const sync = toAvroNames("Sync", plain(decoded));
+    const sync = toAvroNames("Sync", jsonClone(decoded));
     const { reports, seen, stored, outcomes } = sync;
     assert.deepEqual(
       !trimmed
@@ -162,29 +166,31 @@
 });
 
 test("messages of this version mean the same to production", () => {
-  for (const { type, meaning } of messages) {
-    const bytes = codecs[type].encode(toCodeNames(type, meaning));
-    assert.deepEqual(plain(productionTypes[type].fromBuffer(bytes)), meaning, type);
+  for (const { type, meaning } of productionMessages) {
+    const bytes = codecsByAvroName[type].encode(toCodeNames(type, meaning));
+    assert.deepEqual(jsonClone(productionTypes[type].fromBuffer(bytes)), meaning, type);
   }
   // a member that couldn't name all workers it answered vouches for nobody; -1 has meant that before
-  const sync = present(messages.find((m) => m.type === "Sync" && (m.meaning["mark"] as number) >= 0)).meaning;
-  const cut = productionTypes.Sync.fromBuffer(
+  const sync = present(
+    productionMessages.find((m) => m.type === "Sync" && (m.meaning["mark"] as number) >= 0),
+  ).meaning;
+  const incomplete = productionTypes.Sync.fromBuffer(
     syncRequestCodec.encode(toCodeNames("Sync", { ...sync, mark: -1 }) as never),
   ) as Json;
-  assert.equal(cut["mark"], -1);
+  assert.equal(incomplete["mark"], -1);
   // production puts pieces together in order, whatever their size
   for (const limits of [fragmentLimits(16, 16), fragmentLimits(2, 16)]) {
     const pieces = present(toFragments(toCodeNames("Sync", sync) as never, limits));
     const whole = Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64")));
     for (const [i, p] of pieces.entries()) {
-      assert.equal(misreadByProduction(keys.memberUpdate("north", i), p), null);
+      assert.equal(productionReadError(keys.memberUpdate("north", i), p), null);
       assert.equal(p.of, pieces.length);
     }
-    assert.deepEqual(plain(productionTypes.Sync.fromBuffer(whole)), sync);
+    assert.deepEqual(jsonClone(productionTypes.Sync.fromBuffer(whole)), sync);
   }
 });
 
-const report = (tasks: number, sequence: number): Heartbeat => ({
+const heartbeatWithExitedTasks = (tasks: number, sequence: number): Heartbeat => ({
   machine: "n-1",
   addr: "127.0.0.1:1",
   type: "small",
@@ -204,33 +210,33 @@
 });
 
 test("ranges and records of machines of this version, also split ones, are read by production", () => {
-  const part = new WorkerPartition("north", 100, Duration.zero);
-  part.recordHeartbeat(report(40, 1), instant(0));
+  const partition = new WorkerPartition("north", 100, Duration.zero);
+  partition.recordHeartbeat(heartbeatWithExitedTasks(40, 1), instant(0));
   for (const [seq, result] of [
     [2, "failed"],
     [3, "stored"],
   ] as const) {
-    const writings = part.finishes.beginWrites("north.7", 16, instant(seq), () => true);
-    const puts = writings.flatMap((write) => write.puts);
+    const writes = partition.finishes.beginWrites("north.7", 16, instant(seq), () => true);
+    const puts = writes.flatMap((write) => write.puts);
     assert.ok(puts.length > 1);
     for (const { key, ranges } of puts) {
-      assert.equal(misreadByProduction(key, { ranges }), null);
+      assert.equal(productionReadError(key, { ranges }), null);
       // production finds the job by the second part of the key
       assert.equal(key.split("/")[1], "req-000001");
       assert.equal(key.split("/").length, 4);
     }
-    for (const write of writings) part.finishes.writeAnswered(write, result, instant(seq));
+    for (const write of writes) partition.finishes.writeAnswered(write, result, instant(seq));
   }
-  const [largest] = recordsUnder<MachinesRecord>(keys.machines).sort(
+  const [largest] = productionRecordsUnder<MachinesRecord>(keys.machines).sort(
     (a, b) => Object.keys(b.value.machines).length - Object.keys(a.value.machines).length,
   );
   const { machines } = present(largest).value;
-  const blocks = new MachineRecordStore();
-  blocks.add(present(largest).key, machines);
+  const recordStore = new MachineRecordStore();
+  recordStore.add(present(largest).key, machines);
   const [gone, ...ids] = Object.keys(machines);
-  blocks.remove(present(gone));
+  recordStore.remove(present(gone));
   let n = 0;
-  const [split] = blocks.pendingRewrites(6, {
+  const [split] = recordStore.pendingRewrites(6, {
     valueBytes: 900,
     txnBytes: 50_000,
     newKey: () => keys.machinesOf(`5-${++n}`),
@@ -238,7 +244,7 @@
   assert.equal(present(split).machines, null);
   assert.ok(present(split).pieces.length > 1);
   for (const p of present(split).pieces)
-    assert.equal(misreadByProduction(p.key, { machines: p.machines }), null);
+    assert.equal(productionReadError(p.key, { machines: p.machines }), null);
   // production adds up all records of machines that it lists
   assert.deepEqual(
     Object.assign({}, ...present(split).pieces.map((p) => p.machines)),
@@ -247,9 +253,9 @@
 });
 
 test("production neither lists, watches nor reads the keys that are new", () => {
-  const { prefixes, single, byId } = production.keys;
-  const fresh = [keys.blockedJobs, keys.blockedJob("req-000001"), keys.fanins, keys.fanin("req-000001")];
-  const shared: string[] = [
+  const { prefixes, single, byId } = productionSchemas.keys;
+  const addedKeys = [keys.blockedJobs, keys.blockedJob("req-000001"), keys.fanins, keys.fanin("req-000001")];
+  const sharedKeys: string[] = [
     keys.cluster,
     keys.leader,
     keys.term,
@@ -268,17 +274,17 @@
     keys.rentals,
     keys.rental("r-5-1"),
   ];
-  for (const key of fresh) {
+  for (const key of addedKeys) {
     for (const prefix of [...prefixes, ...byId]) assert.ok(!key.startsWith(prefix), `${key} under ${prefix}`);
     assert.ok(!single.includes(key), key);
   }
-  for (const key of shared)
+  for (const key of sharedKeys)
     assert.ok(single.includes(key) || [...prefixes, ...byId].some((p) => key.startsWith(p)), key);
   // whatever `keys` gains is sorted into one of the two above; one prefix covers both and is only ever listed here
   const names = Object.values(keys).map((x) =>
     typeof x === "string" ? x : (x as (...args: unknown[]) => string)("req-000001", "north.7", 0),
   );
-  const known = [...fresh, ...shared].map((key) => key.split("/")[0]);
+  const knownPrefixes = [...addedKeys, ...sharedKeys].map((key) => key.split("/")[0]);
   for (const name of names)
-    assert.ok(known.includes(present(name.split("/")[0])) || name === keys.unfinished, name);
+    assert.ok(knownPrefixes.includes(present(name.split("/")[0])) || name === keys.unfinished, name);
 });
--- a/test/user-writes.test.ts
+++ b/test/user-writes.test.ts
@@ -10,7 +10,7 @@
 import { FakeStateService } from "./fakes/fake-state-service.js";
 
 const SEEDS = 12;
-const MOST_REFUSALS = 2 * MAX_RETRIES;
+const MAX_REFUSALS = 2 * MAX_RETRIES;
 
 const fakeState = new FakeStateService();
 let client: StateClient;
@@ -21,19 +21,19 @@
 });
 after(() => fakeState.stop());
 
-const write = (key: string) =>
+const writeForUser = (key: string) =>
   Effect.runPromise(
     Effect.either(commitForUser(client, [{ key, revision: 0 }], [{ put: key, value: "accepted" }])),
   );
 
 test("a user's write is served however many refusals for the rate come first, up to a bound", async () => {
   for (let seed = 1; seed <= SEEDS; seed++) {
-    const refusals = uniformInt(xoroshiro128plus(seed), 0, MOST_REFUSALS);
+    const refusals = uniformInt(xoroshiro128plus(seed), 0, MAX_REFUSALS);
     const key = `job/seed-${seed}`;
-    fakeState.failing = Array.from({ length: refusals }, () => ({ status: 429, carriedOut: false }));
-    const result = await write(key);
-    const left = fakeState.failing.length;
-    fakeState.failing = [];
+    fakeState.injectedFailures = Array.from({ length: refusals }, () => ({ status: 429, carriedOut: false }));
+    const result = await writeForUser(key);
+    const left = fakeState.injectedFailures.length;
+    fakeState.injectedFailures = [];
     if (refusals <= MAX_RETRIES) {
       assert.ok(Either.isRight(result) && result.right.ok === true, `seed ${seed}: not carried out`);
       assert.equal(fakeState.rows.get(key)?.value, "accepted");
@@ -52,8 +52,8 @@
   ] as const) {
     const key = `job/status-${status}`;
     // a second attempt would find the truth
-    fakeState.failing = [{ status, carriedOut }];
-    const result = await write(key);
+    fakeState.injectedFailures = [{ status, carriedOut }];
+    const result = await writeForUser(key);
     assert.ok(Either.isLeft(result) && result.left._tag === tag && !isRateLimited(result.left));
     assert.equal(fakeState.rows.has(key), carriedOut);
   }
@@ -61,8 +61,8 @@
 
 test("a conflict is told as it is", async () => {
   fakeState.put("job/taken", "somebody else's");
-  fakeState.failing = [{ status: 429, carriedOut: false }];
-  const result = await write("job/taken");
+  fakeState.injectedFailures = [{ status: 429, carriedOut: false }];
+  const result = await writeForUser("job/taken");
   assert.ok(Either.isRight(result) && result.right.ok === false);
   assert.deepEqual(result.right.failed, ["job/taken"]);
 });
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -21,18 +21,18 @@
   { op: "stop", job: "req-000377", index: 1, attempt: 1, gracePeriodSeconds: 10 },
   { op: "forget", job: "req-000398", index: 0, attempt: 1, gracePeriodSeconds: 0 },
 ];
-const ORDERS =
+const ORDERS_JSON =
   '"orders":[{"verb":"start","chore":"req-000412/4","try":2},' +
   '{"verb":"halt","chore":"req-000377/1","try":1,"leeway_s":10},' +
   '{"verb":"reap","chore":"req-000398/0","try":1}]';
 
 test("answers to heartbeats, and commands sent straight to a worker", () => {
-  assert.equal(codec.heartbeatAnswer(41, COMMANDS), `{"baton":41,${ORDERS}}`);
+  assert.equal(codec.heartbeatAnswer(41, COMMANDS), `{"baton":41,${ORDERS_JSON}}`);
   assert.equal(codec.heartbeatAnswer(41, []), '{"baton":41,"orders":[]}');
   assert.equal(codec.redirectAnswer("hearth-2"), '{"foreman":"hearth-2"}');
   assert.equal(codec.redirectAnswer(null), "{}");
   assert.equal(codec.commandsPath, "/orders");
-  assert.equal(codec.commandsBody(41, 3, COMMANDS), `{"baton":41,"shift":3,${ORDERS}}`);
+  assert.equal(codec.commandsBody(41, 3, COMMANDS), `{"baton":41,"shift":3,${ORDERS_JSON}}`);
 });
 
 test("requests to the cloud", () => {
@@ -88,7 +88,7 @@
 const log = makeLog("error", "test");
 const progress = new Map<string, { done: number; running: number }>();
 const heartbeatAnswers: unknown[] = [];
-let alone = false;
+let isOutageLocal = false;
 let server: http.Server;
 let jobCache: JobCache;
 
@@ -102,7 +102,7 @@
     reachesStateService: () => true,
   } as unknown as Member;
   const leader = {
-    isStateOutageLocal: () => alone,
+    isStateOutageLocal: () => isOutageLocal,
     progressOf: (id: string) => progress.get(id) ?? { done: 0, running: 0 },
   } as unknown as Leader;
   const team = { name: "red", guaranteedCpus: 8, maxCpus: 16, guaranteedGpus: 0, maxGpus: 0 };
@@ -151,15 +151,15 @@
 const submit = (ref: string, more: object = {}): Promise<string> =>
   ask("POST", "/v2/runs", submission(ref, more));
 
-const TYPE = { label: "c8", vcpus: 8, mem_gb: 32, rate: 1, districts: ["a"] };
+const MACHINE_TYPE = { label: "c8", vcpus: 8, mem_gb: 32, rate: 1, districts: ["a"] };
 
 test("health", async () => {
   assert.equal(await ask("GET", "/up"), '503 {"error":"starting"} retry-after 1');
   jobCache.isReady = true;
   assert.equal(await ask("GET", "/up"), '200 {"ok":true}');
-  alone = true;
+  isOutageLocal = true;
   assert.equal(await ask("GET", "/up"), '503 {"error":"no state service"} retry-after 1');
-  alone = false;
+  isOutageLocal = false;
 });
 
 test("heartbeats", async () => {
@@ -175,7 +175,7 @@
     { kind: "elsewhere", member: null },
     { kind: "unsure" },
   );
-  assert.equal(await beat(), `200 {"baton":41,${ORDERS}}`);
+  assert.equal(await beat(), `200 {"baton":41,${ORDERS_JSON}}`);
   assert.equal(await beat(), '421 {"foreman":"hearth-2"}');
   assert.equal(await beat(), "421 {}");
   assert.equal(await beat(), '503 {"error":"not entitled"} retry-after 1');
@@ -194,7 +194,7 @@
 
 test("submissions that are refused", async () => {
   assert.equal(await submit("req-1"), '503 {"error":"machine types are not known yet"} retry-after 1');
-  jobCache.setTypes(codec.parseMachineTypes({ builds: [TYPE] }) ?? []);
+  jobCache.setTypes(codec.parseMachineTypes({ builds: [MACHINE_TYPE] }) ?? []);
   assert.equal(await ask("POST", "/v2/runs", "{"), '400 {"error":"not JSON"}');
   assert.equal(await ask("POST", "/v2/runs", "[]"), '400 {"error":"not an object"}');
   assert.equal(await submit("req-1", { chores: 0 }), '400 {"error":"chores must be >= 1"}');
--- a/test/wire-names.ts
+++ b/test/wire-names.ts
@@ -7,18 +7,18 @@
 export type MessageType = "Sync" | "SyncAnswer" | "Deliver" | "Delivered" | "Word" | "WordAnswer";
 
 /** By Avro name: the name in the code, and the names within the record or list that the field holds. */
-interface Names {
-  readonly [avroName: string]: string | readonly [string, Names];
+interface FieldNames {
+  readonly [avroName: string]: string | readonly [string, FieldNames];
 }
 
-const HEARTBEAT: Names = {
+const HEARTBEAT: FieldNames = {
   session: "workerEpoch",
   seq: "sequence",
   token: "fencingToken",
   noticeS: "reclaimNoticeSeconds",
   tasks: ["tasks", { why: "exitReason" }],
 };
-const NAMES: Record<MessageType, Names> = {
+const FIELD_NAMES: Record<MessageType, FieldNames> = {
   Sync: {
     token: "termNumber",
     mark: "leaderClockMark",
@@ -61,34 +61,42 @@
 };
 
 type Json = Record<string, unknown>;
-type Renaming = (name: string) => readonly [string, Names];
+type Renaming = (name: string) => readonly [string, FieldNames];
 
-const renamed = (value: unknown, names: Names, renaming: (names: Names) => Renaming): unknown => {
-  if (Array.isArray(value)) return value.map((item) => renamed(item, names, renaming));
+const renameFields = (
+  value: unknown,
+  names: FieldNames,
+  renaming: (names: FieldNames) => Renaming,
+): unknown => {
+  if (Array.isArray(value)) return value.map((item) => renameFields(item, names, renaming));
   if (typeof value !== "object" || value === null) return value;
   const rename = renaming(names);
   return Object.fromEntries(
     Object.entries(value).map(([name, field]) => {
       const [other, within] = rename(name);
-      return [other, renamed(field, within, renaming)];
+      return [other, renameFields(field, within, renaming)];
     }),
   );
 };
 
-const entry = (names: Names, avroName: string): readonly [string, Names] => {
+const nameAndNestedNames = (names: FieldNames, avroName: string): readonly [string, FieldNames] => {
   const name = names[avroName] ?? avroName;
   return typeof name === "string" ? [name, {}] : name;
 };
 
 /** A message with Avro names, as the code names its fields. */
 export const toCodeNames = (type: MessageType, message: unknown): Json =>
-  renamed(message, NAMES[type], (names) => (avroName) => entry(names, avroName)) as Json;
+  renameFields(
+    message,
+    FIELD_NAMES[type],
+    (names) => (avroName) => nameAndNestedNames(names, avroName),
+  ) as Json;
 
 /** A message as the code names its fields, with Avro names. */
 export const toAvroNames = (type: MessageType, message: unknown): Json =>
-  renamed(message, NAMES[type], (names) => (name) => {
-    const avroName = Object.keys(names).find((each) => entry(names, each)[0] === name) ?? name;
-    return [avroName, entry(names, avroName)[1]];
+  renameFields(message, FIELD_NAMES[type], (names) => (name) => {
+    const avroName = Object.keys(names).find((each) => nameAndNestedNames(names, each)[0] === name) ?? name;
+    return [avroName, nameAndNestedNames(names, avroName)[1]];
   }) as Json;
 
 /** What another version read in a job record, as kept beside it, with the present names of `JobSpec`. */
--- a/test/worker-partition.test.ts
+++ b/test/worker-partition.test.ts
@@ -9,27 +9,31 @@
 import { TERM, heartbeatWith } from "./term-fixture.js";
 import { present } from "./present.js";
 
-const newPart = (member: string): WorkerPartition => {
-  const part = new WorkerPartition(member, 1000, Duration.seconds(4));
-  part.setTerm(TERM);
-  return part;
+const newPartition = (member: string): WorkerPartition => {
+  const partition = new WorkerPartition(member, 1000, Duration.seconds(4));
+  partition.setTerm(TERM);
+  return partition;
 };
 
 test("a worker is sent to its partition's member once, and taken in when it comes back", () => {
-  const part = newPart("a");
-  const at = (ms: number, entitledNow: boolean) =>
+  const part = newPartition("a");
+  const heartbeatAt = (ms: number, entitledNow: boolean) =>
     part.handleHeartbeat(heartbeatWith({ sequence: ms }), entitledNow, 1, instant(ms));
-  assert.deepEqual(at(1, false), { kind: "unsure" });
-  assert.deepEqual(at(2, true), { kind: "elsewhere", member: "b" });
-  assert.deepEqual(at(3, true), { kind: "taken", fencingToken: fencingTokenOf(4), stopCommands: [] });
+  assert.deepEqual(heartbeatAt(1, false), { kind: "unsure" });
+  assert.deepEqual(heartbeatAt(2, true), { kind: "elsewhere", member: "b" });
+  assert.deepEqual(heartbeatAt(3, true), {
+    kind: "taken",
+    fencingToken: fencingTokenOf(4),
+    stopCommands: [],
+  });
   part.setTerm({ ...TERM, number: 5 });
-  assert.deepEqual(at(4, true), { kind: "elsewhere", member: "b" });
+  assert.deepEqual(heartbeatAt(4, true), { kind: "elsewhere", member: "b" });
   // another process of the same name is not that member
   assert.deepEqual(part.handleHeartbeat(heartbeatWith({}), true, 9, instant(5)), { kind: "unsure" });
 });
 
 test("a worker whose token the leader raised is answered with it: a lower one would be dropped", () => {
-  const part = newPart("b");
+  const part = newPartition("b");
   const handleReport = (fencingToken: number) =>
     part.handleHeartbeat(heartbeatWith({ fencingToken }), true, 2, instant(1));
   assert.deepEqual(handleReport(fencingTokenOf(4, 3)), {
@@ -50,7 +54,7 @@
 });
 
 test("whoever answers a worker tells it to stop the tasks of jobs that are over", () => {
-  const part = newPart("b");
+  const part = newPartition("b");
   const task = (job: string, state: "running" | "exited") => ({
     job,
     index: 0,
@@ -73,7 +77,7 @@
 });
 
 test("updates hold changes alone, and everything again for another leader", () => {
-  const part = newPart("b");
+  const part = newPartition("b");
   const handleReport = (sequence: number, ms: number) =>
     part.handleHeartbeat(heartbeatWith({ sequence }), true, 2, instant(ms));
   handleReport(5, 1000);
@@ -96,8 +100,8 @@
     { machine: "n-1", answerAgeMs: 0, heartbeatAgeMs: 7000 },
   ]);
   part.commandsAnswered(7, "done", null, instant(9000));
-  const lost = part.takeUpdate(instant(9000));
-  part.putBack(lost);
+  const lostUpdate = part.takeUpdate(instant(9000));
+  part.putBack(lostUpdate);
   assert.deepEqual(part.takeUpdate(instant(9000)).commandResults, [
     { id: 7, outcome: "done", workerEpoch: 0, sequence: 0 },
   ]);
@@ -108,14 +112,14 @@
 });
 
 test("finishes are stored together after a while, told once stored, and told anew to another leader", () => {
-  const part = newPart("b");
+  const part = newPartition("b");
   const task = { job: "req-1", index: 3, attempt: 1, state: "exited", exitReason: "done" } as const;
   part.recordHeartbeat(heartbeatWith({ tasks: [task] }), instant(9));
-  const open = (): boolean => true;
-  const told = () => part.takeUpdate(instant(9)).storedFinishes;
-  assert.deepEqual(told(), []);
+  const isOpen = (): boolean => true;
+  const takeStoredFinishes = () => part.takeUpdate(instant(9)).storedFinishes;
+  assert.deepEqual(takeStoredFinishes(), []);
   assert.deepEqual(
-    part.finishes.beginWrites("b.2", 8, instant(1000), open),
+    part.finishes.beginWrites("b.2", 8, instant(1000), isOpen),
     [],
     "others of its job may follow",
   );
@@ -124,31 +128,31 @@
     [],
     "its job isn't open",
   );
-  const [writing] = part.finishes.beginWrites("b.2", 8, instant(5000), open);
+  const [writing] = part.finishes.beginWrites("b.2", 8, instant(5000), isOpen);
   assert.deepEqual(
     present(writing).puts.map((p) => [p.key, p.ranges]),
     [["ranges/req-1/b.2/0", [[3, 4]]]],
   );
   assert.deepEqual(
-    part.finishes.beginWrites("b.2", 8, instant(5000), open),
+    part.finishes.beginWrites("b.2", 8, instant(5000), isOpen),
     [],
     "a write under way is not repeated",
   );
   part.finishes.writeAnswered(present(writing), "failed", instant(5000));
-  assert.deepEqual(told(), []);
+  assert.deepEqual(takeStoredFinishes(), []);
   part.finishes.writeAnswered(
-    present(part.finishes.beginWrites("b.2", 8, instant(5000), open)[0]),
+    present(part.finishes.beginWrites("b.2", 8, instant(5000), isOpen)[0]),
     "stored",
     instant(5000),
   );
-  assert.deepEqual(told(), [{ job: "req-1", ranges: [[3, 4]] }]);
-  assert.deepEqual(told(), []);
+  assert.deepEqual(takeStoredFinishes(), [{ job: "req-1", ranges: [[3, 4]] }]);
+  assert.deepEqual(takeStoredFinishes(), []);
   part.setTerm({ ...TERM, number: 5, leaderRevision: 11 });
-  assert.deepEqual(told(), [{ job: "req-1", ranges: [[3, 4]] }]);
+  assert.deepEqual(takeStoredFinishes(), [{ job: "req-1", ranges: [[3, 4]] }]);
 });
 
 test("a write of finishes that got no answer can't take later ones back when it is carried out late", () => {
-  const part = newPart("b");
+  const part = newPartition("b");
   const stored = new Map<string, readonly (readonly [number, number])[]>();
   const finish = (index: number, now: number): void =>
     part.recordHeartbeat(
@@ -158,16 +162,18 @@
       }),
       instant(now),
     );
-  const write = (now: number) => present(part.finishes.beginWrites("b.2", 8, instant(now), () => true)[0]);
-  const apply = (w: ReturnType<typeof write>): void => w.puts.forEach((p) => stored.set(p.key, p.ranges));
+  const beginWrite = (now: number) =>
+    present(part.finishes.beginWrites("b.2", 8, instant(now), () => true)[0]);
+  const apply = (w: ReturnType<typeof beginWrite>): void =>
+    w.puts.forEach((p) => stored.set(p.key, p.ranges));
   finish(3, 10);
-  const late = write(5000);
-  part.finishes.writeAnswered(late, "failed", instant(5100));
+  const delayedWrite = beginWrite(5000);
+  part.finishes.writeAnswered(delayedWrite, "failed", instant(5100));
   finish(7, 5200);
-  const next = write(10_000);
-  apply(next);
-  part.finishes.writeAnswered(next, "stored", instant(10_100));
-  apply(late);
-  const all = RangeSet.of([...stored.values()].flat());
-  assert.ok(all.has(3) && all.has(7), JSON.stringify([...stored]));
+  const laterWrite = beginWrite(10_000);
+  apply(laterWrite);
+  part.finishes.writeAnswered(laterWrite, "stored", instant(10_100));
+  apply(delayedWrite);
+  const storedRanges = RangeSet.of([...stored.values()].flat());
+  assert.ok(storedRanges.has(3) && storedRanges.has(7), JSON.stringify([...stored]));
 });
