--- a/test/fakes/fake-worker.ts
+++ b/test/fakes/fake-worker.ts
@@ -83,12 +83,12 @@
     this.fencingToken = Number(body["baton"]);
     for (const command of body["orders"] as { verb: string; chore: string; try: number }[]) {
       const key = `${command.chore}#${command.try}`;
-      const chore = this.tasks.get(key);
+      const task = this.tasks.get(key);
       if (command.verb === "reap") this.tasks.delete(key);
-      else if (command.verb === "halt" && chore?.status === "running") {
+      else if (command.verb === "halt" && task?.status === "running") {
         this.taskEvents.push(`stopped ${command.chore}`);
-        Object.assign(chore, { status: "ended", cause: "stopped" });
-      } else if (command.verb === "start" && chore === undefined) {
+        Object.assign(task, { status: "ended", cause: "stopped" });
+      } else if (command.verb === "start" && task === undefined) {
         this.startedTasks.push(command.chore);
         this.taskEvents.push(`start ${command.chore}`);
         const startedTask: { chore: string; try: number; status: string; cause?: string } = {
