--- a/test/present.ts
+++ b/test/present.ts
@@ -1,8 +1,8 @@
-/** A value that has to be there. */
+/** An assertion that a value is neither null nor undefined. */
 import assert from "node:assert/strict";
 
-/** The value itself; the test fails when it is null or undefined. */
+/** Returns the value; the test fails if it is null or undefined. */
 export const present = <T>(value: T): NonNullable<T> => {
-  assert.ok(value !== null && value !== undefined, "a value that has to be there is missing");
+  assert.ok(value !== null && value !== undefined, "expected a value, got null or undefined");
   return value;
 };
