--- a/test/cluster-fixture.ts
+++ b/test/cluster-fixture.ts
@@ -1,4 +1,4 @@
-/** A leader's scheduler among machines that execute and send a heartbeat at once, for scenarios played step by step. */
+/** A leader's scheduler with simulated machines, for scenarios that a test runs step by step. */
 import * as Duration from "effect/Duration";
 import type { Command, TaskStatus, Heartbeat } from "../src/core/records.js";
 import { type Decision, Scheduler } from "../src/core/scheduler/scheduler.js";
@@ -7,20 +7,20 @@
 import { TIMINGS, TEAMS, TYPES } from "./model.js";
 import { present } from "./present.js";
 
-/** A scheduler with small machines (8 processors each) that execute and send a heartbeat at once. */
+/** A scheduler with machines (8 CPUs each by default) that carry out each command at once and then send a heartbeat. */
 export class ClusterFixture {
   now = 1000;
   readonly scheduler: Scheduler;
-  /** By machine, the tasks on it. */
+  /** The tasks on each machine. */
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
-  /** All commands, in the order they were sent, with their machine and fencing token. */
+  /** All commands in the order they were sent, with their machine and fencing token. */
   readonly sentCommands: { machine: string; command: Command; fencingToken: number }[] = [];
   private readonly emptyBatches: Extract<Decision, { kind: "commands" }>[] = [];
   private sequence = 0;
-  /** The token that the machines know. */
+  /** The highest fencing token that the machines have seen. */
   private knownToken = fencingTokenOf(1);
 
-  /** Machines that get no commands, their shard being handed over. */
+  /** Machines that get no commands because their shard is being handed over. */
   readonly pausedMachines = new Set<string>();
 
   constructor(machines: readonly { id: string; zone: string; type?: string }[]) {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** A machine sends a heartbeat with the tasks that it has. */
+  /** The scheduler receives a heartbeat of the machine with the tasks on it. */
   sendHeartbeat(
     id: string,
     zone = present(this.scheduler.cluster.machines.get(id)).zone,
@@ -72,7 +72,10 @@
     this.scheduler.heartbeatReceived(heartbeat, "a", instant(this.now));
   }
 
-  /** All machines send a heartbeat, and the decisions are carried out; `unresponsive` machines don't answer commands. */
+  /**
+   * Advances time by 500 ms: all machines send a heartbeat, the scheduler decides, and its commands are carried out.
+   * Commands to `unresponsive` machines are not carried out; the scheduler is told that their outcome is unknown.
+   */
   step(unresponsive: readonly string[] = []): Decision[] {
     this.now += 500;
     for (const id of this.tasks.keys()) if (this.scheduler.cluster.machines.has(id)) this.sendHeartbeat(id);
@@ -106,7 +109,7 @@
     return decisions;
   }
 
-  /** The scheduler by the short name that the tests of shard drains use. */
+  /** Short for `scheduler`. */
   get s(): Scheduler {
     return this.scheduler;
   }
@@ -120,25 +123,25 @@
     else tasks.set(key, { ...base, state: "running", exitReason: null });
   }
 
-  /** All tasks on the machine end with this reason. */
+  /** All tasks on the machine exit for this reason. */
   endTasks(machine: string, exitReason: "done" | "error"): void {
     for (const [key, task] of present(this.tasks.get(machine)))
       present(this.tasks.get(machine)).set(key, { ...task, state: "exited", exitReason });
   }
 
-  /** Tasks that have not exited, on all machines. */
+  /** The tasks of all machines that have not exited. */
   activeTasks(): TaskStatus[] {
     return [...this.tasks.values()]
       .flatMap((tasks) => [...tasks.values()])
       .filter((task) => task.state !== "exited");
   }
 
-  /** Batches without commands that were sent to the machine: they ask for a heartbeat under their token. */
+  /** Batches without commands that were sent to the machine: each asks for a heartbeat with its fencing token. */
   heartbeatRequests(machine: string): { fencingToken: number }[] {
     return this.emptyBatches.filter((batch) => batch.machine === machine);
   }
 
-  /** How many commands of this kind were sent. */
+  /** The number of commands of this kind that were sent. */
   commandCount(op: Command["op"]): number {
     return this.sentCommands.filter((sent) => sent.command.op === op).length;
   }
--- a/test/controller-process.ts
+++ b/test/controller-process.ts
@@ -1,4 +1,4 @@
-/** Starts whole controllers as processes on loopback, for tests that talk to them over HTTP. */
+/** Starts controllers as processes on loopback, for tests that talk to them over HTTP. */
 import assert from "node:assert/strict";
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -6,12 +6,12 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 
-/** The program. */
+/** The compiled entry point of the controller and of its command line. */
 export const MAIN_PATH = new URL("../../main.js", import.meta.url).pathname;
 const MAX_ATTEMPTS = 1200;
 const ATTEMPT_INTERVAL_MS = 50;
 
-/** A port of the loopback interface that nothing listened on a moment ago. */
+/** Finds a free port of the loopback interface; nothing reserves it for the caller. */
 export const freePort = (): Promise<number> =>
   new Promise((resolve) => {
     const server = createServer();
@@ -21,21 +21,24 @@
     });
   });
 
-/** Writes the platform's settings to a file of their own and returns its path. */
+/** Writes settings to a JSON file in a new temporary directory and returns its path. */
 export const writeSettings = (settings: object): string => {
   const file = join(mkdtempSync(join(tmpdir(), "indigowick-")), "config.json");
   writeFileSync(file, JSON.stringify(settings));
   return file;
 };
 
-/** Starts a controller with a settings file; whoever starts it has to end it. */
+/** Starts a controller with a settings file; the caller has to kill the process. */
 export const startController = (settingsFile: string): ChildProcess =>
   spawn(process.execPath, [MAIN_PATH, "--config", settingsFile], {
     stdio: ["ignore", "ignore", "inherit"],
     env: { ...process.env, LOG_LEVEL: "error" },
   });
 
-/** Repeats until the condition holds, for a bounded number of attempts. Nothing is asserted about how long that takes. */
+/**
+ * Polls until the condition holds; a condition that throws does not hold. Fails after a bounded number of attempts,
+ * which only ends a test that hangs: it is no assertion on the time that the condition takes.
+ */
 export const until = async (
   description: string,
   condition: () => Promise<boolean> | boolean,
--- a/test/fakes/fake-cloud.ts
+++ b/test/fakes/fake-cloud.ts
@@ -1,17 +1,17 @@
-/** A fake of the cloud: it lists machine types, and rents out machines that are fake workers. */
+/** A fake of the cloud provider's API: lists machine types, rents machines and releases them. */
 import type http from "node:http";
 import { FakeServer, readJson } from "./fake-server.js";
 import { FakeWorker } from "./fake-worker.js";
 
-/** The cloud over HTTP, with a bounded capacity; each machine that it rents out is a {@link FakeWorker}. */
+/** The cloud's HTTP API with a bounded number of machines; each rented machine is a {@link FakeWorker}. */
 export class FakeCloud extends FakeServer {
   private machinesCreated = 0;
   readonly rentals = new Map<string, string[]>();
   readonly machines = new Map<string, { worker: FakeWorker; type: string }>();
   maxMachines = 4;
-  /** What happened to tasks, in order, on whatever machine. */
+  /** Task events of all machines in the order they happened: `start TASK`, `done TASK` or `stopped TASK`. */
   readonly taskEvents: string[] = [];
-  /** Types beside the one that is ever had. */
+  /** Labels of machine types that are listed in addition to `small`, the type that every worker reports. */
   extraTypeLabels: readonly string[] = [];
 
   constructor(private readonly controllerAddresses: () => string) {
--- a/test/fakes/fake-server.ts
+++ b/test/fakes/fake-server.ts
@@ -1,11 +1,11 @@
-/** What the fakes of outside systems share: an HTTP server on loopback that answers JSON. */
+/** Base of the fakes of outside systems: an HTTP server on loopback that answers with JSON. */
 import http from "node:http";
 import type { AddressInfo } from "node:net";
 
-/** A JSON object, as sent on the wire. */
+/** A JSON object as sent on the wire. */
 export type Json = Record<string, unknown>;
 
-/** The JSON body of a request; an empty body is an empty object. */
+/** Reads the JSON body of a request; an empty body gives an empty object. */
 export const readJson = async (request: http.IncomingMessage): Promise<Json> => {
   const chunks: Buffer[] = [];
   for await (const chunk of request) chunks.push(chunk as Buffer);
@@ -13,7 +13,7 @@
   return text === "" ? {} : (JSON.parse(text) as Json);
 };
 
-/** A request with a connection of its own; null: no answer. */
+/** Sends a POST request on a new connection; null if there was no answer. */
 export const post = (url: string, text: string): Promise<{ status: number; text: string } | null> =>
   new Promise((resolve) => {
     const request = http.request(url, { method: "POST", agent: false, timeout: 4000 }, (response) => {
@@ -29,7 +29,7 @@
     request.end(text);
   });
 
-/** An outside system over real HTTP on loopback; a subclass says what each request is answered. */
+/** An outside system served over HTTP on loopback; a subclass decides the status and the JSON body of each answer. */
 export abstract class FakeServer {
   readonly server: http.Server;
   addr = "";
--- a/test/fakes/fake-state-service.ts
+++ b/test/fakes/fake-state-service.ts
@@ -1,32 +1,32 @@
-/** A fake of the state service: a key-value store with leases, transactions on conditions and watches, in memory. */
+/** An in-memory fake of the state service: a key-value store with leases, conditional transactions and watches. */
 import type http from "node:http";
 import { FakeServer, type Json, readJson } from "./fake-server.js";
 
-/** The state service over HTTP, with outages, refusals and limits that a test sets. */
+/** The state service's HTTP API; a test can set limits and inject outages and refusals. */
 export class FakeStateService extends FakeServer {
   readonly rows = new Map<string, { value: unknown; revision: number; leaseId?: number }>();
   readonly leases = new Map<number, { ttlMs: number; expiresAt: number }>();
   private readonly changeLog: { key: string; value?: unknown; revision: number }[] = [];
   private readonly watchers = new Set<() => void>();
   revision = 0;
-  /** What the next requests are answered, in place of the truth. */
+  /** The statuses that the next requests get, one each; with `carriedOut` the request takes effect all the same. */
   injectedFailures: { status: number; carriedOut: boolean }[] = [];
   down = false;
-  /** Limits of one transaction, which may fall at any time; the whole of it never has more than 64 KiB. */
+  /** Limits of one transaction, which a test may lower at any time; its whole body never has more than 64 KiB. */
   limits = { valueKb: Infinity, txnOps: Infinity };
-  /** So many of the next changes are carried out, then further ones get 429 until this is set anew. */
+  /** The number of changes that are still carried out; those beyond it get 429 until a test sets it again. */
   changesUntilRateLimited = Infinity;
-  /** What was refused for its size or for the rate, by the first key it would have changed. */
+  /** The first key of each transaction that was refused for its size (400) or for its rate (429). */
   readonly tooLargeKeys: string[] = [];
   readonly rateLimitedKeys: string[] = [];
-  /** Which transactions are refused (400) whatever their size, by the keys that they would write or delete. */
+  /** Predicates on the keys that a transaction writes or deletes: it gets 400 if one holds, whatever its size. */
   readonly rejectionRules = new Set<(keys: readonly string[]) => boolean>();
-  /** Which writes get 503, as in an outage, by their key and value. */
+  /** Whether a write of this value to this key gets 503, as in an outage. */
   failsWrite: (key: string, value: unknown) => boolean = () => false;
-  /** What was refused so. */
+  /** The keys of each transaction that `rejectionRules` refused. */
   readonly rejectedTransactions: (readonly string[])[] = [];
 
-  /** Watches that are open end too. */
+  /** Ends the open watches as well. */
   override stop(): void {
     this.down = true;
     super.stop();
@@ -44,7 +44,7 @@
     for (const wake of this.watchers) wake();
   }
 
-  /** What somebody else writes. */
+  /** Writes a key as another client of the state service would. */
   put(key: string, value: unknown, leaseId?: number): void {
     this.applyChange(key, ++this.revision, value, leaseId);
   }
@@ -114,7 +114,7 @@
         .filter(([key]) => key.startsWith(prefix) && key > afterKey)
         .sort(([a], [b]) => (a < b ? -1 : 1))
         .map(([key, row]) => ({ path: key, value: row.value, stamp: row.revision }));
-      // small pages, so that paging is met
+      // pages of three rows, so that clients have to follow pages
       return [200, { rows: rows.slice(0, 3), more: rows.length > 3, ledger: this.revision }];
     }
     if (path.startsWith("/store/")) {
--- a/test/fakes/fake-worker.ts
+++ b/test/fakes/fake-worker.ts
@@ -1,21 +1,22 @@
-/** A fake of the agent on a machine: it runs the tasks that it is told to start, and sends heartbeats. */
+/** A fake of the agent on a machine: carries out commands, pretends to run tasks and sends heartbeats. */
 import type http from "node:http";
 import { FakeServer, type Json, post, readJson } from "./fake-server.js";
 
-/** How long a task runs: for a moment, for seconds if its job's id ends in 8, and until it is halted if that ends in 9. */
+/** How long a task runs: 50 ms, 3 s if its job's id ends in 8, or until it is stopped (null) if the id ends in 9. */
 const taskDurationMs = (taskId: string): number | null => {
   const job = taskId.split("/")[0]!;
   return job.endsWith("9") ? null : job.endsWith("8") ? 3000 : 50;
 };
 
-/** A machine: runs whatever it is told to, and reports. */
+/** A worker that accepts every command with a valid fencing token and sends a heartbeat every 100 ms. */
 export class FakeWorker extends FakeServer {
   private sequence = 0;
   private fencingToken = 0;
   private controllerIndex = 0;
   private lastAnsweredAt: number | null = null;
-  /** The longest time between two answered reports, and how often it was sent to another controller. */
+  /** The longest time between two heartbeats that were answered with 200. */
   longestHeartbeatGapMs = 0;
+  /** How many heartbeats were answered with 421, which names another controller. */
   redirectCount = 0;
   private readonly tasks = new Map<string, { chore: string; try: number; status: string; cause?: string }>();
   private timer: NodeJS.Timeout | null = null;
@@ -53,13 +54,17 @@
     };
   }
 
-  /** Reports to one of the controllers, `NAME=ADDRESS` each or a single address; goes where it is sent, else to the next. */
+  /**
+   * Sends a heartbeat to the current controller. After a 421 the controller that it names becomes the current one,
+   * after another failure the next of the list, whose entries are `NAME=ADDRESS` or a single address.
+   */
   private async sendHeartbeat(): Promise<void> {
     const controllers = this.controllerAddresses()
       .split(",")
       .map((entry) => entry.split("="));
     const addr = controllers[this.controllerIndex % controllers.length]!.at(-1)!;
-    // not fetch: it asks again by itself after a 421, and who comes back is taken in
+    // Not fetch, which retries a 421 by itself: the controller would then serve the worker, as one that returns after
+    // a redirect, and the worker would never change controllers.
     const reply = await post(`http://${addr}/agent/beat`, JSON.stringify(this.heartbeat()));
     if (reply?.status === 200) {
       this.fencingToken = Math.max(this.fencingToken, Number((JSON.parse(reply.text) as Json)["baton"]));
--- a/test/large-fleet.ts
+++ b/test/large-fleet.ts
@@ -1,4 +1,4 @@
-/** Fleets of thousands of machines round the leader's core, and a count of what an event looks at. */
+/** Fleets of thousands of machines with the leader's scheduler, and a counter of the elements that an event visits. */
 import * as Duration from "effect/Duration";
 import type { Cluster } from "../src/core/cluster/cluster.js";
 import type { JobSpec, TaskStatus } from "../src/core/records.js";
@@ -8,7 +8,7 @@
 import { TYPES } from "./model.js";
 import { jobSpec } from "./specs.js";
 
-/** Counts every element that is looked at while one of the picture's collections is gone through. */
+/** Counts the elements that are visited by iterations over the maps and sets of the cluster's state. */
 export const countVisits = (cluster: Cluster): { visits: number } => {
   const counter = { visits: 0 };
   const collections: unknown[] = [...Object.values(cluster), ...cluster.capacityIndex.buckets];
@@ -29,7 +29,7 @@
   return counter;
 };
 
-/** An array of a hundred tasks, the n-th of its fleet. */
+/** The job with this number in its fleet; an array of 100 tasks by default. */
 export const largeFleetJob = (jobNumber: number, overrides: Partial<JobSpec>): JobSpec =>
   jobSpec({
     id: `req-${jobNumber}`,
@@ -41,12 +41,12 @@
     ...overrides,
   });
 
-/** A fleet that is full, with work waiting; every machine answers at once. */
+/** A full fleet with waiting jobs; every machine carries out its commands at once. */
 export class LargeFleet {
   now = 1000;
   readonly scheduler: Scheduler;
   readonly tasks = new Map<string, Map<string, TaskStatus>>();
-  /** The token that the machines know. */
+  /** The fencing token that the machines report. */
   knownToken = fencingTokenOf(1);
   private sequence = 0;
 
@@ -107,7 +107,7 @@
     );
   }
 
-  /** How many orders there were. */
+  /** Runs the scheduler, carries out its commands and returns the number of its decisions. */
   step(): number {
     const decisions = this.scheduler.step(instant(this.now));
     for (const decision of decisions) if (decision.kind === "commands") this.execute(decision);
@@ -132,7 +132,7 @@
     );
   }
 
-  /** One array task ends somewhere; its machine reports, and the leader decides. */
+  /** On one machine a task of an array ends; the machine sends a heartbeat, and the scheduler decides. */
   finishOneTask(eventNumber: number): void {
     this.now += 10;
     const ids = [...this.tasks.keys()];
--- a/test/loopback-cluster.ts
+++ b/test/loopback-cluster.ts
@@ -1,4 +1,4 @@
-/** Three real controllers on loopback with shards on, against stand-ins for everything round them. */
+/** Three controller processes on loopback with shards enabled, and fakes of the outside systems and the workers. */
 import assert from "node:assert/strict";
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, writeFileSync } from "node:fs";
@@ -9,9 +9,9 @@
 import { FakeCloud } from "./fakes/fake-cloud.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
 
-/** The controllers' names. */
+/** The member names of the controllers. */
 export const CONTROLLER_NAMES = ["north", "south", "inland"] as const;
-/** The name of one controller. */
+/** The member name of a controller. */
 export type ControllerName = (typeof CONTROLLER_NAMES)[number];
 
 interface Controller {
@@ -22,14 +22,14 @@
   process: ChildProcess | null;
 }
 
-/** How a command of the command line ended. */
+/** The exit code and the output of a command. */
 export interface CommandResult {
   readonly code: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** The controllers, the state service, the cloud with its workers, and a user. */
+/** Starts and stops the controllers and the fakes, and sends them requests of users and commands of operators. */
 export class LoopbackCluster {
   readonly state = new FakeStateService();
   readonly cloud = new FakeCloud(() =>
@@ -106,7 +106,7 @@
     this.controllers.get(name)!.process?.kill("SIGKILL");
   }
 
-  /** Starts it again with shards, or without. */
+  /** Kills a controller and starts it again, with or without shards. */
   restart(name: ControllerName, withShards = true): void {
     this.kill(name);
     this.startController(name, withShards ? undefined : writeSettings({ idle_boots: 100 }));
@@ -118,7 +118,7 @@
     this.state.stop();
   }
 
-  /** Runs the command line against one controller. */
+  /** Runs a `shards` command of the command line against one controller. */
   runShardsCommand(at: ControllerName, ...args: string[]): Promise<CommandResult> {
     return new Promise((resolve) => {
       const child = spawn(process.execPath, [
@@ -142,7 +142,7 @@
     return JSON.parse(stdout) as ShardListing;
   }
 
-  /** Shards that have machines, with their owners. */
+  /** The shards that have machines, with their owners. */
   async shardsWithMachines(): Promise<readonly ListedShard[]> {
     return (await this.listShards()).shards.filter((shard) => shard.machines > 0);
   }
@@ -154,7 +154,7 @@
     });
   }
 
-  /** Asks whichever controller answers. */
+  /** Sends a request of a user to the controllers in turn until one answers with a status below 500. */
   async request(method: string, path: string, body?: unknown): Promise<[number, Record<string, unknown>]> {
     for (const { front } of this.controllers.values())
       try {
@@ -163,7 +163,7 @@
         if (response.status < 500)
           return [response.status, (await response.json()) as Record<string, unknown>];
       } catch {
-        // it is down: the next one
+        // this controller is down: try the next one
       }
     return [503, {}];
   }
--- a/test/measure/shards.ts
+++ b/test/measure/shards.ts
@@ -1,6 +1,7 @@
 /**
- * Measures shards: `ownership` counts what changes hands when controllers end, join and are drained; `moves` times moves on
- * loopback; `memory` weighs what a controller keeps. Not a test, and no part of CI.
+ * Measures shards: `ownership` counts the machines that change owners, and the requests and changes to the state
+ * service, when controllers end, join and are drained; `moves` times shard moves on loopback; `memory` measures the
+ * heap that a controller needs for its shards. Not a test, and not run by CI.
  */
 import {
   Assignment,
@@ -30,7 +31,7 @@
   Array.from({ length: count }, (_, i) => ({ id: `n-${String(i).padStart(6, "0")}`, zone: ZONES[i % 2]! }));
 type Machines = ReturnType<typeof machinesOf>;
 
-/** One cluster whose records are changed as its controllers would change them. */
+/** The ownership records of one cluster, changed in memory as its controllers would change them. */
 class Simulation {
   private revision = 10;
   private token = 0;
@@ -71,7 +72,7 @@
     this.changeCount += writes.length;
   }
 
-  /** Writes owners down, and moves shards until nothing is left to move. */
+  /** Records missing owners, then moves shards until the planner has no further move. */
   rebalance(draining: ReadonlySet<string>): void {
     for (;;) {
       const writes = repairsOf(this.assignment, this.loads, () => false, MAX_TXN_OPS / 2);
--- a/test/service-fixture.ts
+++ b/test/service-fixture.ts
@@ -1,15 +1,15 @@
-/** What tests of whole controllers share: the fakes round them, their settings, and requests to them. */
+/** For tests of controller processes: fakes of the outside systems, the controller's settings and requests to it. */
 import { freePort } from "./controller-process.js";
 import { FakeCloud } from "./fakes/fake-cloud.js";
 import { FakeStateService } from "./fakes/fake-state-service.js";
 
-/** The status and the JSON body of an answer. */
+/** The status and the JSON body of an HTTP response. */
 export interface Answer {
   readonly status: number;
   readonly json: Record<string, unknown>;
 }
 
-/** Sends a request to a controller; a body that is text is sent as it is. */
+/** Sends a request to a controller; a string is sent as it is, any other body as JSON. */
 export const request = async (
   address: string,
   method: string,
@@ -23,11 +23,11 @@
   return { status: response.status, json: (await response.json()) as Record<string, unknown> };
 };
 
-/** The outside systems of one controller, and the addresses that it listens on. */
+/** Fakes of the outside systems of one controller, and the addresses that it listens on. */
 export class ServiceFixture<State extends FakeStateService = FakeStateService> {
-  /** Where the controller answers users and workers. */
+  /** The address where the controller serves users and workers. */
   frontAddress = "";
-  /** Where it answers other controllers. */
+  /** The address where it serves other controllers. */
   peerAddress = "";
   readonly cloud = new FakeCloud(() => this.frontAddress);
 
@@ -45,7 +45,7 @@
     this.state.stop();
   }
 
-  /** The platform's settings for the controller; `params` are added to the zones and the limits of cloud and state service. */
+  /** The platform's settings for the controller; `params` override or extend the default zones and rate limits. */
   settings(member: string, params: object, seeds: readonly object[] = []): object {
     return {
       member,
--- a/test/specs.ts
+++ b/test/specs.ts
@@ -1,8 +1,8 @@
-/** A plain array job, for tests that name only what they are about. */
+/** A default job, so that tests state only the fields that matter to them. */
 import * as Duration from "effect/Duration";
 import type { JobSpec } from "../src/core/records.js";
 
-/** A job of one task, with the given fields in place of the defaults. */
+/** An array job of one task; `overrides` replace its default fields. */
 export const jobSpec = (overrides: Partial<JobSpec>): JobSpec => ({
   id: "req-000001",
   className: "maps",
--- a/test/term-fixture.ts
+++ b/test/term-fixture.ts
@@ -1,4 +1,4 @@
-/** A term and heartbeats under it, for tests of members and messages. */
+/** A term and heartbeats with its fencing token, for tests of members and messages. */
 import type { TermRecord, Heartbeat } from "../src/core/records.js";
 import { fencingTokenOf } from "../src/core/leases/term.js";
 
@@ -14,7 +14,7 @@
   ],
 };
 
-/** A heartbeat of a worker without tasks, for tests that name only what they are about. */
+/** A heartbeat of a worker without tasks; `overrides` replace its default fields. */
 export const heartbeatWith = (overrides: Partial<Heartbeat>): Heartbeat => ({
   machine: "n-1",
   addr: "x",
--- a/test/worker-history.ts
+++ b/test/worker-history.ts
@@ -1,9 +1,9 @@
-/** Reads what happened to tasks on all stand-in workers together, and says which rules that breaks. */
+/** Checks the task events of all fake workers: no task runs twice at a time, is killed, or starts again once done. */
 
-/** What a worker writes down: `start TASK`, `done TASK` or `stopped TASK`. */
+/** An event of a fake worker: `start TASK`, `done TASK` or `stopped TASK`. */
 const EVENT_PATTERN = /^(start|done|stopped) (.+)$/;
 
-/** Tasks that ran twice, were killed, or completed more often than once; empty: none did. */
+/** One message for each event that breaks these rules; empty if none does. */
 export const historyViolations = (events: readonly string[]): string[] => {
   const running = new Set<string>();
   const done = new Set<string>();
