--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -146,7 +146,7 @@
 
 const partitionWithWorkers = (
   count: number,
-): { part: WorkerPartition; report: (n: number, seq: number) => Heartbeat } => {
+): { part: WorkerPartition; heartbeat: (n: number, seq: number) => Heartbeat } => {
   const part = new WorkerPartition("a", 1000, Duration.seconds(4));
   part.setTerm({
     number: 1,
@@ -173,7 +173,7 @@
     })),
   });
   for (let n = 0; n < count; n++) part.handleHeartbeat(heartbeat(n, 1), true, 1, instant(n));
-  return { part, report: heartbeat };
+  return { part, heartbeat };
 };
 
 test("news are cut into pieces that fit, and what is left over comes next", () => {
@@ -216,7 +216,7 @@
 });
 
 test("finishes refused as they are give way to others for a while", () => {
-  const { part, report: heartbeat } = partitionWithWorkers(1);
+  const { part, heartbeat } = partitionWithWorkers(1);
   const done = (job: string, seq: number) =>
     part.recordHeartbeat(
       { ...heartbeat(0, seq), tasks: [{ job, index: 0, attempt: 1, state: "exited", exitReason: "done" }] },
@@ -236,7 +236,7 @@
 });
 
 test("finishes that were refused by themselves come alone after the others, until they are stored", () => {
-  const { part, report: heartbeat } = partitionWithWorkers(1);
+  const { part, heartbeat } = partitionWithWorkers(1);
   let seq = 1;
   const done = (job: string, index: number) =>
     part.recordHeartbeat(
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -140,15 +140,15 @@
     ...{ ref, roster: "maps", crew: "red", shape: "array", urgency: "normal", chores: 2, vcpus: 1 },
     ...{ mem_gb: 1, bundle: "img", image_gb: 1, awaits },
   });
-  const mirror = new JobCache(fake, log);
-  const jobCaches = [mirror];
+  const jobCache = new JobCache(fake, log);
+  const jobCaches = [jobCache];
   const stored = (key: string) =>
     jobCaches
       .map((m) =>
         key.startsWith(keys.blockedJobs) ? m.blockedJobs.get(key.slice(keys.blockedJobs.length)) : undefined,
       )
       .find((job) => job !== undefined)?.record;
-  mirror.putReleased(keys.job("req-1"), record("req-1", []), 1);
+  jobCache.putReleased(keys.job("req-1"), record("req-1", []), 1);
   // chain 2 <- 3 <- 4, and one that needs none of them
   for (const [id, awaits] of [
     ["req-2", ["req-1"]],
@@ -156,9 +156,9 @@
     ["req-4", ["req-3"]],
     ["req-5", ["req-6"]],
   ] as const)
-    mirror.putBlocked(keys.blockedJob(id), record(id, [...awaits]), 1);
+    jobCache.putBlocked(keys.blockedJob(id), record(id, [...awaits]), 1);
   // fewer conditions than the chain is long
-  const status = new JobStatusReader(fake, mirror, 3, log);
+  const status = new JobStatusReader(fake, jobCache, 3, log);
   const ask = (id: string) => Effect.runPromise(status.statusOf(id));
   const last = await ask("req-4");
   assert.deepEqual(last, { kind: "final", commit: { outcome: "cancelled", tasks: 2 } });
@@ -211,7 +211,7 @@
         return value === undefined ? null : { key, value, revision: 1 };
       }),
   } as unknown as StateClient;
-  return { rows, fake, mirror: new JobCache(fake, log) };
+  return { rows, fake, jobCache: new JobCache(fake, log) };
 };
 const CANCELLED = { outcome: "cancelled", tasks: 2 };
 const CHAIN = { "req-2": ["req-1"], "req-3": ["req-2"], "req-4": ["req-3"] };
@@ -240,11 +240,11 @@
 test("a process that heard of nothing yet looks through what comes before a waiting job", async () => {
   // asked of a process that knows nothing, and of one that knows the job itself alone
   for (const known of [false, true]) {
-    const { rows, fake, mirror } = stateWithBlockedJobs(CHAIN);
+    const { rows, fake, jobCache } = stateWithBlockedJobs(CHAIN);
     rows.set(keys.commit("req-1"), CANCELLED);
     const last = keys.blockedJob("req-4");
-    if (known) mirror.putBlocked(last, rows.get(last), 1);
-    const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).statusOf("req-4"));
+    if (known) jobCache.putBlocked(last, rows.get(last), 1);
+    const answer = await Effect.runPromise(new JobStatusReader(fake, jobCache, 64, log).statusOf("req-4"));
     assert.deepEqual(answer, { kind: "final", commit: CANCELLED }, `the job itself is known: ${known}`);
     assert.ok(rows.has(keys.commit("req-4")) && !rows.has(last));
   }
@@ -252,34 +252,34 @@
 
 test("a waiting job's answer doesn't miss a cancel that passes on as its ancestors are asked about", async () => {
   let passedOn = false;
-  const { rows, fake, mirror } = stateWithBlockedJobs(CHAIN, (key) => {
+  const { rows, fake, jobCache } = stateWithBlockedJobs(CHAIN, (key) => {
     if (key !== keys.commit("req-2") || passedOn) return;
     passedOn = true;
     for (const id of ["req-1", "req-2", "req-3"]) {
       rows.set(keys.commit(id), CANCELLED);
       rows.delete(keys.blockedJob(id));
-      mirror.remove(id);
+      jobCache.remove(id);
     }
   });
   for (const id of Object.keys(CHAIN))
-    mirror.putBlocked(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
-  const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).read("req-4"));
+    jobCache.putBlocked(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
+  const answer = await Effect.runPromise(new JobStatusReader(fake, jobCache, 64, log).read("req-4"));
   assert.ok(passedOn);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
 });
 
 test("a waiting job that ends as its ancestors are asked about is read again", async () => {
   let ended = false;
-  const { rows, fake, mirror } = stateWithBlockedJobs(CHAIN, (key) => {
+  const { rows, fake, jobCache } = stateWithBlockedJobs(CHAIN, (key) => {
     if (key !== keys.commit("req-3") || ended) return;
     ended = true;
     rows.set(keys.commit("req-4"), CANCELLED);
     rows.delete(keys.blockedJob("req-4"));
-    mirror.remove("req-4");
+    jobCache.remove("req-4");
   });
   for (const id of Object.keys(CHAIN))
-    mirror.putBlocked(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
-  const answer = await Effect.runPromise(new JobStatusReader(fake, mirror, 64, log).read("req-4"));
+    jobCache.putBlocked(keys.blockedJob(id), rows.get(keys.blockedJob(id)), 1);
+  const answer = await Effect.runPromise(new JobStatusReader(fake, jobCache, 64, log).read("req-4"));
   assert.ok(ended);
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
 });
