--- a/test/production-release.ts
+++ b/test/production-release.ts
@@ -40,7 +40,7 @@
 export const {
   records: productionRecords,
   news: productionUpdates,
-  commit,
+  commit: productionCommit,
 } = readKeptFile<{ records: KeptRecord[]; news: KeptUpdate[] }>("records");
 /** Messages of production, with their meaning. */
 export const { messages: productionMessages } = readKeptFile<{
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -36,7 +36,7 @@
 import {
   type Json,
   codecsByAvroName,
-  commit,
+  productionCommit,
   readKeptFile,
   productionMessages,
   productionReadError,
@@ -51,8 +51,9 @@
 
 test("what is kept comes from the version that deploy/service.toml names", () => {
   const deployed = readFileSync(new URL("../../../deploy/service.toml", import.meta.url), "utf8");
-  for (const file of ["messages", "records", "schemas"]) assert.equal(readKeptFile(file).commit, commit);
-  assert.equal(/^production = "([0-9a-f]{40})"$/m.exec(deployed)?.[1], commit);
+  for (const file of ["messages", "records", "schemas"])
+    assert.equal(readKeptFile(file).commit, productionCommit);
+  assert.equal(/^production = "([0-9a-f]{40})"$/m.exec(deployed)?.[1], productionCommit);
 });
 
 test("the kept schemas fit the kept records", () => {
