--- a/test/call.test.ts
+++ b/test/call.test.ts
@@ -1,4 +1,4 @@
-/** Outgoing calls of a process that stands still for a while. */
+/** Outgoing calls of a process that stalls for longer than their timeout: none may be sent after the timeout. */
 import assert from "node:assert/strict";
 import http from "node:http";
 import type { AddressInfo } from "node:net";
@@ -9,7 +9,7 @@
 
 const TIMEOUT = Duration.millis(50);
 
-/** Keeps this process busy until long after the timeout, while the kernel goes on. */
+/** Blocks the event loop until long after the timeout, while the kernel still completes connections. */
 const blockEventLoop = (): void => {
   const until = performance.now() + 4 * Duration.toMillis(TIMEOUT);
   while (performance.now() < until);
@@ -37,10 +37,10 @@
     ),
   );
 
-test("what wasn't sent before a stall that outlasts its timeout isn't sent after it", async () => {
+test("a call not sent before a stall longer than its timeout isn't sent after it", async () => {
   await withServer(async (addr, taken) => {
     const result = post(addr, TIMEOUT);
-    // the connection is asked for in the next tick, and stands while this process doesn't run
+    // the connection is requested in the next tick, and established while the event loop is blocked
     process.nextTick(() => process.nextTick(blockEventLoop));
     assert.equal(await result, "timeout, not sent");
     await new Promise((resolve) => setTimeout(resolve, 2 * Duration.toMillis(TIMEOUT)));
--- a/test/cli.test.ts
+++ b/test/cli.test.ts
@@ -34,7 +34,7 @@
   },
 };
 
-test("good files are checked and accepted", () => {
+test("check accepts valid files", () => {
   const result = runCli(
     "check",
     "--config",
@@ -59,7 +59,7 @@
   assert.deepEqual([on.shards.enabled, on.operatorsSocket], [true, "127.0.0.1:7070"]);
 });
 
-test("limits to come: each may be missing or null, and sizes hold at both", () => {
+test("next limits: each may be missing or null, and the smaller of present and next sizes applies", () => {
   const load = (next: unknown) =>
     loadSettings(
       writeTempFile("next.json", {
@@ -77,13 +77,13 @@
     next: { rps: 10, writeRps: 6 },
     txnOps: 5,
   });
-  // sizes that will grow: nobody knows when
+  // larger sizes to come don't apply yet: when they will is unknown
   assert.deepEqual(load({ value_kb: 64, txn_ops: 99 }), today);
   for (const bad of [7, { value_kb: 0 }, { txn_ops: 2 }, { rps: "9" }])
     assert.throws(() => load(bad), /next/);
 });
 
-test("a bad file ends with one line that names the field, and code 2", () => {
+test("an invalid file gives one line on stderr that names the field, and exit code 2", () => {
   const bad: [string, string[], RegExp][] = [
     ["missing", ["check", "--config", join(dir, "nothing.json")], /nothing\.json: can't be read/],
     ["not JSON", ["check", "--config", writeTempFile("text.json", "{")], /text\.json: not JSON/],
@@ -140,7 +140,7 @@
   }
 });
 
-test("a controller whose operators' socket is taken runs on without it", async () => {
+test("a controller runs without the operators' socket if the port is in use", async () => {
   const portHolder = createServer().listen(0, "127.0.0.1");
   await new Promise((done) => portHolder.once("listening", done));
   const { port } = portHolder.address() as AddressInfo;
@@ -152,7 +152,7 @@
   });
   let log = "";
   child.stderr.on("data", (chunk: Buffer) => (log += chunk.toString()));
-  await until("it listens", () => log.includes('"msg":"listening"'));
+  await until("the controller listens", () => log.includes('"msg":"listening"'));
   assert.match(log, /can't open the operators' socket/);
   assert.equal(child.exitCode, null);
   child.kill("SIGKILL");
--- a/test/codecs.test.ts
+++ b/test/codecs.test.ts
@@ -1,4 +1,4 @@
-/** What is read from users, workers and other controllers: submissions, heartbeats and messages. */
+/** Decoding of submissions, heartbeats, and messages between controllers. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -35,7 +35,7 @@
 const without = (...names: string[]): object =>
   Object.fromEntries(Object.entries(submission).filter(([name]) => !names.includes(name)));
 
-test("a submission that lacks a field is malformed; a record that an earlier version accepted so is read", () => {
+test("a submission that lacks a required field is malformed, but a stored record without it is read", () => {
   const optional = ["builds", "district", "due_s"];
   for (const name of Object.keys(submission)) {
     const rest = without(name);
@@ -49,7 +49,7 @@
   assert.equal(decodeJobRecord("req-000413", storedRecord), null);
 });
 
-test("submissions: null and omitted are the same, and the limits of teams and machines decide", () => {
+test("submissions: optional fields may be null or omitted, and jobs that can never run are refused", () => {
   const parsed = parseSubmission(JSON.stringify(submission));
   assert.ok(typeof parsed !== "string");
   assert.equal(parsed.spec.kind, "gang");
@@ -66,7 +66,7 @@
   assert.equal(refusalReason({ tasks: 13, team: "blue" }), null);
 });
 
-test("reports that are no reports are refused, and never end a process", () => {
+test("malformed heartbeats are refused without an exception", () => {
   const good = {
     hearth: "n",
     endpoint: "10.0.0.1:9",
@@ -97,7 +97,7 @@
     assert.equal(parseHeartbeat(bad), null, JSON.stringify(bad).slice(0, 100));
 });
 
-test("what controllers tell one another survives the wire", () => {
+test("messages between controllers survive encoding and decoding", () => {
   const heartbeat = heartbeatWith({
     reclaimNoticeSeconds: 3.5,
     tasks: [{ job: "req-1", index: 99_999, attempt: 4_000_000_001, state: "exited", exitReason: "done" }],
--- a/test/limits-service.test.ts
+++ b/test/limits-service.test.ts
@@ -1,4 +1,7 @@
-/** One whole controller over HTTP while the limits of the state service fall. */
+/**
+ * A whole controller over HTTP while the state service lowers its limits. Guards against writes that are too large under
+ * the new limits, or that are given up after a refusal.
+ */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
 import { after, before, test } from "node:test";
@@ -9,7 +12,7 @@
 
 const LIVE_MACHINES = 20;
 const LOWER_LIMITS = { valueKb: 2, txnOps: 5 };
-/** What an earlier version wrote: twice as many machines as live, and more than a value will hold. */
+/** A record of an earlier version: twice as many machines as are live, and too large under the lower limits. */
 const OLD_MACHINES_KEY = "machines/0-1";
 
 const state = new FakeStateService();
@@ -103,7 +106,7 @@
   const one = await platformSettings("one", state, cloud);
   front = one.front;
   startWithSettings(one);
-  await until("the node is up", async () => (await ask("GET", "/up")).status === 200);
+  await until("the controller is up", async () => (await ask("GET", "/up")).status === 200);
 });
 after(() => {
   for (const child of children) child.kill("SIGKILL");
@@ -111,8 +114,8 @@
   state.stop();
 });
 
-test("the limits fall while jobs run: nothing is too large, what is refused for the rate comes later", async () => {
-  // keeps every machine that lives, with room for one small task each
+test("when the limits fall, no write is too large, and writes refused for the rate are retried", async () => {
+  // keeps every live machine in use, with room for one small task each
   await submitUntilAccepted("req-000009", {
     shape: "daemon",
     urgency: "critical",
@@ -121,36 +124,36 @@
   });
   await submitUntilAccepted("req-000001");
   await until(
-    "it runs",
+    "all replicas run",
     async () => (await ask("GET", "/v2/runs/req-000009")).json["running"] === LIVE_MACHINES,
   );
   state.limits = { ...LOWER_LIMITS };
   state.changesUntilRateLimited = 3;
   const ids = [2, 3, 4, 5, 6, 7].map((n) => `req-00000${n}`);
   const all = ids.map((id) => submitUntilAccepted(id));
-  await until("changes beyond the rate are refused", () => state.rateLimitedKeys.length >= 3);
+  await until("writes beyond the rate are refused", () => state.rateLimitedKeys.length >= 3);
   state.changesUntilRateLimited = Infinity;
   await Promise.all(all);
   for (const id of ["req-000001", ...ids]) await untilDone(id);
-  await until("the old record is split", () => !state.rows.has(OLD_MACHINES_KEY));
+  await until("the record of the earlier version is split", () => !state.rows.has(OLD_MACHINES_KEY));
   const covered = recordedMachineIds();
   for (const id of cloud.machines.keys()) assert.ok(covered.has(id), id);
   assert.deepEqual(state.tooLargeKeys, []);
 });
 
-test("what is refused as too large is tried again rarely, and goes through once it may", async () => {
+test("a write refused as too large is retried after growing pauses, and succeeds once it fits", async () => {
   state.limits = { valueKb: 2, txnOps: 1 };
   await submitUntilAccepted("req-000011");
   const refused = (): number => state.tooLargeKeys.filter((key) => key === "commit/req-000011").length;
   await until("its commit is refused", () => refused() >= 2);
   await new Promise((wait) => setTimeout(wait, 3000));
-  // pauses grow: in so much time there would otherwise be a dozen
+  // without growing pauses there would be a dozen attempts in this time
   assert.ok(refused() <= 6, `${refused()} attempts`);
   state.limits = { ...LOWER_LIMITS };
   await untilDone("req-000011");
 });
 
-test("a job that no longer fits is refused, but a repeat of one that was accepted isn't", async () => {
+test("a job too large under the lower limits is refused, but a resubmission of an accepted one isn't", async () => {
   const large = { bundle: "x".repeat(3000) };
   assert.equal((await ask("POST", "/v2/runs", submission("req-000012", large))).status, 400);
   state.put("commit/req-000013", { outcome: "done", tasks: 30 });
@@ -158,7 +161,7 @@
   assert.deepEqual(answer, { status: 200, json: { ref: "req-000013", status: "done" } });
 });
 
-test("a repeat of an accepted job gets its answer also while the state service refuses to store it", async () => {
+test("a resubmission of an accepted job is answered even while the state service refuses to store it", async () => {
   const refuses = (keys: readonly string[]): boolean => keys.includes("job/req-000014");
   state.rejectionRules.add(refuses);
   assert.equal((await ask("POST", "/v2/runs", submission("req-000014"))).status, 400);
@@ -168,7 +171,7 @@
   state.rejectionRules.delete(refuses);
 });
 
-test("types that are too many for one value aren't written, and every node knows them all the same", async () => {
+test("machine types too many for one value aren't stored, and every controller still knows them", async () => {
   const otherState = new FakeStateService();
   const otherCloud = new FakeCloud(() => "");
   otherCloud.extraTypeLabels = Array.from({ length: 30 }, (_, i) => `type-${i}`);
@@ -182,11 +185,11 @@
     two.seeds.push({ member: "one", domain: "east", addr: one.peer_bind });
     startWithSettings(one);
     startWithSettings(two);
-    // what could never run is told only by those who know the types
+    // only a controller that knows the types refuses a job that fits none of them
     const unschedulable = submission("req-000021", { builds: ["type-29"], vcpus: 5 });
     for (const at of [one.front, two.front])
       await until(
-        "types are known",
+        "machine types are known",
         async () => (await ask("POST", "/v2/runs", unschedulable, at)).status === 422,
       );
     assert.ok(!otherState.rows.has("types"));
--- a/test/limits.test.ts
+++ b/test/limits.test.ts
@@ -1,4 +1,4 @@
-/** Everything that is written, as large as it can become, under today's limits and those to come. */
+/** The largest records and transactions fit the state service's limits, the present ones and the lower ones to come. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -40,9 +40,10 @@
   { valueKb: 16, txnOps: 5 },
 ];
 const LONG_NAME = "a-rather-long-name-of-something-in-a-far-away-place".padEnd(60, "x");
+/** The largest integer that a JSON number holds exactly. */
 const BIG = 9_007_199_254_740_991;
 
-/** What the state service checks. */
+/** Checks a transaction as the state service does. */
 const assertFits = (
   limits: (typeof LIMITS)[number],
   when: readonly Condition[],
@@ -64,7 +65,7 @@
   { type: LONG_NAME, zone: LONG_NAME, spot: false, addr: `255.255.255.255:${60_000 + (n % 5000)}` },
 ];
 
-test("records of one thing each fit", () => {
+test("records of a single entity fit, at their largest", () => {
   const term: TermRecord = {
     number: BIG,
     leaderRevision: BIG,
@@ -110,7 +111,7 @@
       assertFits(limits, [{ key: LONG_NAME, revision: BIG }], [{ put: LONG_NAME, value }]);
 });
 
-test("a full transaction of ranges fits, whatever has finished", () => {
+test("a full transaction of ranges fits, whichever tasks have finished", () => {
   const everySecond = Array.from({ length: 50_000 }, (_, i) => [2 * i, 2 * i + 1] as const);
   for (const limits of LIMITS) {
     const bytes = maxRangeRecordBytes(limits.valueKb, limits.txnOps);
@@ -124,7 +125,7 @@
   }
 });
 
-test("machines are packed by what they measure", () => {
+test("machine records are split by their size in bytes", () => {
   const many = Array.from({ length: 300 }, (_, i) => machine(i));
   for (const limits of LIMITS) {
     const pieces = splitRecord(many, maxValueBytes(limits.valueKb), 40);
@@ -133,14 +134,14 @@
       assert.ok(Object.keys(machines).length <= 40);
       assertFits(limits, [], [{ put: LONG_NAME, value: { machines } }]);
     }
-    // no piece is begun before the one before it is nearly full
+    // each piece is nearly full before the next one is begun
     assert.ok(
       pieces.length <=
         2 + Math.max(300 / 40, (jsonBytes(Object.fromEntries(many)) * 1.2) / maxValueBytes(limits.valueKb)),
     );
   }
   assert.deepEqual(splitRecord([], 100), []);
-  // one that is too large by itself hides no other
+  // a machine that is too large by itself doesn't keep others from being written
   assert.equal(splitRecord([machine(1), machine(2)], 10).length, 2);
 });
 
@@ -176,16 +177,16 @@
   return { part, heartbeat };
 };
 
-test("news are cut into pieces that fit, and what is left over comes next", () => {
+test("updates are split into fragments that fit, and the rest goes into the next update", () => {
   for (const limits of LIMITS) {
     const { part } = partitionWithWorkers(700);
     const heartbeats = new Set<string>();
     const seen = new Set<string>();
     let maxItems = 60;
     for (let rounds = 0; heartbeats.size < 700 || seen.size < 700; rounds++) {
-      assert.ok(rounds < 200, `${heartbeats.size} reports, ${seen.size} seen`);
+      assert.ok(rounds < 200, `${heartbeats.size} heartbeats, ${seen.size} contacts`);
       const update = part.takeUpdate(instant(1000), maxItems);
-      // a word that doesn't name everyone who was answered must not pass for one that does
+      // an update that doesn't name all answered workers must not be taken for a complete one
       assert.equal(part.isUpdateComplete(), [...seen, ...update.contacts].length >= 700);
       const sync = {
         termNumber: 1,
@@ -215,7 +216,7 @@
   }
 });
 
-test("finishes refused as they are give way to others for a while", () => {
+test("finishes that are refused give way to others for a while", () => {
   const { part, heartbeat } = partitionWithWorkers(1);
   const done = (job: string, seq: number) =>
     part.recordHeartbeat(
@@ -235,7 +236,7 @@
   assert.equal(nextWrites(40_000)[0]!.job, "req-1");
 });
 
-test("finishes that were refused by themselves come alone after the others, until they are stored", () => {
+test("finishes whose write was refused are retried alone, after the others, until they are stored", () => {
   const { part, heartbeat } = partitionWithWorkers(1);
   let seq = 1;
   const done = (job: string, index: number) =>
@@ -248,7 +249,7 @@
   const [first] = nextWrites(5000);
   part.finishes.writeAnswered(first!, "refused", instant(5000));
   for (const job of ["req-2", "req-3"]) done(job, 0);
-  // long after its pause
+  // long after the pause of the refused write
   const others = nextWrites(60_000);
   assert.deepEqual(
     others.map((write) => write.job),
@@ -266,7 +267,7 @@
   );
 });
 
-test("a record of machines that was refused by itself gives way to the others for a while", () => {
+test("a machine record that was refused gives way to the others for a while", () => {
   const recordStore = new MachineRecordStore();
   for (const key of ["machines/1", "machines/2"]) {
     recordStore.add(key, Object.fromEntries([machine(1), machine(2)]));
@@ -282,7 +283,7 @@
   assert.deepEqual(keysAt(1000), ["machines/1", "machines/2"]);
 });
 
-test("pauses after refusals grow up to half a minute, and are short again after a success", () => {
+test("pauses after refusals double up to 30 s, and start anew after a success", () => {
   const backoff = new Backoff();
   const pauses = Array.from({ length: 12 }, () => Duration.toMillis(backoff.pauseAfterRefusal()));
   assert.deepEqual(pauses.slice(0, 4), [250, 500, 1000, 2000]);
@@ -297,7 +298,7 @@
   readonly deletes: readonly string[];
 }
 
-test("blocks: whatever late copies are carried out in whatever order, no machine that lives is hidden", () => {
+test("machine records: every live machine is in one, whichever transactions are applied late, in any order", () => {
   let splits = 0;
   let lateSplits = 0;
   for (let seed = 0; seed < 150; seed++) {
@@ -315,7 +316,7 @@
     let names = 0;
     const newKey = (): string => `machines/1-${++names}`;
     const room = { valueBytes: maxValueBytes(limits.valueKb), txnBytes: MAX_TXN_BYTES, newKey };
-    /** The failed conditions; none: it was carried out. */
+    /** The failed conditions; none: the transaction was applied. */
     const apply = (t: Transaction): string[] => {
       const failed = t.absent.filter((key) => store.has(key));
       if (failed.length > 0) return failed;
@@ -325,10 +326,10 @@
     };
     const check = (what: string): void => {
       const covered = new Set([...store.values()].flat());
-      for (const id of live) assert.ok(covered.has(id), `seed ${seed}: ${id} is hidden after ${what}`);
+      for (const id of live) assert.ok(covered.has(id), `seed ${seed}, ${what}: ${id} is in no record`);
     };
     let made = 0;
-    // what an earlier version left: more machines in a record than will fit
+    // records of an earlier version, with more machines than fit under the limits
     for (let b = 0; b < 4; b++) {
       const machines = Object.fromEntries(Array.from({ length: 2 + upTo(30) }, () => machine(++made)));
       const key = newKey();
@@ -351,7 +352,7 @@
         recordStore.add(key, machines!);
         const open: Transaction = { absent: [key], puts: [{ key, machines: machines! }], deletes: [] };
         sent.push(open);
-        // without an answer nothing is started on these machines under this record
+        // without an answer no task is started on the machines of this record
         if (upTo(3) > 0 && apply(open).length === 0) for (const id of Object.keys(machines!)) live.add(id);
       } else if (what < 8) {
         const rewrites = recordStore.pendingRewrites(limits.txnOps, room);
@@ -381,11 +382,11 @@
         );
         const outcome = upTo(5);
         if (outcome === 0) {
-          // too large after all: this copy isn't carried out, whatever becomes of earlier ones
+          // rejected as too large: this copy is never applied, though earlier ones may be
           recordStore.markRejected(rewrites);
         } else {
           sent.push(t);
-          // carried out and answered, carried out without an answer, or neither for now
+          // applied and answered, applied without an answer, or neither for now
           if (outcome <= 3) {
             const failed = apply(t);
             if (outcome <= 2 && failed.length === 0) recordStore.markWritten(rewrites);
@@ -401,7 +402,7 @@
       }
       check(`step ${step}`);
     }
-    // once all are answered, what is gone is no longer in the blocks that are known
+    // once all writes are answered, no record holds machines that are gone
     for (const id of live) recordStore.remove(id);
     for (let i = 0; i < 400; i++) {
       const rewrites = recordStore.pendingRewrites(limits.txnOps, room);
--- a/test/membership.test.ts
+++ b/test/membership.test.ts
@@ -1,4 +1,4 @@
-/** Membership and users' questions against a stand-in of the state service. */
+/** Membership, leadership and the status of jobs against a fake state service. */
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -32,7 +32,7 @@
   assert.fail(`never: ${what}`);
 };
 
-test("an earlier process's late write of the member key changes nothing for long", async () => {
+test("a late write by an earlier process doesn't take the member key from its successor for long", async () => {
   const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
   const earlier = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
   const key = keys.member("one");
@@ -41,25 +41,25 @@
   const running = Effect.runFork(member.run);
   const holdsMemberKey = (): boolean => fakeState.rows.get(key)?.revision === member.incarnation;
   try {
-    await until("it joined", () => member.leaseId !== null && holdsMemberKey());
-    // the dead process's lease was ended by its successor
+    await until("the process joined", () => member.leaseId !== null && holdsMemberKey());
+    // the successor revoked the lease of the process that ended
     assert.equal(fakeState.leases.has(earlier), false);
-    // its write comes late, conditional as every process's is: refused
+    // its late write is conditional on the key's absence, and so is refused
     const late = await Effect.runPromise(
       state.commit([{ key, revision: 0 }], [{ put: key, value: { zone: "east", permit: 1 } }]),
     );
     assert.equal(late.ok, false);
-    // and if the key is another's after all, this process notices and joins anew
+    // if the key is overwritten all the same, this process notices and joins again
     const before = member.incarnation;
     const other = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
     fakeState.put(key, encodeMember({ zone: "east", leaseId: other }), other);
-    await until("it joined anew", () => member.incarnation > before && holdsMemberKey());
+    await until("the process joined again", () => member.incarnation > before && holdsMemberKey());
   } finally {
     await Effect.runPromise(Fiber.interrupt(running));
   }
 });
 
-test("a leader's key that was written late, after the answer was given up, is this process's all the same", async () => {
+test("a process whose write of the leader key timed out and was applied later leads all the same", async () => {
   const timings = leaseTimingsOf({ leaseS: 10, reportS: 1, cancelS: 30 }, Duration.seconds(1));
   const member = new Membership("two", "east", timings, state, log, [], () => Effect.succeed(true), now);
   const running = Effect.runFork(member.run);
@@ -67,13 +67,13 @@
     Effect.runPromise(Effect.orElseSucceed(member.campaign, () => false));
   const key = keys.leader;
   try {
-    await until("it joined", () => member.leaseId !== null);
-    // another process's key is no reason to lead, also if the process has the same name
+    await until("the process joined", () => member.leaseId !== null);
+    // a key under another lease doesn't make this process the leader, even with the same member name
     const other = await Effect.runPromise(state.grantLease(Duration.seconds(600)));
     fakeState.put(key, encodeLeader({ member: "two", leaseId: other }), other);
     assert.equal(await campaign(), false);
     await Effect.runPromise(state.revokeLease(other));
-    // its own write is carried out now: as long as it renews the lease, nobody else can lead
+    // its own write is applied now: nobody else can lead while it renews the lease
     const leaseId = member.leaseId!;
     fakeState.put(key, encodeLeader({ member: "two", leaseId }), leaseId);
     const { revision: stamp } = fakeState.rows.get(key)!;
@@ -89,7 +89,7 @@
   }
 });
 
-test("a question that was put off goes before others the next time", async () => {
+test("a status check that was refused goes first the next time", async () => {
   const queriedKeys: string[][] = [];
   let refuse = true;
   const fake = {
@@ -100,7 +100,7 @@
         : Effect.succeed({ ok: true, revision: 1 } as const);
     },
   } as unknown as StateClient;
-  // four conditions make batches of two
+  // four conditions allow two jobs a batch
   const status = new JobStatusReader(fake, new JobCache(fake, log), 4, log);
   const ask = (...ids: string[]) =>
     Effect.runPromise(
@@ -115,7 +115,7 @@
   assert.ok(queriedKeys[0]!.includes("commit/req-9"), queriedKeys[0]!.join(" "));
 });
 
-test("a waiting job's answer rests on all before it: an ancestor's cancel counts before anybody passed it on", async () => {
+test("a blocked job counts as cancelled once an ancestor is, before its own commit is written", async () => {
   const commits = new Map([["commit/req-1", { outcome: "cancelled", tasks: 1 }]]);
   const compared: string[][] = [];
   const written: string[] = [];
@@ -149,7 +149,7 @@
       )
       .find((job) => job !== undefined)?.record;
   jobCache.putReleased(keys.job("req-1"), record("req-1", []), 1);
-  // chain 2 <- 3 <- 4, and one that needs none of them
+  // chain 1 <- 2 <- 3 <- 4, and one job that depends on none of them
   for (const [id, awaits] of [
     ["req-2", ["req-1"]],
     ["req-3", ["req-2"]],
@@ -157,7 +157,7 @@
     ["req-5", ["req-6"]],
   ] as const)
     jobCache.putBlocked(keys.blockedJob(id), record(id, [...awaits]), 1);
-  // fewer conditions than the chain is long
+  // a transaction holds fewer conditions than the chain has jobs
   const status = new JobStatusReader(fake, jobCache, 3, log);
   const ask = (id: string) => Effect.runPromise(status.statusOf(id));
   const last = await ask("req-4");
@@ -168,7 +168,7 @@
     compared.every((keys) => keys.length <= 3),
     JSON.stringify(compared),
   );
-  // nor does it matter what this node has heard of the jobs in between
+  // the same holds for a cache that lacks the jobs in between
   const partialCache = new JobCache(fake, log);
   jobCaches.push(partialCache);
   partialCache.putBlocked(keys.blockedJob("req-8"), record("req-8", ["req-3"]), 1);
@@ -176,7 +176,7 @@
   const partialStatus = new JobStatusReader(fake, partialCache, 3, log);
   const answer = await Effect.runPromise(partialStatus.statusOf("req-8"));
   assert.deepEqual(answer, { kind: "final", commit: { outcome: "cancelled", tasks: 2 } });
-  // a parent that is done needn't be asked about again
+  // a parent that is done isn't checked again
   commits.set("commit/req-6", { outcome: "done", tasks: 1 });
   assert.equal((await ask("req-5")).kind, "open");
   compared.length = 0;
@@ -184,7 +184,7 @@
   assert.deepEqual(compared, [["commit/req-5"]]);
 });
 
-/** A state service with these waiting jobs, and commits that a test may add to; `onGet`: what happens as an answer is on its way. */
+/** A state service with these blocked jobs (id: parents), and an empty cache; `onGet` runs after a read's snapshot. */
 const stateWithBlockedJobs = (
   waits: Record<string, string[]>,
   onGet: (key: string) => void = () => undefined,
@@ -216,7 +216,7 @@
 const CANCELLED = { outcome: "cancelled", tasks: 2 };
 const CHAIN = { "req-2": ["req-1"], "req-3": ["req-2"], "req-4": ["req-3"] };
 
-test("a passed-on cancel that is refused comes again after growing pauses, however often it is asked for", async () => {
+test("a refused cancel of a blocked job is retried after growing pauses, however often it is requested", async () => {
   const refuses = (written: readonly string[]): boolean => written.includes(keys.commit("req-77"));
   fakeState.rejectionRules.add(refuses);
   const status = new JobStatusReader(state, new JobCache(state, log), 64, log);
@@ -227,7 +227,7 @@
   const maxAttempts = 2 + Math.floor(Math.log2(1 + (Date.now() - startedAt) / 250));
   assert.ok(
     fakeState.rejectedTransactions.length <= maxAttempts,
-    `${fakeState.rejectedTransactions.length} attempts where ${maxAttempts} may be`,
+    `${fakeState.rejectedTransactions.length} attempts where at most ${maxAttempts} are allowed`,
   );
   fakeState.rejectionRules.delete(refuses);
   for (let i = 0; i < 1200 && !fakeState.rows.has(keys.commit("req-77")); i++) {
@@ -237,8 +237,8 @@
   assert.ok(fakeState.rows.has(keys.commit("req-77")));
 });
 
-test("a process that heard of nothing yet looks through what comes before a waiting job", async () => {
-  // asked of a process that knows nothing, and of one that knows the job itself alone
+test("a process with an empty cache reads the ancestors of a blocked job", async () => {
+  // with an empty cache, and with the job itself in the cache
   for (const known of [false, true]) {
     const { rows, fake, jobCache } = stateWithBlockedJobs(CHAIN);
     rows.set(keys.commit("req-1"), CANCELLED);
@@ -250,7 +250,7 @@
   }
 });
 
-test("a waiting job's answer doesn't miss a cancel that passes on as its ancestors are asked about", async () => {
+test("the status of a blocked job includes a cancel that spreads while its ancestors are read", async () => {
   let passedOn = false;
   const { rows, fake, jobCache } = stateWithBlockedJobs(CHAIN, (key) => {
     if (key !== keys.commit("req-2") || passedOn) return;
@@ -268,7 +268,7 @@
   assert.deepEqual(answer, { kind: "final", commit: CANCELLED });
 });
 
-test("a waiting job that ends as its ancestors are asked about is read again", async () => {
+test("a blocked job that ends while its ancestors are read is read again", async () => {
   let ended = false;
   const { rows, fake, jobCache } = stateWithBlockedJobs(CHAIN, (key) => {
     if (key !== keys.commit("req-3") || ended) return;
--- a/test/mixed-versions.test.ts
+++ b/test/mixed-versions.test.ts
@@ -1,7 +1,7 @@
 /**
- * An upgrade from the version in production, and the way back, in seeded runs: members of both versions over one state
- * service, each leading in turn, while processes are replaced one by one, leaders end and writes come late. No rule may be
- * broken, everything accepted is served or cancelled, and no waiting job or fan-in set is left in the end.
+ * Upgrade from the version in production and rollback to it, in seeded simulations: members of both versions share one
+ * state service and lead in turn, while processes are replaced one by one, leaders end and writes arrive late. No
+ * invariant may be violated, every accepted job is finished or cancelled, and no blocked job or fan-in set is left.
  */
 import assert from "node:assert/strict";
 import type { World } from "./model.js";
@@ -10,11 +10,11 @@
 const SMALL_JOB = { tasks: 2, cpus: 1 } as const;
 const MEMBERS = 3;
 
-/** A job that waits for nothing, sent through any process. */
+/** Submits a job without dependencies through any process. */
 const submitRootJob = (world: World, ms = 1500): string => world.submitByUsers(1, SMALL_JOB, [ms, ms])[0]!;
 const submitDependentJob = (world: World, awaits: readonly string[], ms = 1500): string =>
   world.submitDependent(awaits, SMALL_JOB, [ms, ms]);
-/** One job, two that need it, one that needs both, and one behind it. */
+/** Submits one job, two that depend on it, one that depends on both, and one that depends on that. */
 const submitPipeline = (world: World, ms = 1500): string[] => {
   const first = submitRootJob(world, ms);
   const middle = [submitDependentJob(world, [first], ms), submitDependentJob(world, [first], ms + 1000)];
@@ -23,14 +23,17 @@
 };
 const untilAccepted = (world: World, jobs: readonly string[]): boolean =>
   world.runUntil(() => jobs.every((id) => world.isAccepted(id)), 30_000);
-/** The member at this place of the order in which the run replaces them. */
+/** The member at a place in the order of replacement, which depends on the seed. */
 const memberAtPlace = (seed: number, place: number): number => (seed + place) % MEMBERS;
 
 const changeLeaderTo = (world: World, version: "old" | "new"): void => {
-  // a run that broke a rule stops, and is judged by that
-  assert.ok(world.crashUntilLeaderHas(version) || world.violations.length > 0, `no ${version} leader came`);
+  // a run that violated an invariant has stopped, and fails for that
+  assert.ok(
+    world.crashUntilLeaderHas(version) || world.violations.length > 0,
+    `no leader of the ${version} version was elected`,
+  );
 };
-/** Both versions lead once, in either order. */
+/** Lets both versions lead once, in an order that depends on the seed. */
 const changeLeaderToEachVersion = (world: World, seed: number): void => {
   for (const version of seed % 2 === 0 ? (["old", "new"] as const) : (["new", "old"] as const)) {
     changeLeaderTo(world, version);
@@ -38,7 +41,7 @@
   }
 };
 
-/** One after the other, with a leader of each version in between; one of them comes back old before its turn. */
+/** Replaces the members one by one, with leaders of both versions in between; in most runs one is rolled back once. */
 const upgradeAll = (world: World, seed: number): void => {
   world.restartWithVersion(memberAtPlace(seed, 0), "new");
   world.wait(1000);
@@ -51,17 +54,17 @@
     world.restartWithVersion(memberAtPlace(seed, 0), "new");
   }
   world.restartWithVersion(memberAtPlace(seed, 2), "new");
-  // whoever replaces them keeps count
+  // as the operators do: jobs with dependencies are submitted once all members are new
   world.versions.usersSendDependents = world.isAllNew();
   changeLeaderTo(world, "new");
 };
 
-/** As the operations page allows it: no more submissions that wait, and nothing that waits any more. */
+/** Rolls back as the operations page allows: no new jobs with dependencies, and none still blocked. */
 const rollBackAll = (world: World, seed: number): void => {
   world.versions.usersSendDependents = false;
   assert.ok(
     world.runUntil(() => world.mayDowngrade(), 60_000) || world.violations.length > 0,
-    "jobs still wait",
+    "jobs are still blocked",
   );
   for (let place = 0; place < MEMBERS; place++) {
     world.restartWithVersion(memberAtPlace(seed, place), "old");
@@ -79,7 +82,7 @@
 
 const SCENARIOS: readonly Scenario[] = [
   {
-    name: "an upgrade: members are replaced one by one, and pipelines are sent once all are new",
+    name: "an upgrade: members are replaced one by one, and pipelines are submitted once all are new",
     faultRate: 0.4,
     run: (world, seed) => {
       world.setAllVersions("old");
@@ -107,14 +110,14 @@
     guards: [["early", ["too_early"]]],
   },
   {
-    name: "a way back once nothing waits, and the upgrade made anew",
+    name: "a rollback once no job is blocked, and a second upgrade",
     faultRate: 0.4,
     run: (world, seed) => {
       world.wait(6000);
       enableFaults(world);
       const sent = [submitPipeline(world, 1000), submitPipeline(world, 1000)];
       untilAccepted(world, sent.flat());
-      // released before the way back and unfinished long after it
+      // released before the rollback, and unfinished until long after it
       const first = submitRootJob(world, 8000);
       const long = Array.from({ length: 4 }, (_, i) => submitDependentJob(world, [first], 25_000 + i * 8000));
       untilAccepted(world, long);
@@ -142,7 +145,7 @@
     ],
   },
   {
-    name: "a process comes back old though jobs wait, and leads; users avoid it",
+    name: "a process is rolled back while jobs are blocked, and leads; users avoid it",
     faultRate: 0.4,
     run: (world, seed) => {
       world.wait(6000);
--- a/test/production-release.ts
+++ b/test/production-release.ts
@@ -1,6 +1,6 @@
 /**
- * The version in production, as far as its schemas, records and messages in `production/` tell: what it writes, and what
- * it would say to what this version writes.
+ * The version in production, represented by its schemas, records and messages in `production/`: what it writes, and
+ * whether it can read what this version writes.
  */
 import { readFileSync } from "node:fs";
 import { Ajv, type ValidateFunction } from "ajv";
@@ -18,35 +18,35 @@
 
 /** A JSON object. */
 export type Json = Record<string, unknown>;
-/** A record as production wrote it, with what it read from it. */
+/** A record as production wrote it, and the fields that production decoded from it. */
 export interface KeptRecord {
   readonly key: string;
   readonly value: unknown;
   readonly meaning?: Json;
 }
-/** An update to a leader that production left in the state service, in fragments. */
+/** An update for the leader that production wrote to the state service, in fragments. */
 export interface KeptUpdate {
   readonly trimmed: boolean;
   readonly pieces: readonly { key: string; value: { of: number; data: string } }[];
   readonly meaning: Json;
 }
 
-/** What is kept in a file of `production/`. */
+/** Reads a file of `production/`. */
 export const readKeptFile = <T>(name: string): T & { commit: string } =>
   JSON.parse(readFileSync(new URL(`../../../test/production/${name}.json`, import.meta.url), "utf8")) as T & {
     commit: string;
   };
-/** Records, updates and the commit of the version in production. */
+/** Records and updates that production wrote, and the Git commit of that version. */
 export const {
   records: productionRecords,
   news: productionUpdates,
   commit: productionCommit,
 } = readKeptFile<{ records: KeptRecord[]; news: KeptUpdate[] }>("records");
-/** Messages of production, with their meaning. */
+/** Encoded messages of production, and what production decoded from them. */
 export const { messages: productionMessages } = readKeptFile<{
   messages: { type: MessageType; data: string; meaning: Json }[];
 }>("messages");
-/** Schemas and keys of production. */
+/** Schemas of production, and the keys that it lists, watches or reads. */
 export const productionSchemas = readKeptFile<{
   messages: Record<MessageType, avro.Schema>;
   records: Record<string, object>;
@@ -57,22 +57,22 @@
 const recordValidators = Object.entries(productionSchemas.records)
   .map(([prefix, schema]): [string, ValidateFunction] => [prefix, ajv.compile(schema)])
   .sort(([a], [b]) => b.length - a.length);
-/** What the version in production would say to a record; null: it reads it. */
+/** Why production can't read a record; null: it can. */
 export const productionReadError = (key: string, value: unknown): string | null => {
   const check = recordValidators.find(([prefix]) =>
     prefix.endsWith("/") ? key.startsWith(prefix) : key === prefix,
   );
-  if (check === undefined) return `${key}: not known there`;
+  if (check === undefined) return `${key}: unknown to production`;
   return check[1](value) ? null : `${key}: ${ajv.errorsText(check[1].errors)}`;
 };
-/** The Avro types of production. */
+/** The Avro types of production's messages. */
 export const productionTypes = Object.fromEntries(
   Object.entries(productionSchemas.messages).map(([name, schema]) => [
     name,
     avro.Type.forSchema(schema, { wrapUnions: false }),
   ]),
 ) as Record<MessageType, avro.Type>;
-/** The codecs of this version, by the Avro names of production. */
+/** The message codecs of this version, by the Avro name of the message. */
 export const codecsByAvroName = {
   Sync: syncRequestCodec,
   SyncAnswer: syncResponseCodec,
@@ -81,9 +81,9 @@
   Word: termConfirmationRequestCodec,
   WordAnswer: termConfirmationCodec,
 } as unknown as Record<MessageType, Codec<Json>>;
-/** A value as JSON keeps it. */
+/** Copies a value by way of JSON. */
 export const jsonClone = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-/** The kept records under a prefix. */
+/** The kept records whose keys start with a prefix. */
 export const productionRecordsUnder = <T>(prefix: string): { key: string; value: T; meaning?: Json }[] =>
   productionRecords.filter((r) => r.key.startsWith(prefix)) as { key: string; value: T; meaning?: Json }[];
--- a/test/ranges.test.ts
+++ b/test/ranges.test.ts
@@ -1,11 +1,11 @@
-/** Range sets, and their windows as they are stored. */
+/** Sets of task ranges, and their division into windows for storage. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { RangeSet, splitIntoWindows } from "../src/core/ranges.js";
 
-test("a range set agrees with a plain set, whatever is added and taken out", () => {
+test("a range set holds the same numbers as a plain set, whatever is added and deleted", () => {
   const random = xoroshiro128plus(7);
   for (let round = 0; round < 50; round++) {
     const ranges = new RangeSet();
@@ -30,7 +30,7 @@
   }
 });
 
-test("the windows of a ranges record fit its limit and lose nothing, even for every second of 100,000 tasks", () => {
+test("the windows of a range set fit the size limit and lose nothing, even with every second of 100,000 tasks", () => {
   const set = RangeSet.of(Array.from({ length: 50_000 }, (_, i) => [2 * i, 2 * i + 1] as const));
   const parts = splitIntoWindows(set.ranges(), 3000);
   for (const ranges of parts.values()) assert.ok(JSON.stringify({ ranges }).length <= 3000);
--- a/test/rates.test.ts
+++ b/test/rates.test.ts
@@ -5,7 +5,7 @@
 import { RateLimitSelector } from "../src/core/rates/rate-limit-selector.js";
 import { instant } from "../src/core/time.js";
 
-/** A state service whose rate of changes falls, and nodes that want to write more than it ever takes. */
+/** Three nodes that always want to write more than the service takes: 25 writes a second, or 18 once `isLowered`. */
 const simulateNodes = (spanS: number, fallS: number, isLowered: boolean) => {
   const rates = { rps: 100, writeRps: 25 };
   const nodes = Array.from({ length: 3 }, () => {
@@ -39,26 +39,26 @@
   return { served, refusals };
 };
 
-test("when the service's rate falls, few changes are refused, and fewer as time goes on", () => {
+test("when the rate limit falls, few writes are refused, and fewer over time", () => {
   const { served, refusals } = simulateNodes(3600, 60, true);
   const between = (fromS: number, toS: number): number =>
     refusals.filter((at) => at >= fromS * 1000 && at < toS * 1000).length;
   assert.ok(refusals.length <= 60, `${refusals.length} refused`);
   assert.ok(between(1860, 3600) <= 24, `${between(1860, 3600)} refused in the last half hour`);
-  // four of each node's at most, of some 180 that are served in that time
+  // at most four a node in 10 s, where about 180 are served
   for (let s = 0; s < 3600; s += 10) assert.ok(between(s, s + 10) <= 12, `${between(s, s + 10)} at ${s} s`);
-  // and what the service takes is used
+  // and the permitted rate is used
   assert.ok(served > 0.9 * 18 * 3600, `${served} served`);
 });
 
-test("urgent changes that are each tried again until they succeed are no storm of refusals either", () => {
+test("urgent writes, each retried until it succeeds, cause few refusals", () => {
   const rates = new RateLimitSelector({ rps: 100, writeRps: 25 }, { rps: 100, writeRps: 18 });
   const budget = new RateLimiter(25);
   let rate = 25;
   let tokens = 25;
   let refusedCount = 0;
   let served = 0;
-  // 400 that become due at once, when the service takes 18 a second
+  // 400 become due at once, where the service takes 18 a second
   let due = Array.from({ length: 400 }, () => ({ at: 0, sent: false }));
   let at = 0;
   for (; due.length > 0 && at < 120_000; at += 5) {
@@ -90,17 +90,17 @@
   }
   assert.equal(served, 400);
   assert.ok(refusedCount <= 20, `${refusedCount} refused`);
-  // in little more time than the service needs for them
+  // little more time than the 22 s that the service needs for them
   assert.ok(at < 30_000, `${at} ms`);
 });
 
-test("a rate that doesn't fall is used in full, but for a while after a refusal", () => {
+test("a rate limit that doesn't fall is used in full, except for a while after a refusal", () => {
   const { served, refusals } = simulateNodes(600, 0, false);
   assert.ok(refusals.length <= 3, `${refusals.length} refused`);
   assert.ok(served > 0.9 * 25 * 600, `${served} served`);
 });
 
-test("the lower rates stay for a minute, and for longer when a refusal follows soon", () => {
+test("the lower rates apply for a minute after a refusal, and for longer when another follows soon", () => {
   const low = { rps: 80, writeRps: 18 };
   const rates = new RateLimitSelector({ rps: 100, writeRps: 25 }, low);
   const isLowAt = (s: number): boolean => rates.ratesAt(instant(s * 1000)).writeRps === 18;
@@ -122,7 +122,7 @@
   assert.equal(isLowAt(at + 3600 + 60), false);
 });
 
-test("without lower rates to come nothing changes", () => {
+test("without lower rates configured, a refusal changes nothing", () => {
   const today = { rps: 100, writeRps: 25 };
   for (const rates of [
     new RateLimitSelector(today),
--- a/test/releases.test.ts
+++ b/test/releases.test.ts
@@ -1,7 +1,7 @@
 /**
- * What the version in production and the last landing store and say, kept as fixed bytes: this version reads all of it
- * as it was meant, and what it writes is read by the schemas of both. The names that are stored are compared with
- * literals here, so that a rename in the code can't move one of them.
+ * Compatibility with the version in production and with the last release, whose records and messages are kept as bytes.
+ * Guards against a change after which this version misreads what they wrote, or writes what they can't read. Stored
+ * names are compared with literals, so that a rename in the code can't change one unnoticed.
  */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
@@ -85,15 +85,15 @@
   production: compileValidators("production"),
   last: compileValidators("last"),
 };
-/** What a release would say to a record; null: it reads it, or never sees its key. */
+/** Why a release can't read a record; null: it can, or it never reads the key. */
 const readError = (release: Release, key: string, value: unknown): string | null => {
   const { prefixes, single, byId } = schemas[release].keys;
   const sees = single.includes(key) || [...prefixes, ...byId].some((p) => key.startsWith(p));
-  if (!sees) return release === "last" ? `${key}: not known there` : null;
+  if (!sees) return release === "last" ? `${key}: unknown to that release` : null;
   const found = recordValidators[release].find(({ prefix }) =>
     prefix.endsWith("/") ? key.startsWith(prefix) : key === prefix,
   );
-  if (found === undefined) return `${key}: not known there`;
+  if (found === undefined) return `${key}: unknown to that release`;
   return found.check(value) ? null : `${key}: ${ajv.errorsText(found.check.errors)}`;
 };
 const assertReadableByBoth = (key: string, value: unknown): void => {
@@ -105,7 +105,7 @@
 
 // --- names ----------------------------------------------------------------------------------------------------
 
-test("stored keys are these, letter by letter", () => {
+test("stored keys have exactly these names", () => {
   const names = Object.fromEntries(
     Object.entries(keys).map(([name, key]) => [
       name,
@@ -136,7 +136,7 @@
     "rental/req-000001",
     "types",
   ]);
-  // and the last landing reads each of them
+  // and the last release reads each of them
   const { prefixes, single, byId } = schemas.last.keys;
   for (const key of Object.values(names))
     assert.ok(single.includes(key) || [...prefixes, ...byId].some((p) => key.startsWith(p)), key);
@@ -151,7 +151,7 @@
     }
 });
 
-test("messages have the Avro names of both releases, in their order", () => {
+test("message schemas are those of both releases, with the same names in the same order", () => {
   for (const type of MESSAGE_TYPES)
     for (const release of ["production", "last"] as const)
       assert.deepEqual(
@@ -161,9 +161,9 @@
       );
 });
 
-// --- what the last landing wrote ------------------------------------------------------------------------------
+// --- what the last release wrote ------------------------------------------------------------------------------
 
-test("the kept schemas fit what is kept", () => {
+test("the kept records match the kept schemas", () => {
   for (const file of ["records", "messages", "schemas"])
     assert.equal(readKeptFile(`${LAST_RELEASE_DIR}/${file}`).commit, lastRelease.commit);
   const written = [...lastRelease.records, ...lastRelease.transactions.flatMap((t) => t.writes)];
@@ -173,7 +173,7 @@
     assert.ok(recordsUnder(prefix).length > 0 || prefix === "news/", `no record of ${prefix}`);
 });
 
-test("jobs, waiting jobs and released jobs of the last landing are read as they were meant", () => {
+test("blocked and released jobs of the last release decode to the same fields, and encode to the same bytes", () => {
   const jobs = [...recordsUnder("job/"), ...recordsUnder("job-waiting/")];
   for (const { key, value, meaning } of jobs) {
     const spec = decodeJobRecord(idOf(key), value);
@@ -191,7 +191,7 @@
       toJobSpecNames(present(meaning)),
       key,
     );
-    // and are what this version would have written, byte by byte
+    // this version encodes them to the same bytes
     const { accepted_ms: accepted, released_ms: released, ...submission } = value;
     const parsed = parseSubmission(JSON.stringify(submission));
     assert.ok(typeof parsed !== "string", key);
@@ -203,9 +203,9 @@
   assert.ok(recordsUnder("job/").filter(({ value }) => Number.isInteger(value["released_ms"])).length >= 3);
 });
 
-test("sets, commits, ranges and machines of the last landing are read as they were meant", () => {
+test("fan-in sets, commits, ranges and machine records of the last release decode to the same fields", () => {
   for (const { key, value, meaning } of recordsUnder("job-fanin/"))
-    assert.deepEqual(decodeFanin(value), meaning, `${key} as it was read there`);
+    assert.deepEqual(decodeFanin(value), meaning, `${key} as the last release read it`);
   const released = recordsUnder("job-fanin/").filter(({ meaning }) => present(meaning)["released"] === true);
   assert.ok(released.length >= 2 && released.length < recordsUnder("job-fanin/").length);
   const outcomes = recordsUnder("commit/").map(({ value }) => value["outcome"]);
@@ -226,7 +226,7 @@
   }
 });
 
-test("messages and news of the last landing are read as they were meant, and written as it would read them", () => {
+test("messages and updates of the last release decode to the same fields, and messages encode to the same bytes", () => {
   for (const type of MESSAGE_TYPES)
     assert.ok(
       messages.some((m) => m.type === type),
@@ -245,7 +245,7 @@
         `${type} at ${release}`,
       );
   }
-  // a member that couldn't name all workers vouches for nobody
+  // an incomplete update has mark -1: it says nothing of the workers that it omits
   assert.ok(
     messages.some(
       ({ type, meaning }) => type === "Sync" && meaning["mark"] === -1 && (meaning["seen"] as []).length > 0,
@@ -270,7 +270,7 @@
   }
 });
 
-// --- a process of this version on what the last landing left ----------------------------------------------------
+// --- a process of this version on the records of the last release --------------------------------------------
 
 class RecordingStateService extends FakeStateService {
   readonly transactions: KeyWrite[][] = [];
@@ -296,7 +296,7 @@
   for (const stop of stopFunctions) stop();
 });
 
-/** The kinds of keys that a transaction writes and deletes of one job: its shape, whichever job it is. */
+/** What a transaction writes and deletes for one job, by kind of key, so that different jobs can be compared. */
 const operationsOn = (writes: readonly KeyWrite[], id: string): string[] =>
   writes
     .filter(({ key }) => key.split("/")[1] === id)
@@ -307,7 +307,7 @@
   return operationsOn(writes, idOf(present(writes[0]).key));
 };
 
-test("this version goes on from waiting jobs, sets and released jobs of the last landing", async () => {
+test("this version takes over blocked jobs, fan-in sets and released jobs from the last release", async () => {
   const service = new ServiceFixture(new RecordingStateService());
   const { state, cloud } = service;
   await service.start();
@@ -320,24 +320,24 @@
   const joined = (count: number) => (value: Json) => (value["joined"] as string[]).length === count;
   putRecord("types");
   for (const id of ["01", "04", "19"]) putRecord(`commit/req-0000${id}`);
-  // released, with its set, by a leader that ended then
+  // released and its fan-in set still there: the leader ended right after the release
   putRecord("job/req-000002");
   putRecord("job-fanin/req-000002", (value) => value["released"] === true);
-  // waits for that one, and for one whose commit was joined already
+  // waits for that one and for a parent that has already joined
   putRecord("job-waiting/req-000003");
   putRecord("job-fanin/req-000003", joined(1));
-  // one that it needs is done, the last one without a join, since the leader ended
+  // all parents are done, but the leader ended before the last one joined
   putRecord("job-waiting/req-000030");
   putRecord("job-fanin/req-000030", joined(1));
   state.put("commit/req-000029", { outcome: "done", tasks: 2 });
   putRecord("job-waiting/req-000031");
   putRecord("job-fanin/req-000031");
-  // one that it needs is cancelled, and it wasn't passed on yet, nor from it
+  // a parent is cancelled, but the cancel has reached neither this job nor the one that depends on it
   putRecord("job-waiting/req-000010");
   putRecord("job-fanin/req-000010", joined(1));
   putRecord("job-waiting/req-000011");
   putRecord("job-fanin/req-000011", joined(0));
-  // a set that the commit of an earlier version left
+  // the fan-in set of a job that an earlier version committed without deleting the set
   putRecord("commit/req-000005");
   putRecord("job-fanin/req-000005", joined(1));
 
@@ -357,15 +357,15 @@
     await until(`${id} is cancelled`, async () => (await statusOf(`req-0000${id}`)) === "aborted");
   const keysLeft = (prefix: string): string[] =>
     [...state.rows.keys()].filter((key) => key.startsWith(prefix));
-  await until("nothing is left of them", () => keysLeft("job").length === 0);
+  await until("all keys of the jobs are deleted", () => keysLeft("job").length === 0);
 
-  // before its parent's commit nothing of a job starts, and nothing of a cancelled one ever does
+  // no task starts before the parent's commit, and none of a cancelled job ever starts
   const firstEventIndex = (event: string): number => cloud.taskEvents.findIndex((e) => e.startsWith(event));
   const lastDone = cloud.taskEvents.map((e) => e.startsWith("done req-000002/")).lastIndexOf(true);
   assert.ok(firstEventIndex("start req-000003/") > lastDone && lastDone >= 0);
   for (const id of ["10", "11", "01", "04"]) assert.equal(firstEventIndex(`start req-0000${id}/`), -1, id);
 
-  // each step is the transaction that the last landing makes of it, in names that both read
+  // each step is the same transaction as in the last release, with keys that both releases read
   const shapes = (id: string): string[][] =>
     state.transactions.map((t) => operationsOn(t, id)).filter((shape) => shape.length > 0);
   const includes = (id: string, what: string): void =>
--- a/test/state-client.test.ts
+++ b/test/state-client.test.ts
@@ -17,7 +17,7 @@
 });
 after(() => fakeState.stop());
 
-test("create-if-absent: the first wins for ever", async () => {
+test("create-if-absent: the first write wins, and later ones fail", async () => {
   const create = (value: string) =>
     client.commit([{ key: "commit/x", revision: 0 }], [{ put: "commit/x", value }]);
   const first = await run(create("a"));
@@ -27,7 +27,7 @@
   assert.equal(await run(client.get("commit/y")), null);
 });
 
-test("listing goes through all pages, and a watch from its revision misses nothing", async () => {
+test("a list reads all pages, and a watch from its revision misses no change", async () => {
   for (let i = 0; i < 8; i++) await run(client.commit([], [{ put: `page/${i}`, value: i }]));
   const list = await run(client.list("page/"));
   assert.deepEqual(
@@ -43,18 +43,18 @@
   ]);
 });
 
-test("what was refused is told from what may have been carried out", async () => {
+test("a refused write is distinguished from one that may have been applied", async () => {
   fakeState.injectedFailures = [{ status: 503, carriedOut: false }];
   assert.equal(await tagOf(client.commit([], [{ put: "a", value: 1 }])), "Unavailable");
   fakeState.injectedFailures = [{ status: 500, carriedOut: true }];
   assert.equal(await tagOf(client.commit([], [{ put: "b", value: 1 }])), "Unanswered");
-  // resolved by rereading
+  // a read shows that it was applied
   assert.equal((await run(client.get("b")))?.value, 1);
   const nobody = new StateClient("127.0.0.1:1", { rps: 10, writeRps: 10 }, 1);
   assert.equal(await tagOf(nobody.get("a")), "Unavailable");
 });
 
-test("keys go with their lease", async () => {
+test("keys are deleted with their lease", async () => {
   const leaseId = await run(client.grantLease(Duration.seconds(60)));
   await run(client.commit([], [{ put: "held", value: 1, leaseId }]));
   assert.equal(await run(client.renewLease(leaseId, Duration.seconds(1))), true);
--- a/test/upgrade-failover.test.ts
+++ b/test/upgrade-failover.test.ts
@@ -1,4 +1,8 @@
-/** One process of this version beside a controller of the version in production, which this test plays. */
+/**
+ * One process of this version beside a simulated controller of the version in production: as a member under its leader,
+ * as its successor, and as the leader of a term with both. Guards against an upgrade that loses jobs that production
+ * accepted, or after which production can't read the records.
+ */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
 import http from "node:http";
@@ -27,9 +31,9 @@
   for (const stop of stopFunctions) stop();
 });
 
-/** Writes down what is written, by whomever. */
+/** Records every write, whoever makes it. */
 class RecordingStateService extends FakeStateService {
-  /** All keys that were written, with their values. */
+  /** Every write, in order. */
   readonly puts: { key: string; value: unknown }[] = [];
   override async handle(request: http.IncomingMessage): Promise<[number, unknown]> {
     const before = this.revision;
@@ -41,7 +45,7 @@
   }
 }
 
-/** The leader of production: it accepts updates, and no commands. */
+/** A simulated leader of the version in production: it accepts updates and rejects deliveries of commands. */
 class ProductionLeader {
   readonly received: { type: MessageType; value: Json }[] = [];
   private readonly server = http.createServer((request, response) => {
@@ -93,7 +97,7 @@
   readonly members: readonly { name: string; incarnation: number; zone: string }[];
 }
 
-/** A process of this version, the leader of production and everything round them. */
+/** A process of this version, the simulated leader of production, and the fakes that both use. */
 class UpgradeFixture extends ServiceFixture<RecordingStateService> {
   readonly leader = new ProductionLeader();
   term: StoredTerm = { token: 4, key: 0, leader: "south", members: [] };
@@ -113,7 +117,7 @@
   async statusOf(ref: string): Promise<unknown> {
     return (await this.request("GET", `/v2/runs/${ref}`)).json["status"];
   }
-  /** What the process sent to the leader of production under the term with both. */
+  /** The updates that the process sent to the leader of production in the term with both. */
   syncRequests(): Json[] {
     return this.leader.received
       .filter(({ type, value }) => type === "Sync" && value["token"] === 5)
@@ -130,25 +134,25 @@
   }
 }
 
-/** Machines have names that the cloud here doesn't give, and nobody answers at their addresses. */
+/** The same machines under ids unknown to the fake cloud, at addresses where nothing listens. */
 const withUnreachableAddresses = (value: MachinesRecord): MachinesRecord => ({
   machines: Object.fromEntries(
     Object.entries(value.machines).map(([id, record]) => [`old-${id}`, { ...record, addr: "127.0.0.1:1" }]),
   ),
 });
 
-/** A job that production accepted, as a user submitted it. */
+/** The submission of a job that production accepted. */
 const sampleSubmission = (): Json => {
   const submission = { ...present(productionRecordsUnder<Json>(keys.job("req-000001"))[0]).value };
   delete submission["accepted_ms"];
   return submission;
 };
 
-/** What production left: the last write of each key. */
+/** Puts the records of production: the last write of each key. */
 const putProductionRecords = (state: FakeStateService): void => {
   for (const { key, value } of productionRecords) {
     if (key.startsWith(keys.cluster)) continue;
-    // as it was while two of the jobs were unfinished
+    // as it was while three of the jobs were unfinished
     const [kind, id] = key.split("/");
     const isUnfinished = id !== undefined && ["req-000001", "req-000003", "req-000019"].includes(id);
     if (kind === (isUnfinished ? "commit" : "job")) continue;
@@ -165,7 +169,7 @@
   state.put(keys.rangesOf("req-000050", "west.4", 0), { ranges: [[28, 35]] });
 };
 
-/** Makes the controller of production the leader. */
+/** Makes the simulated controller of production the leader. */
 const putProductionTerm = (upgrade: UpgradeFixture): void => {
   const { state } = upgrade;
   state.put(keys.member("south"), { zone: "east", permit: 1 });
@@ -192,7 +196,7 @@
   );
 
 const assertServesUnderProductionLeader = async (upgrade: UpgradeFixture): Promise<void> => {
-  await until("it joined", () => upgrade.state.rows.has(keys.member("north")));
+  await until("the process joined", () => upgrade.state.rows.has(keys.member("north")));
   const joined = present(upgrade.state.rows.get(keys.member("north"))).revision;
   upgrade.term = {
     ...upgrade.term,
@@ -200,10 +204,10 @@
     members: [{ name: "north", incarnation: joined, zone: "east" }, ...upgrade.term.members],
   };
   upgrade.state.put(keys.term, upgrade.term);
-  await until("it sends its updates and echoes the mark", () =>
+  await until("the process sends updates with the leader's mark", () =>
     upgrade.syncRequests().some((s) => (s["mark"] as number) > 1000),
   );
-  await until("users are answered", async () => (await upgrade.statusOf("req-000050")) === "queued");
+  await until("user requests are answered", async () => (await upgrade.statusOf("req-000050")) === "queued");
   const submission = sampleSubmission();
   const accept = await upgrade.request("POST", "/v2/runs", { ...submission, ref: "req-000051" });
   assert.equal(accept.status, 201);
@@ -214,14 +218,14 @@
 };
 
 const assertDeliversForProduction = async (upgrade: UpgradeFixture): Promise<void> => {
-  // commands of that leader go out; that nobody answers there is told to it
+  // the process delivers commands of that leader, and reports to it that the worker could not be reached
   const item = { id: 71, machine: "n-000001", addr: "127.0.0.1:1", session: 1, token: 5_000_000, orders: [] };
   const deliver = { term: upgrade.term, items: [item] };
   await until(
-    "it delivers",
+    "the delivery is accepted",
     async () => (await upgrade.sendMessage("Deliver", "Delivered", "/deliver", deliver))["accepted"] === true,
   );
-  await until("the outcome is sent", () =>
+  await until("the result of the delivery is sent", () =>
     upgrade
       .syncRequests()
       .some((s) => (s["outcomes"] as Json[]).some((o) => o["id"] === 71 && o["outcome"] === "unsent")),
@@ -229,12 +233,12 @@
 };
 
 const assertContinuesFromRecords = async (upgrade: UpgradeFixture): Promise<void> => {
-  // that leader ends; all that it accepted and left goes on
+  // that leader ends; this version continues all unfinished jobs
   upgrade.state.remove(keys.leader);
   upgrade.state.remove(keys.member("south"));
   for (const ref of ["req-000001", "req-000003", "req-000050", "req-000051"])
     await until(`${ref} done`, async () => (await upgrade.statusOf(ref)) === "done");
-  // it asks for two zones and there is one
+  // the service needs two zones, and there is one
   await until(
     "half of the service runs",
     async () => (await upgrade.request("GET", "/v2/runs/req-000019")).json["running"] === 1,
@@ -250,19 +254,22 @@
   ])
     assert.equal(await upgrade.statusOf(present(ref)), outcome);
   await until(
-    "ranges that production left of jobs that were over are swept",
+    "ranges of jobs that ended under production are deleted",
     () => ![...upgrade.state.rows.keys()].some((key) => /^ranges\/req-00000[24]\//.test(key)),
   );
-  // what production had rented would do for the next job: only once some of it is returned has this version to rent
-  await until("idle machines are returned", () => upgrade.cloud.machines.size < upgrade.cloud.maxMachines);
+  // machines rented by production suffice for the next job, so wait until some are released to make this version rent
+  await until("idle machines are released", () => upgrade.cloud.machines.size < upgrade.cloud.maxMachines);
   const more = { ...sampleSubmission(), ref: "req-000052", chores: 3, vcpus: 4 };
   assert.equal((await upgrade.request("POST", "/v2/runs", more)).status, 201);
-  await until("it rents", async () => (await upgrade.statusOf("req-000052")) === "done");
+  await until(
+    "the job runs on a newly rented machine",
+    async () => (await upgrade.statusOf("req-000052")) === "done",
+  );
   assert.equal(decodeTerm(present(upgrade.state.rows.get(keys.term)).value).number > 5, true);
 };
 
 const assertLeadsProductionMember = async (upgrade: UpgradeFixture): Promise<void> => {
-  // production comes back as a member: it is sent messages that it knows
+  // production comes back as a member, and gets only messages that it knows
   const before = upgrade.leader.received.length;
   upgrade.state.put(keys.member("south"), { zone: "east", permit: 2 });
   await until(
@@ -297,7 +304,7 @@
     );
 };
 
-test("this version serves under a leader of production, and goes on from its records", async () => {
+test("this version serves under a leader of production, and continues from its records", async () => {
   const upgrade = new UpgradeFixture();
   await upgrade.start();
   stopFunctions.push(() => upgrade.stop());
--- a/test/upgrade.test.ts
+++ b/test/upgrade.test.ts
@@ -1,6 +1,6 @@
 /**
- * During an upgrade the version in production and this one share the state service and talk to one another. What either
- * writes, the other has to read as it was meant.
+ * During an upgrade the version in production and this one share the state service and exchange messages. Guards
+ * against changes after which either can't read, or misreads, what the other writes.
  */
 import assert from "node:assert/strict";
 import { createHash } from "node:crypto";
@@ -49,14 +49,14 @@
 } from "./production-release.js";
 import { present } from "./present.js";
 
-test("what is kept comes from the version that deploy/service.toml names", () => {
+test("the kept files come from the version that deploy/service.toml names", () => {
   const deployed = readFileSync(new URL("../../../deploy/service.toml", import.meta.url), "utf8");
   for (const file of ["messages", "records", "schemas"])
     assert.equal(readKeptFile(file).commit, productionCommit);
   assert.equal(/^production = "([0-9a-f]{40})"$/m.exec(deployed)?.[1], productionCommit);
 });
 
-test("the kept schemas fit the kept records", () => {
+test("the kept records match the kept schemas", () => {
   for (const { key, value } of productionRecords) assert.equal(productionReadError(key, value), null);
   for (const { key, value } of productionUpdates.flatMap((n) => n.pieces))
     assert.equal(productionReadError(key, value), null);
@@ -64,7 +64,7 @@
     assert.ok(productionRecordsUnder(prefix).length > 0 || prefix === "news/", `no record of ${prefix}`);
 });
 
-test("records of production are read as they were meant", () => {
+test("records of production decode to the same fields, and encode to the same record", () => {
   for (const { key, value, meaning } of productionRecordsUnder<Json>(keys.jobs)) {
     const spec = decodeJobRecord(key.slice(keys.jobs.length), value);
     assert.ok(spec !== null, key);
@@ -75,7 +75,7 @@
     assert.deepEqual(Object.fromEntries(read), { ...toJobSpecNames(present(meaning)), dependsOn: [] });
     assert.equal(present(acceptanceTimeOf(value)).getTime(), value["accepted_ms"]);
     assert.equal(releaseTimeOf(value), null);
-    // and are what this version would have written, field by field
+    // this version encodes them to the same record
     const { accepted_ms: accepted, ...submission } = value;
     const parsed = parseSubmission(JSON.stringify(submission));
     assert.ok(typeof parsed !== "string");
@@ -128,7 +128,7 @@
   }
 });
 
-test("messages of production are read as they were meant, also news left in the state service", () => {
+test("messages of production, and updates in the state service, decode to the same fields", () => {
   for (const type of Object.keys(codecsByAvroName) as MessageType[])
     assert.ok(
       productionMessages.some((m) => m.type === type),
@@ -166,12 +166,12 @@
   }
 });
 
-test("messages of this version mean the same to production", () => {
+test("messages of this version decode to the same fields in production", () => {
   for (const { type, meaning } of productionMessages) {
     const bytes = codecsByAvroName[type].encode(toCodeNames(type, meaning));
     assert.deepEqual(jsonClone(productionTypes[type].fromBuffer(bytes)), meaning, type);
   }
-  // a member that couldn't name all workers it answered vouches for nobody; -1 has meant that before
+  // an incomplete update has mark -1, which production reads in the same way
   const sync = present(
     productionMessages.find((m) => m.type === "Sync" && (m.meaning["mark"] as number) >= 0),
   ).meaning;
@@ -179,7 +179,7 @@
     syncRequestCodec.encode(toCodeNames("Sync", { ...sync, mark: -1 }) as never),
   ) as Json;
   assert.equal(incomplete["mark"], -1);
-  // production puts pieces together in order, whatever their size
+  // production joins fragments in order, whatever their size
   for (const limits of [fragmentLimits(16, 16), fragmentLimits(2, 16)]) {
     const pieces = present(toFragments(toCodeNames("Sync", sync) as never, limits));
     const whole = Buffer.concat(pieces.map((p) => Buffer.from(p.data, "base64")));
@@ -210,7 +210,7 @@
   })),
 });
 
-test("ranges and records of machines of this version, also split ones, are read by production", () => {
+test("production reads ranges and machine records of this version, also split ones", () => {
   const partition = new WorkerPartition("north", 100, Duration.zero);
   partition.recordHeartbeat(heartbeatWithExitedTasks(40, 1), instant(0));
   for (const [seq, result] of [
@@ -222,7 +222,7 @@
     assert.ok(puts.length > 1);
     for (const { key, ranges } of puts) {
       assert.equal(productionReadError(key, { ranges }), null);
-      // production finds the job by the second part of the key
+      // production takes the job id from the second part of the key
       assert.equal(key.split("/")[1], "req-000001");
       assert.equal(key.split("/").length, 4);
     }
@@ -246,14 +246,14 @@
   assert.ok(present(split).pieces.length > 1);
   for (const p of present(split).pieces)
     assert.equal(productionReadError(p.key, { machines: p.machines }), null);
-  // production adds up all records of machines that it lists
+  // production merges all machine records that it lists
   assert.deepEqual(
     Object.assign({}, ...present(split).pieces.map((p) => p.machines)),
     Object.fromEntries(ids.map((id) => [id, machines[id]])),
   );
 });
 
-test("production neither lists, watches nor reads the keys that are new", () => {
+test("production neither lists, watches nor reads the keys that this version added", () => {
   const { prefixes, single, byId } = productionSchemas.keys;
   const addedKeys = [keys.blockedJobs, keys.blockedJob("req-000001"), keys.fanins, keys.fanin("req-000001")];
   const sharedKeys: string[] = [
@@ -281,7 +281,7 @@
   }
   for (const key of sharedKeys)
     assert.ok(single.includes(key) || [...prefixes, ...byId].some((p) => key.startsWith(p)), key);
-  // whatever `keys` gains is sorted into one of the two above; one prefix covers both and is only ever listed here
+  // every key is in one of the two lists above, but for one prefix that covers both and that only this version lists
   const names = Object.values(keys).map((x) =>
     typeof x === "string" ? x : (x as (...args: unknown[]) => string)("req-000001", "north.7", 0),
   );
--- a/test/user-writes.test.ts
+++ b/test/user-writes.test.ts
@@ -1,4 +1,4 @@
-/** Submissions and cancels that the state service refuses for its rate. */
+/** Retries of submissions and cancels that the state service refuses for its rate limit. */
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
 import * as Effect from "effect/Effect";
@@ -26,7 +26,7 @@
     Effect.either(commitForUser(client, [{ key, revision: 0 }], [{ put: key, value: "accepted" }])),
   );
 
-test("a user's write is served however many refusals for the rate come first, up to a bound", async () => {
+test("a user's write succeeds after up to MAX_RETRIES refusals for the rate, and fails after more", async () => {
   for (let seed = 1; seed <= SEEDS; seed++) {
     const refusals = uniformInt(xoroshiro128plus(seed), 0, MAX_REFUSALS);
     const key = `job/seed-${seed}`;
@@ -45,13 +45,13 @@
   }
 });
 
-test("what may have been carried out, and what an outage refuses, is not sent again", async () => {
+test("a write that may have been applied, or that an outage refuses, is not retried", async () => {
   for (const [status, carriedOut, tag] of [
     [503, false, "Unavailable"],
     [500, true, "Unanswered"],
   ] as const) {
     const key = `job/status-${status}`;
-    // a second attempt would find the truth
+    // a retry would succeed or conflict, and so show up in the result
     fakeState.injectedFailures = [{ status, carriedOut }];
     const result = await writeForUser(key);
     assert.ok(Either.isLeft(result) && result.left._tag === tag && !isRateLimited(result.left));
@@ -59,7 +59,7 @@
   }
 });
 
-test("a conflict is told as it is", async () => {
+test("a conflict is reported as one", async () => {
   fakeState.put("job/taken", "somebody else's");
   fakeState.injectedFailures = [{ status: 429, carriedOut: false }];
   const result = await writeForUser("job/taken");
--- a/test/wire-bytes.test.ts
+++ b/test/wire-bytes.test.ts
@@ -1,4 +1,4 @@
-/** The exact bytes of answers to users and workers, commands, cloud requests and changes in the state service. */
+/** The exact bytes of responses to users and workers, and of requests to workers, the cloud and the state service. */
 import assert from "node:assert/strict";
 import http from "node:http";
 import type { AddressInfo } from "node:net";
@@ -26,7 +26,7 @@
   '{"verb":"halt","chore":"req-000377/1","try":1,"leeway_s":10},' +
   '{"verb":"reap","chore":"req-000398/0","try":1}]';
 
-test("answers to heartbeats, and commands sent straight to a worker", () => {
+test("responses to heartbeats, and commands sent to a worker", () => {
   assert.equal(codec.heartbeatAnswer(41, COMMANDS), `{"baton":41,${ORDERS_JSON}}`);
   assert.equal(codec.heartbeatAnswer(41, []), '{"baton":41,"orders":[]}');
   assert.equal(codec.redirectAnswer("hearth-2"), '{"foreman":"hearth-2"}');
@@ -82,7 +82,7 @@
   );
 });
 
-// --- what users and workers are answered over HTTP -----------------------------------------------------
+// --- responses to users and workers over HTTP -----------------------------------------------------
 
 const fakeState = new FakeStateService();
 const log = makeLog("error", "test");
@@ -182,7 +182,7 @@
   assert.equal(await ask("POST", "/agent/beat", "{"), '400 {"error":"not a report"}');
 });
 
-test("paths and methods that there aren't", async () => {
+test("unknown paths and methods", async () => {
   assert.equal(await ask("GET", "/agent/beat"), '404 {"error":"no such path"}');
   assert.equal(await ask("GET", "/v2/runs"), '405 {"error":"POST a run here"}');
   assert.equal(await ask("GET", "/v2/runs/job-1"), '404 {"error":"no such run"}');
@@ -210,7 +210,7 @@
   assert.equal(fakeState.rows.size, 0);
 });
 
-test("a job from its submission to its end, and one that depends on it", async () => {
+test("a job from submission to cancellation, and one that depends on it", async () => {
   assert.equal(await submit("req-1"), '201 {"ref":"req-1","status":"queued"}');
   assert.equal(await submit("req-1"), '200 {"ref":"req-1","status":"queued"}');
   assert.equal(await submit("req-2", { awaits: ["req-1"] }), '201 {"ref":"req-2","status":"queued"}');
@@ -236,7 +236,7 @@
     await ask("GET", "/v2/runs/req-1"),
     '200 {"ref":"req-1","status":"aborted","done":0,"running":0}',
   );
-  // the cancel passes on to the job that depends on it
+  // the job that depends on it is cancelled as well
   assert.equal(
     await ask("GET", "/v2/runs/req-2"),
     '200 {"ref":"req-2","status":"aborted","done":0,"running":0}',
@@ -257,7 +257,7 @@
     '200 {"ref":"req-7","status":"done","done":5,"running":0}',
   );
   assert.equal(await ask("POST", "/v2/runs/req-7/cancel"), '200 {"ref":"req-7","status":"done"}');
-  // all that it depends on is done: released by the write that accepts it
+  // its parents are done: the write that accepts it releases it
   assert.equal(await submit("req-8", { awaits: ["req-7"] }), '201 {"ref":"req-8","status":"queued"}');
   assert.ok(fakeState.rows.has("job/req-8"));
   assert.equal(await ask("GET", "/v2/runs/req-9"), '404 {"error":"no such run"}');
--- a/test/wire-names.ts
+++ b/test/wire-names.ts
@@ -1,12 +1,12 @@
 /**
- * The Avro names of messages between controllers and what the code calls the same fields, written down a second time
- * beside `src/io/peer-codec.ts`: kept messages of other versions are read and compared with these names.
+ * Maps the Avro names of the messages between controllers to the names of the same fields in the code. It repeats the
+ * mapping of `src/io/peer-codec.ts` on purpose: tests compare the kept messages of other versions by it.
  */
 
 /** The messages between controllers, by their Avro names. */
 export type MessageType = "Sync" | "SyncAnswer" | "Deliver" | "Delivered" | "Word" | "WordAnswer";
 
-/** By Avro name: the name in the code, and the names within the record or list that the field holds. */
+/** By Avro name: the name in the code, and the names of the fields nested in it. */
 interface FieldNames {
   readonly [avroName: string]: string | readonly [string, FieldNames];
 }
@@ -52,7 +52,7 @@
   WordAnswer: { noneNewer: "knowsNoNewerTerm" },
 };
 
-/** By the name of a job's field in the kept records: its present name in `JobSpec`, where the two differ. */
+/** By the name of a job's field in the kept records: its name in `JobSpec`, where the two differ. */
 const JOB_SPEC_NAMES: Readonly<Record<string, string>> = {
   spread: "spreadOverZones",
   checkpoint: "checkpointInterval",
@@ -84,7 +84,7 @@
   return typeof name === "string" ? [name, {}] : name;
 };
 
-/** A message with Avro names, as the code names its fields. */
+/** Translates a message from Avro names to the names in the code. */
 export const toCodeNames = (type: MessageType, message: unknown): Json =>
   renameFields(
     message,
@@ -92,13 +92,13 @@
     (names) => (avroName) => nameAndNestedNames(names, avroName),
   ) as Json;
 
-/** A message as the code names its fields, with Avro names. */
+/** Translates a message from the names in the code to Avro names. */
 export const toAvroNames = (type: MessageType, message: unknown): Json =>
   renameFields(message, FIELD_NAMES[type], (names) => (name) => {
     const avroName = Object.keys(names).find((each) => nameAndNestedNames(names, each)[0] === name) ?? name;
     return [avroName, nameAndNestedNames(names, avroName)[1]];
   }) as Json;
 
-/** What another version read in a job record, as kept beside it, with the present names of `JobSpec`. */
+/** Translates a kept job's decoded fields to the names in `JobSpec`. */
 export const toJobSpecNames = (meaning: Json): Json =>
   Object.fromEntries(Object.entries(meaning).map(([name, value]) => [JOB_SPEC_NAMES[name] ?? name, value]));
