--- a/test/concurrent-faults-handover.test.ts
+++ b/test/concurrent-faults-handover.test.ts
@@ -1,6 +1,7 @@
 /**
- * More meetings of two troubles (docs/concurrent-faults.md): what is on its way or only half known when leaders and parts change
- * hands, as in `concurrent-faults.test.ts`.
+ * Concurrent faults (docs/concurrent-faults.md) around a change of leader, or of the member that serves a partition:
+ * messages in transit, unanswered writes and jobs cancelled at that moment. The checks are those of
+ * `concurrent-faults.test.ts`.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
@@ -12,7 +13,7 @@
 
 const SCENARIOS: readonly Scenario[] = [
   {
-    name: "new machines are up within two seconds and get work at once while writes lag, and the leader ends",
+    name: "new machines boot within two seconds and get work at once, while writes are delayed and the leader ends",
     faultRate: 0.2,
     run: (world) => {
       world.fastBoots = true;
@@ -34,7 +35,7 @@
     guards: [["record", ["ran_twice"]]],
   },
   {
-    name: "one-task jobs come four a second for minutes, a quarter of them cancelled",
+    name: "four one-task jobs a second are submitted for two minutes, and a quarter of them cancelled",
     faultRate: 0.2,
     seedCount: 3,
     run: (world, seed) => {
@@ -43,7 +44,7 @@
         const isLong = (i + seed) % 4 === 0;
         const [id] = world.submit(1, { tasks: 1, cpus: 1 }, [isLong ? 60_000 : 1500]);
         world.wait(250);
-        // called off before it is placed, on its way to a machine, or as it runs
+        // cancelled before it is placed, while its start command is in transit, or while it runs
         const cancelled = i >= 8 * (i % 3) ? world.unfinishedJobs().find((job) => job === id) : undefined;
         if (isLong && cancelled !== undefined) {
           world.wait((i % 3) * 150);
@@ -57,7 +58,7 @@
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
-    name: "jobs are cancelled in the seconds in which one controller's work changes hands",
+    name: "jobs are cancelled while the partition of a member that ended passes to others",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(10_000);
@@ -66,7 +67,7 @@
         world.runUntil(() => world.runningTaskCount(jobs) >= 8, 20_000);
         world.crashFollower(i % 2 === 0 ? 200 : 6000);
         for (const id of jobs) {
-          // before the others know, as the lease ends, and as the part is with its new member
+          // before the others notice, as the member's lease ends, and after its partition was reassigned
           world.wait(400 + ((seed + i) % 4) * 500);
           world.note("machines with cancelled tasks", world.cancel(id));
         }
@@ -78,7 +79,7 @@
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
-    name: "an old report reaches every controller just as a new leader begins",
+    name: "a delayed heartbeat reaches every controller just as a new leader begins",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(12_000);
@@ -86,23 +87,27 @@
         const deliverHeldBack = world.captureAllHeartbeats();
         const jobs = world.submit(4, { tasks: 4, cpus: 1 }, [20_000, 20_000, 20_000, 20_000]);
         world.runUntil(() => world.runningTaskCount(jobs) >= 8, 20_000);
-        // new machines, and those with tasks, can't tell the new leader at once what they have
+        // machines with tasks can't report them to the new leader at once
         world.injectMachineFault("cut", 4000, 6, jobs);
         const { leadersElected: leaders } = world;
         world.crashLeader(seed % 2 === 0 ? 300 : 8000);
         if (!world.runUntil(() => world.leadersElected > leaders, 15_000)) continue;
         for (let n = 0; n < 4; n++) {
-          world.note("reports as a leader begins", deliverHeldBack());
+          world.note("heartbeats delivered as a leader begins", deliverHeldBack());
           world.wait(250);
         }
         world.wait(9000);
       }
     },
-    minimumCounts: { "reports as a leader begins": 200, "leaders ended": 30, "copies after newer ones": 300 },
+    minimumCounts: {
+      "heartbeats delivered as a leader begins": 200,
+      "leaders ended": 30,
+      "copies after newer ones": 300,
+    },
     guards: [["seq", ["ran_twice"]]],
   },
   {
-    name: "a command of a leader that has ended or been deposed arrives after the new leader's",
+    name: "a command of a leader that ended or lost its lease arrives after commands of the new leader",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(10_000);
@@ -111,7 +116,7 @@
         world.submit(3, { tasks: 6, cpus: 1 });
         world.wait(600);
         if ((seed + i) % 2 === 0) world.crashLeader(300);
-        else if (world.isolateLeader(12_000, true) !== null) world.note("leaders deposed");
+        else if (world.isolateLeader(12_000, true) !== null) world.note("leaders cut off");
         world.lateCommandShare = 0.2;
         waitForLeader(world);
         world.wait(12_000);
@@ -119,14 +124,14 @@
     },
     minimumCounts: {
       "leaders ended": 24,
-      "leaders deposed": 18,
+      "leaders cut off": 18,
       "late orders": 100,
       "orders of an earlier leader": 30,
     },
     guards: [["confirm", ["ran_twice"]]],
   },
   {
-    name: "a transaction is carried out at once and only its answer is lost, while other nodes read what it wrote",
+    name: "a transaction is applied, its answer is lost, and other controllers read what it wrote",
     faultRate: 0.3,
     run: (world) => {
       world.wait(6000);
@@ -147,7 +152,7 @@
     guards: [["adopt", ["unserved"]]],
   },
   {
-    name: "every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes",
+    name: "every team is at its limit as jobs on machines that are cut off or hang are cancelled, and the leader changes",
     faultRate: 0.2,
     seedCountWithShards: 18,
     run: (world, seed) => {
@@ -163,12 +168,12 @@
       const queuedJobs = ["red", "blue"].flatMap((team) =>
         world.submit(1, { team, tasks: 3, cpus: 4 }, [9000, 9000, 9000]),
       );
-      // not one more of these tasks is allowed
+      // another task (4 processors) would exceed the limit (16)
       const isFull = (): boolean => ["red", "blue"].every((team) => world.teamCpus(team) > 12);
       if (world.runUntil(isFull, 40_000)) world.note("all teams at their limits");
       const fault = seed % 2 === 0 ? "cut" : "hung";
       world.note(
-        "machines struck",
+        "machines cut off or hung",
         world.injectMachineFault(fault, seed % 3 === 0 ? WORKER_LEASE_MS + 4000 : 7000, 3, [
           ...runningJobs,
           ...queuedJobs,
@@ -183,7 +188,7 @@
     },
     minimumCounts: {
       "all teams at their limits": 10,
-      "machines struck": 24,
+      "machines cut off or hung": 24,
       "machines with cancelled tasks": 30,
       "new leaders": 11,
     },
--- a/test/concurrent-faults-silence.test.ts
+++ b/test/concurrent-faults-silence.test.ts
@@ -1,6 +1,6 @@
 /**
- * Troubles that were on no list (docs/concurrent-faults.md): controllers that stand still for longer than every lease and wake with
- * an old picture, and jobs that fail on every machine until their users cancel them.
+ * Further faults (docs/concurrent-faults.md): controllers whose process is suspended for longer than its leases and
+ * resumes with outdated state, and jobs whose tasks fail on every machine until their users cancel them.
  */
 import assert from "node:assert/strict";
 import * as Duration from "effect/Duration";
@@ -11,7 +11,7 @@
 const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
 const waitForLeader = (world: World): boolean => world.runUntil(() => world.hasLeader(), 30_000);
 
-/** Jobs whose tasks run for long; they are at work when this returns. */
+/** Submits jobs with long tasks, and waits until several of them run. */
 const submitLongJobs = (world: World): string[] => {
   const jobs = world.submit(4, { tasks: 3, cpus: 2 }, [90_000, 90_000, 90_000]);
   world.runUntil(() => world.runningTaskCount(jobs) >= 6, 20_000);
@@ -27,14 +27,14 @@
 
 const SCENARIOS: readonly Scenario[] = [
   {
-    name: "leaders stand still for longer than every lease, one after the other, while jobs are cancelled",
+    name: "leaders are suspended one after another for longer than the worker lease, while jobs are cancelled",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(10_000);
       for (let i = 0; i < 3; i++) {
         const jobs = submitLongJobs(world);
         world.freezeLeader(i % 2 === 0 ? CANCEL_DEADLINE_MS + 8000 : WORKER_LEASE_MS + 6000);
-        // before anybody else leads, and under the next leader
+        // before there is another leader, and under the next one
         cancelAll(world, jobs.slice(0, 2), 300 + (seed % 3) * 400);
         if (waitForLeader(world)) world.note("new leaders");
         cancelAll(world, jobs.slice(2), 500);
@@ -49,7 +49,7 @@
     guards: [["confirm", ["ran_twice"]]],
   },
   {
-    name: "two controllers stand still at once, one of them leading, and the next leader right after them",
+    name: "the leader and another controller are suspended at once, and then the next leader",
     faultRate: 0.2,
     run: (world) => {
       world.wait(10_000);
@@ -66,13 +66,13 @@
     minimumCounts: { "controllers that stood still": 48, "machines with cancelled tasks": 60 },
   },
   {
-    name: "a leader stands still for some seconds inside its lease, again and again, while others cancel",
+    name: "the leader is repeatedly suspended for about the length of its own lease, while jobs are cancelled",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(10_000);
       for (let i = 0; i < 6; i++) {
         const jobs = submitLongJobs(world);
-        // shorter than its lease, about as long, and longer
+        // shorter than its lease (3 s), about as long, and longer
         world.freezeLeader(1500 + ((seed + i) % 4) * 800);
         cancelAll(world, jobs, 300);
         world.wait(6000);
@@ -83,7 +83,7 @@
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
-    name: "jobs fail on every machine while leaders end, and are cancelled in the end",
+    name: "jobs fail on every machine while leaders end, until users cancel them",
     faultRate: 0.2,
     run: (world) => {
       world.wait(8000);
@@ -94,14 +94,14 @@
         world.wait(12_000);
         world.crashLeader(i === 1 ? 300 : 5000);
         if (waitForLeader(world)) world.note("new leaders");
-        // jobs that are well are served beside those that fail
+        // other jobs are served meanwhile
         const areOthersOver = world.runUntil(
           () => otherJobs.every((id) => world.outcomeOf(id) !== null),
           60_000,
         );
         if (areOthersOver) world.note("others served");
       }
-      // they stay accepted, and known, until a user cancels them
+      // failing jobs remain accepted until a user cancels them
       for (const id of failingJobs) {
         assert.notEqual(world.outcomeOf(id), "done");
         assert.equal(world.unfinishedJobs().includes(id), world.outcomeOf(id) === null);
--- a/test/concurrent-faults-users.test.ts
+++ b/test/concurrent-faults-users.test.ts
@@ -1,6 +1,6 @@
 /**
- * Meetings of two troubles as users see them (docs/concurrent-faults.md): submissions, questions and cancels of ordinary jobs go
- * through any node, and no node may answer anything older than what a user was told.
+ * Concurrent faults as users see them (docs/concurrent-faults.md): jobs are submitted, queried and cancelled through any
+ * controller, and no answer may contradict what a user was told before.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
@@ -9,14 +9,14 @@
 const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
 const SMALL_JOB = { tasks: 1, cpus: 1 } as const;
 
-/** Users ask until every question would count as forgotten. */
+/** Ends all faults, and waits longer than the 75 s after which a job whose status requests fail counts as forgotten. */
 const outwaitForgottenLimit = (world: World): void => {
   world.stopFaults().wait(80_000);
 };
 
 const SCENARIOS: readonly Scenario[] = [
   {
-    name: "users ask at all nodes and repeat the submission right after an answer, some cancelling at once",
+    name: "users query all controllers and resubmit right after an answer, and cancel some jobs at once",
     faultRate: 0.3,
     run: (world, seed) => {
       world.wait(6000);
@@ -39,7 +39,7 @@
     guards: [["checked", ["went_back"]]],
   },
   {
-    name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
+    name: "users cancel, query and resubmit a job as its last task ends",
     faultRate: 0,
     run: (world) => {
       world.wait(6000);
@@ -59,7 +59,7 @@
     guards: [["checked", ["went_back"]]],
   },
   {
-    name: "users cancel and ask while the state service is slow, or refuses the leader and then everybody for long",
+    name: "users cancel and query jobs while the state service is slow, then refuses the leader and later all controllers",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(8000);
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -1,7 +1,7 @@
 /**
- * Meetings of two troubles (docs/concurrent-faults.md), each brought about in seeded runs: that both troubles really met is
- * counted, no rule may be broken, everything accepted is served afterwards, and where a guard is named the checker
- * has to notice that it is missing.
+ * Pairs of concurrent faults (docs/concurrent-faults.md) in seeded runs of the model. Each scenario counts how often its
+ * faults coincided; no rule may be broken, and every accepted job has to be served afterwards. With one of the named
+ * guards disabled the checker has to report a broken rule.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
@@ -9,9 +9,9 @@
 
 const WORKER_LEASE_MS = Duration.toMillis(TIMINGS.workerLease);
 const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
-/** Somebody leads and acts again. */
+/** Waits until a leader can act; returns whether one can. */
 const waitForLeader = (world: World): boolean => world.runUntil(() => world.hasLeader(), 30_000);
-/** Tasks that run for long, on several machines. */
+/** Submits jobs with long tasks on several machines, and waits until most of their tasks run. */
 const submitLongJobs = (world: World, count: number, taskMs = 60_000): string[] => {
   const jobs = world.submit(count, { tasks: 3, cpus: 4 }, [taskMs, taskMs, taskMs]);
   world.runUntil(() => world.runningTaskCount(jobs) >= count * 2, 25_000);
@@ -20,7 +20,7 @@
 
 const SCENARIOS: readonly Scenario[] = [
   {
-    name: "leaders change ten times in two minutes, also inside an outage",
+    name: "leaders change ten times in two minutes, also during an outage of the state service",
     run: (world) => {
       world.wait(15_000);
       const before = { leaders: world.leadersElected, at: world.now };
@@ -36,7 +36,7 @@
     guards: [["confirm", ["ran_twice", "quota"]]],
   },
   {
-    name: "a transaction without an answer is carried out late, after newer ones of the same controller",
+    name: "an unanswered transaction is applied late, after newer ones of the same controller",
     run: (world) => {
       world.lateWriteShare = 0.3;
       world.cancelAtEndShare = 0.3;
@@ -46,7 +46,7 @@
         world.crashLeader(300);
         world.wait(5000);
       }
-      // leaders that end as soon as they have written their term, perhaps for later
+      // leaders end right after writing their term, and this write may be delayed
       for (let i = 0; i < 4; i++) {
         const { leadersElected: leaders } = world;
         world.crashLeader(300);
@@ -62,14 +62,14 @@
     },
     guards: [
       ["absent", ["went_back"]],
-      // an earlier leader's term overwrites the present one, and nobody acts any more
+      // an earlier leader's term overwrites the current one, and no leader can act
       ["stamp", ["unserved"]],
       ["adopt", ["unserved"]],
       ["key", ["lost_finish"]],
     ],
   },
   {
-    name: "more work than room, urgent and not, over slow links",
+    name: "more work than capacity, at several priorities, over slow links",
     run: (world) => {
       world.wait(10_000);
       world.maxLinkDelayMs = 1500;
@@ -78,16 +78,16 @@
         world.submit(2, { tasks: 6, cpus: 2, priority: "high", team: "red" });
         world.submit(1, { tasks: 3, cpus: 4, priority: "production" });
         world.wait(6000);
-        if (world.pendingTaskCount() > 12) world.note("more waiting than room");
+        if (world.pendingTaskCount() > 12) world.note("more tasks waiting than capacity");
       }
       world.crashLeader(1000);
       world.wait(25_000);
     },
-    minimumCounts: { "more waiting than room": 36, "leaders ended": 10 },
+    minimumCounts: { "more tasks waiting than capacity": 36, "leaders ended": 10 },
     guards: [["quota", ["quota"]]],
   },
   {
-    name: "a leader ends while machines with long tasks can't be reached, or don't hear the new leader",
+    name: "the leader ends while machines with long tasks are unreachable or can't hear the new leader",
     run: (world, seed) => {
       world.wait(10_000);
       const jobs = submitLongJobs(world, 3);
@@ -105,7 +105,7 @@
     guards: [["confirm", ["ran_twice"]]],
   },
   {
-    name: "an old report arrives after newer ones, also from an earlier session or attempt",
+    name: "a delayed heartbeat arrives after newer ones, also from an earlier worker epoch or attempt",
     faultRate: 1.5,
     seedCount: 24,
     run: (world) => {
@@ -130,7 +130,7 @@
     ],
   },
   {
-    name: "controllers hand over and back, all end, and one returns, also within a second",
+    name: "leadership changes back and forth, all controllers end, and one returns, also within a second",
     run: (world, seed) => {
       world.wait(12_000);
       submitLongJobs(world, 2, 20_000);
@@ -143,17 +143,17 @@
         world.wait(1500);
       }
       world.crashAll(seed % 3, 100 + (seed % 5) * 200, 5000 + (seed % 3) * 4000);
-      world.note("all ended");
-      world.note("tasks at that time", world.runningTaskCount());
+      world.note("stops of all controllers");
+      world.note("running tasks", world.runningTaskCount());
       waitForLeader(world);
       world.note("leaders", world.leadersElected - before);
       world.wait(20_000);
     },
-    minimumCounts: { "all ended": 12, "tasks at that time": 24, leaders: 36 },
+    minimumCounts: { "stops of all controllers": 12, "running tasks": 24, leaders: 36 },
     guards: [["confirm", ["ran_twice", "quota"]]],
   },
   {
-    name: "a command or its answer is held up for seconds, and the machine then goes on",
+    name: "commands or their answers are delayed for seconds, while machines hang and resume",
     run: (world) => {
       world.delayedCommandShare = 0.4;
       for (let i = 0; i < 6; i++) {
@@ -172,7 +172,7 @@
     guards: [["doubt", ["ran_twice"]]],
   },
   {
-    name: "a report is held back until a new leader has acted, and then arrives there",
+    name: "a heartbeat is delayed until a new leader has acted, and then reaches that leader",
     run: (world) => {
       world.wait(12_000);
       for (let i = 0; i < 3; i++) {
@@ -184,15 +184,15 @@
         world.submit(2, { tasks: 4 });
         const before = world.attemptsStarted;
         if (world.runUntil(() => world.attemptsStarted > before + 2, 15_000))
-          world.note("reports held back", deliverHeldBack());
+          world.note("heartbeats held back", deliverHeldBack());
         world.wait(9000);
       }
     },
-    minimumCounts: { "reports held back": 48, "copies after newer ones": 24 },
+    minimumCounts: { "heartbeats held back": 48, "copies after newer ones": 24 },
     guards: [["seq", ["ran_twice"]]],
   },
   {
-    name: "a cancellation, a question or a repeated submission meets the end of a job's last task",
+    name: "a job is cancelled, queried or resubmitted as its last task ends",
     faultRate: 0,
     run: (world) => {
       world.cancelAtEndShare = 0.7;
@@ -201,7 +201,7 @@
         world.submit(4, { tasks: 1 + (i % 3), cpus: 1 });
         world.wait(6000);
       }
-      // the same once more with the first of two identical requests coming last
+      // again, with delayed writes: the first of two identical requests may be applied last
       world.lateWriteShare = 0.2;
       for (let i = 0; i < 4; i++) {
         world.submit(4, { tasks: 1 + (i % 2), cpus: 1 });
@@ -222,7 +222,7 @@
       world.runTo(20_000);
       world.submit(4, { tasks: 4, cpus: 2 }, [30_000, 30_000, 30_000, 30_000]);
       world.wait(6000);
-      world.note("tasks at that time", world.runningTaskCount());
+      world.note("running tasks", world.runningTaskCount());
       world.cutZone(seed % 2 === 0 ? "west" : "east", 60_000);
       for (let i = 0; i < 4; i++) {
         world.wait(4000);
@@ -231,11 +231,11 @@
       }
       world.runTo(110_000);
     },
-    minimumCounts: { "tasks at that time": 60, "machines with cancelled tasks": 24 },
+    minimumCounts: { "running tasks": 60, "machines with cancelled tasks": 24 },
     guards: [["fence", ["ran_cancelled", "ran_twice"]]],
   },
   {
-    name: "a leader is cut from the state service and the others, its workers and users are not, and jobs are cancelled",
+    name: "the leader is cut off from the state service and the other controllers, but not from workers, as jobs are cancelled",
     faultRate: 0.2,
     run: (world) => {
       world.wait(12_000);
@@ -250,7 +250,7 @@
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
-    name: "the state service is slow, or refuses the leader and then everybody for long, while users cancel",
+    name: "the state service is slow, then refuses the leader and later all controllers, while users cancel jobs",
     faultRate: 0.3,
     run: (world, seed) => {
       world.wait(15_000);
@@ -261,13 +261,13 @@
       world.maxStateDelayMs = seed % 2 === 0 ? 0 : 800;
       waitForLeader(world);
       world.faultRate = 0;
-      world.note("cancelled behind the leader's back", world.cancelUnseenByLeader(7000, 3000));
+      world.note("cancellations unknown to the leader", world.cancelUnseenByLeader(7000, 3000));
     },
-    minimumCounts: { "machines with cancelled tasks": 12, "cancelled behind the leader's back": 8 },
+    minimumCounts: { "machines with cancelled tasks": 12, "cancellations unknown to the leader": 8 },
     guards: [["read", ["ran_cancelled"]]],
   },
   {
-    name: "jobs bound to one zone, arrays too, lose machines",
+    name: "jobs restricted to one zone lose machines",
     faultRate: 0.3,
     run: (world, seed) => {
       world.wait(8000);
@@ -292,7 +292,7 @@
     guards: [["zone", ["wrong_place"]]],
   },
   {
-    name: "jobs are cancelled as the state service refuses the leader alone, and soon it is out for longer",
+    name: "jobs are cancelled while the state service refuses only the leader, shortly before an outage",
     faultRate: 0.3,
     seedCount: 24,
     run: (world, seed) => {
@@ -304,7 +304,7 @@
     guards: [["read", ["ran_cancelled"]]],
   },
   {
-    name: "workers can't open connections to any controller, while direct orders still reach them",
+    name: "workers can't connect to any controller, while commands still reach them",
     run: (world, seed) => {
       world.wait(10_000);
       for (let i = 0; i < 3; i++) {
@@ -327,7 +327,7 @@
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
-    name: "jobs of two or three tasks end far apart across a change of leader",
+    name: "the leader changes between the finishes of a job's tasks",
     run: (world, seed) => {
       world.randomCancels = false;
       world.wait(8000);
@@ -335,41 +335,41 @@
       const hasFirstFinish = world.runUntil(() => world.completedTaskCount(jobs) >= 1, 15_000);
       world.crashLeader(seed % 2 === 0 ? 300 : 8000);
       if (waitForLeader(world) && hasFirstFinish && world.runningTaskCount(jobs) > 0)
-        world.note("leaders between two ends");
+        world.note("new leaders between two finishes");
       world.runUntil(() => world.completedTaskCount(jobs) >= 4, 20_000);
       world.crashLeader(300);
       world.runUntil(() => jobs.every((id) => world.outcome(id) !== null), 60_000);
       world.note("done", jobs.filter((id) => world.outcome(id) === "done").length);
     },
-    minimumCounts: { "leaders between two ends": 10, done: 24 },
+    minimumCounts: { "new leaders between two finishes": 10, done: 24 },
   },
   {
-    name: "all controllers are away for longer than a lease",
+    name: "all controllers are down for longer than a worker lease",
     faultRate: 0.3,
     run: (world, seed) => {
       world.wait(10_000);
       submitLongJobs(world, 3);
-      world.note("tasks at that time", world.runningTaskCount());
+      world.note("running tasks", world.runningTaskCount());
       const downMs = WORKER_LEASE_MS + 2000 + (seed % 4) * 4000;
       world.crashAll(seed % 3, downMs, downMs + (seed % 2) * 3000);
       world.wait(downMs - 100);
-      world.note("tasks left", world.runningTaskCount());
+      world.note("tasks still running", world.runningTaskCount());
       if (waitForLeader(world)) world.note("new leaders");
       world.wait(15_000);
     },
-    minimumCounts: { "tasks at that time": 60, "new leaders": 12 },
+    minimumCounts: { "running tasks": 60, "new leaders": 12 },
   },
   {
-    name: "a team is at its limit when the leader changes, some of its machines can't be asked, and a job is cancelled",
+    name: "a team is at its limit as the leader changes, some of its machines are unreachable and jobs are cancelled",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(8000);
       const taskDurations = [40_000, 40_000, 40_000];
       const jobs = world.submit(4, { team: "red", tasks: 3, cpus: 4 }, taskDurations);
-      if (world.runUntil(() => world.teamCpus("red") >= 24, 25_000)) world.note("at the limit");
+      if (world.runUntil(() => world.teamCpus("red") >= 24, 25_000)) world.note("team at its limit");
       const trouble = seed % 2 === 0 ? "cut" : "hung";
       world.note(
-        "machines that can't be asked",
+        "unreachable machines",
         world.injectMachineFault(trouble, 9000 + (seed % 3) * 4000, 2, jobs),
       );
       world.crashLeader(seed % 3 === 0 ? 300 : 8000);
@@ -380,15 +380,15 @@
       world.wait(25_000);
     },
     minimumCounts: {
-      "at the limit": 8,
-      "machines that can't be asked": 12,
+      "team at its limit": 8,
+      "unreachable machines": 12,
       "new leaders": 12,
       "machines with cancelled tasks": 18,
     },
     guards: [["confirm", ["quota", "ran_twice"]]],
   },
   {
-    name: "many jobs are cancelled at once while machines with their tasks hang",
+    name: "many jobs are cancelled at once while the machines with their tasks hang",
     faultRate: 0.2,
     run: (world, seed) => {
       world.wait(10_000);
--- a/test/four-thousand.test.ts
+++ b/test/four-thousand.test.ts
@@ -1,6 +1,6 @@
 /**
- * No fixed limit may stand below 4,000 machines. Work is counted and messages are measured in bytes, at 4,000 and at 6,000
- * machines, so that no verdict depends on the clock.
+ * Fixed limits in the code must allow for 4,000 machines and more. The tests count work and message sizes with 4,000 and
+ * 6,000 machines and measure no times, so that they don't depend on the processor's load.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -17,11 +17,11 @@
 import { TYPES } from "./model.js";
 
 const FLEET_SIZES = [4000, 6000];
-/** What a controller takes of another's message. */
+/** Size up to which a controller accepts another's message. */
 const MAX_MESSAGE_BYTES = 4 * 1024 * 1024;
-/** The smallest values of the state service that a deployment names. */
+/** The smallest limit on a stored value among all deployments. */
 const MIN_VALUE_LIMIT_KB = 4;
-/** Tasks of a quarter of a processor fill a machine of eight. */
+/** A machine with 8 processors is full with tasks of a quarter of one. */
 const TASKS_PER_MACHINE = 32;
 
 const TERM: TermRecord = {
@@ -69,7 +69,7 @@
     exitReason: null,
   }));
 
-/** A leader that has just reread the records of so many machines. */
+/** The scheduler of a new leader that has just read the records of so many machines. */
 const newLeader = (machines: number, idleBoots = 0.6): Scheduler => {
   const options = {
     timings: TIMINGS,
@@ -95,7 +95,7 @@
   decisions.filter((decision): decision is Extract<Decision, { kind: K }> => decision.kind === kind);
 
 for (const machines of FLEET_SIZES) {
-  test(`a new leader is told of ${machines} full machines in messages that controllers take`, () => {
+  test(`a new leader receives the heartbeats of ${machines} full machines in messages within the size limit`, () => {
     const partition = new WorkerPartition("a", 3000, Duration.seconds(4));
     partition.setTerm({ ...TERM, members: [TERM.members[0]!] });
     for (let n = 0; n < machines; n++)
@@ -127,7 +127,7 @@
     assert.ok(largest < MAX_MESSAGE_BYTES / 4, `${largest} bytes`);
   });
 
-  test(`a new leader of ${machines} machines rents, returns and starts nothing until they had time to report`, () => {
+  test(`a new leader of ${machines} machines rents, releases and starts nothing before they had time to report`, () => {
     const scheduler = newLeader(machines);
     scheduler.jobReleased(largeFleetJob(1, { tasks: 25_000, cpus: 0.25, memoryGb: 0.5 }), 400, instant(0));
     for (let now = 250; now <= 6000; now += 250) {
@@ -135,11 +135,11 @@
       assert.equal(decisionsOfKind(decisions, "rent").length, 0);
       assert.equal(decisionsOfKind(decisions, "release").length, 0);
       const sentCommands = decisionsOfKind(decisions, "commands").flatMap(({ commands }) => commands);
-      assert.equal(sentCommands.length, 0, "an earlier leader may have started them");
+      assert.equal(sentCommands.length, 0, "an earlier leader may have started the tasks already");
     }
   });
 
-  test(`an array of 25,000 tasks is started on ${machines} machines, and a step looks at no machine without room`, () => {
+  test(`an array of 25,000 tasks starts on ${machines} machines, and a step then doesn't visit all machines`, () => {
     const scheduler = newLeader(machines);
     sendAllHeartbeats(scheduler, machines, 1, instant(1000));
     assert.equal(scheduler.cluster.unconfirmed.size, 0);
@@ -163,7 +163,7 @@
     assert.ok(counter.visits < machines, `${counter.visits} visits`);
   });
 
-  test(`${machines} idle machines are returned in requests of a hundred, and not asked for again while these wait`, () => {
+  test(`${machines} idle machines are released in requests of at most 100, which are not repeated while queued`, () => {
     const scheduler = newLeader(machines);
     sendAllHeartbeats(scheduler, machines, 1, instant(1000));
     scheduler.step(instant(1000));
@@ -173,7 +173,7 @@
     const released = decisionsOfKind(scheduler.stepAutoscaler(later), "release");
     assert.ok(released.every(({ machines: ids }) => ids.length <= 100));
     assert.equal(released.flatMap(({ machines: ids }) => ids).length, machines);
-    // three requests a second, as the cloud takes them: a second round would only make the queue longer
+    // the cloud accepts three requests a second: repeating them earlier would only lengthen the queue
     const seconds = machines / 100 / 3;
     for (let second = 6; second <= seconds; second++) {
       const repeated = decisionsOfKind(scheduler.stepAutoscaler(instant(60_000 + second * 1000)), "release");
@@ -181,7 +181,7 @@
     }
   });
 
-  test(`the records of ${machines} machines fit the smallest values, and those of machines gone are deleted`, () => {
+  test(`the records of ${machines} machines fit the smallest value limit, and are deleted with their machines`, () => {
     const entries = Array.from({ length: machines }, (_, n) => [machineName(n), machineRecord(n)] as const);
     const blocks = splitRecord(entries, maxValueBytes(MIN_VALUE_LIMIT_KB), 40);
     const largest = Math.max(...blocks.map((block) => JSON.stringify({ machines: block }).length));
@@ -203,7 +203,7 @@
     assert.ok(sweeps <= Math.ceil(blocks.length / 16), `${sweeps} sweeps`);
   });
 
-  test(`a zone with half of ${machines} machines falls silent: all are asked in turn, none is given up at once`, () => {
+  test(`when a zone with half of ${machines} machines is silent, each is probed and none is released at once`, () => {
     const scheduler = newLeader(machines, 100);
     sendAllHeartbeats(scheduler, machines, 1, instant(1000));
     const asked = new Set<string>();
@@ -242,15 +242,15 @@
   });
 }
 
-test("commands for many machines go in messages of bounded size", () => {
-  const items = Array.from({ length: 6000 }, (_, n) => ({ n, orders: TASKS_PER_MACHINE }));
-  const parts = groupByWeight(items, ({ orders: commands }) => 2 + commands, 10_000);
+test("commands for many machines are sent in messages of bounded size", () => {
+  const items = Array.from({ length: 6000 }, (_, n) => ({ n, commandCount: TASKS_PER_MACHINE }));
+  const parts = groupByWeight(items, ({ commandCount }) => 2 + commandCount, 10_000);
   assert.deepEqual(parts.flat(), items);
   assert.ok(
-    parts.every((part) => part.reduce((sum, { orders: commands }) => sum + 2 + commands, 0) <= 10_000),
+    parts.every((part) => part.reduce((sum, { commandCount }) => sum + 2 + commandCount, 0) <= 10_000),
   );
   assert.deepEqual(
-    groupByWeight([{ n: 0, orders: 20_000 }], ({ orders: commands }) => commands, 10_000).length,
+    groupByWeight([{ n: 0, commandCount: 20_000 }], ({ commandCount }) => commandCount, 10_000).length,
     1,
   );
 });
--- a/test/mixed-machines.test.ts
+++ b/test/mixed-machines.test.ts
@@ -1,8 +1,8 @@
 /**
- * Records of machines while versions are mixed, in seeded runs: leaders of the version in production and of this one
- * follow one another, machines come and go, answers are lost and writes come late. The former rewrites a record as it
- * is, this one splits what is too large. A machine that isn't gone must always be in some record, and production must
- * be able to read each of them.
+ * Machine records while versions are mixed, in seeded runs: leaders of the production version ("old") and of this one
+ * ("new") alternate, machines come and go, answers are lost and writes are delayed. Old leaders rewrite a record as a
+ * whole, new ones split a record that is too large. Every machine that is up must be in a record at all times, and the
+ * production version must be able to read every record.
  */
 import assert from "node:assert/strict";
 import { readFileSync } from "node:fs";
@@ -14,11 +14,11 @@
 import { MachineRecordStore, type Rewrite } from "../src/service/leader/machine-record-store.js";
 
 type Guard =
-  /** A record that is split is deleted before its pieces are written. */
+  /** The pieces of a split are written in the transaction that deletes the record. */
   "pieces";
 interface Write {
   readonly term: number;
-  /** Keys that mustn't exist. */
+  /** Condition: none of these keys exists. */
   readonly absentKeys: readonly string[];
   readonly puts: Readonly<Record<string, MachinesRecord>>;
   readonly deletes: readonly string[];
@@ -47,7 +47,7 @@
   private readonly rows = new Map<string, MachinesRecord>();
   private readonly liveMachines = new Set<string>();
   private delayedWrites: { readonly dueStep: number; readonly write: Write }[] = [];
-  private turn = 0;
+  private stepNumber = 0;
   private machineCount = 0;
   private hasNoFaults = false;
   private leader: Leader;
@@ -66,24 +66,24 @@
     this.counts.set(what, (this.counts.get(what) ?? 0) + 1);
   }
 
-  /** A leader of this version takes over, and reads all records. */
+  /** Starts a new leader of this version, which reads all records. */
   private takeOver(version: Leader["version"], term: number): Leader {
-    const blocks = new MachineRecordStore();
+    const store = new MachineRecordStore();
     const seen = new Set<string>();
     for (const [key, { machines }] of this.rows) {
-      blocks.add(key, machines);
+      store.add(key, machines);
       for (const id of Object.keys(machines)) {
         if (seen.has(id)) this.count(`machines in two records, read by ${version} leaders`);
         seen.add(id);
       }
     }
-    for (const id of seen) if (!this.liveMachines.has(id)) blocks.remove(id);
-    this.leader = { version, term, store: blocks, keyCount: 0 };
+    for (const id of seen) if (!this.liveMachines.has(id)) store.remove(id);
+    this.leader = { version, term, store, keyCount: 0 };
     return this.leader;
   }
   private readonly newKey = (): string => keys.machinesOf(`${this.leader.term}-${++this.leader.keyCount}`);
 
-  /** The keys whose conditions failed. */
+  /** Applies a write if its conditions hold; returns the keys whose conditions failed. */
   private apply(write: Write): string[] {
     if (write.term !== this.leader.term) return [keys.leader];
     const failed = write.absentKeys.filter((key) => this.rows.has(key));
@@ -95,36 +95,36 @@
     }
     return [];
   }
-  /** null: no answer; it was carried out, or will be, or never. */
+  /** Sends a write; null: no answer, and the write was applied or may be later. */
   private send(write: Write): string[] | null {
     const draw = this.hasNoFaults ? 1 : this.random();
     if (draw < 0.15) {
-      this.delayedWrites.push({ dueStep: this.turn + Math.floor(this.random() * 40), write });
+      this.delayedWrites.push({ dueStep: this.stepNumber + Math.floor(this.random() * 40), write });
       return null;
     }
     const result = this.apply(write);
     return draw < 0.3 ? null : result;
   }
 
-  /** Machines are recorded before they may hold tasks. */
+  /** Records new machines, which may be used only after that. */
   private recordNewMachines(): void {
-    const { store: blocks, term } = this.leader;
+    const { store, term } = this.leader;
     const key = this.newKey();
     const ids = Array.from({ length: 4 + Math.floor(this.random() * 6) }, () => `n-${++this.machineCount}`);
     const machines = Object.fromEntries(ids.map((id) => [id, RECORD]));
-    blocks.add(key, machines);
+    store.add(key, machines);
     const answer = this.send({ term, absentKeys: [key], puts: { [key]: { machines } }, deletes: [] });
     if (answer !== null && answer.length === 0) for (const id of ids) this.liveMachines.add(id);
-    // nobody uses those without an answer
-    else for (const id of ids) blocks.remove(id);
+    // machines whose write got no answer are never used
+    else for (const id of ids) store.remove(id);
   }
 
   private rewriteRecords(): void {
-    const { store: blocks, term, version } = this.leader;
-    // the limit is lower now and then, as an announced one would be
+    const { store, term, version } = this.leader;
+    // the limit varies, as the state service may lower it at any time
     const limits = { valueBytes: 300 + this.random() * 500, txnBytes: 50_000, newKey: this.newKey };
     const rewrites =
-      version === "new" ? blocks.pendingRewrites(MAX_OPS, limits) : blocks.pendingRewrites(MAX_OPS);
+      version === "new" ? store.pendingRewrites(MAX_OPS, limits) : store.pendingRewrites(MAX_OPS);
     if (rewrites.length === 0) return;
     const pieces = rewrites.flatMap((rewrite) => rewrite.pieces);
     const omitsPieces = this.disabledGuard === "pieces" && pieces.length > 0;
@@ -144,22 +144,22 @@
     this.handleRewriteAnswer(rewrites, answer);
   }
   private handleRewriteAnswer(rewrites: readonly Rewrite[], answer: string[] | null): void {
-    const { store: blocks, version } = this.leader;
+    const { store, version } = this.leader;
     if (answer === null) return;
-    // a piece that exists: an earlier copy of its split was carried out
+    // a piece that exists shows that an earlier copy of its split was applied
     if (answer.length > 0)
-      return blocks.markWritten(
+      return store.markWritten(
         rewrites.filter((rewrite) => rewrite.pieces.some((p) => answer.includes(p.key))),
       );
-    blocks.markWritten(rewrites);
+    store.markWritten(rewrites);
     for (const { pieces } of rewrites)
       this.count(pieces.length > 0 ? "records split" : `records rewritten by ${version} leaders`);
   }
 
   private step(): void {
-    this.turn++;
-    const due = this.delayedWrites.filter((x) => x.dueStep <= this.turn);
-    this.delayedWrites = this.delayedWrites.filter((x) => x.dueStep > this.turn);
+    this.stepNumber++;
+    const due = this.delayedWrites.filter((delayed) => delayed.dueStep <= this.stepNumber);
+    this.delayedWrites = this.delayedWrites.filter((delayed) => delayed.dueStep > this.stepNumber);
     for (const { write } of due) {
       const isApplied = this.apply(write).length === 0;
       this.count(isApplied ? "late writes carried out" : "late writes refused");
@@ -186,10 +186,10 @@
   }
 
   run(): this {
-    while (this.turn < STEP_COUNT && this.broken.size === 0) this.step();
+    while (this.stepNumber < STEP_COUNT && this.broken.size === 0) this.step();
     return this;
   }
-  /** Once troubles are over a leader of this version removes what is gone; returns what it leaves of that. */
+  /** Ends all faults and lets a leader of this version clean up; returns machines that are gone but still recorded. */
   cleanUp(version: Leader["version"]): string[] {
     this.hasNoFaults = true;
     this.delayedWrites = [];
@@ -209,7 +209,7 @@
   "machines in two records, read by new leaders": 60,
 };
 
-test("records of machines under leaders of both versions: none is lost, none is left", () => {
+test("under leaders of both versions no machine that is up loses its record, and the records of others are deleted", () => {
   const total = new Map<string, number>();
   for (let seed = 1; seed <= SEED_COUNT; seed++) {
     const run = new MixedVersionsRun(seed).run();
@@ -217,9 +217,9 @@
     assert.deepEqual(
       run.cleanUp(seed % 2 === 0 ? "old" : "new"),
       [],
-      `seed ${seed}: records of machines gone`,
+      `seed ${seed}: records of machines that are gone`,
     );
-    assert.deepEqual([...run.broken], [], `seed ${seed}, once all is over`);
+    assert.deepEqual([...run.broken], [], `seed ${seed}, after the faults ended`);
     for (const [what, n] of run.counts) total.set(what, (total.get(what) ?? 0) + n);
   }
   if (process.env["COUNTS"] !== undefined) console.log(Object.fromEntries(total));
@@ -227,7 +227,7 @@
     assert.ok((total.get(what) ?? 0) >= least, `${what}: only ${total.get(what) ?? 0} of ${least}`);
 });
 
-test("a record deleted before its pieces are written is noticed", () => {
+test("a record that is deleted without writing its pieces is noticed", () => {
   const noticed = Array.from(
     { length: SEED_COUNT },
     (_, i) => new MixedVersionsRun(i + 1, "pieces").run().broken,
--- a/test/overload.test.ts
+++ b/test/overload.test.ts
@@ -1,6 +1,7 @@
 /**
- * One controller alone with 4,000 workers, each of which keeps its connection while it may. Its sockets are fewer than
- * the workers: they have to take turns, and no heartbeat may be left unanswered. Bounded in count; no verdict depends on the clock.
+ * One controller serves 4,000 workers that keep their connections open, with fewer sockets than workers. Unless it
+ * closes connections when most sockets are in use, the heartbeats of the other workers remain unanswered. Attempts are
+ * counted rather than timed, so that the result doesn't depend on the processor's load.
  */
 import assert from "node:assert/strict";
 import type { ChildProcess } from "node:child_process";
@@ -13,10 +14,9 @@
 
 const WORKERS = 4000;
 const MAX_CONNECTIONS = 2500;
-/** Workers that heartbeat at the same time. */
 const CONCURRENT_HEARTBEATS = 100;
 const ROUNDS = 2;
-/** A controller that gets too little of the processor to renew its lease answers 503, and is asked again, as by a worker. */
+/** Heartbeats are retried like a worker's: a controller short of processor time may lose its lease and answer 503. */
 const MAX_ATTEMPTS = 100;
 const RETRY_INTERVAL_MS = 100;
 const STATUS_NO_CONNECTION = 0;
@@ -33,7 +33,7 @@
   });
   controllerProcess = startController(writeSettings(settings));
   await until(
-    "the node is up",
+    "the controller answers /up",
     async () => (await fetch(`http://${service.frontAddress}/up`)).status === 200,
   );
 });
@@ -49,7 +49,7 @@
 
   constructor(private readonly id: string) {}
 
-  /** Sends a heartbeat until it is answered or finds no connection. */
+  /** Sends a heartbeat, again while the answer is 503; returns the last status. */
   async heartbeatUntilAnswered(): Promise<number> {
     let status = 503;
     for (let attempt = 0; attempt < MAX_ATTEMPTS && status === 503; attempt++) {
@@ -85,7 +85,7 @@
   }
 }
 
-test("4,000 workers are all heard by a controller with sockets for half of them", async () => {
+test("a controller with 2,500 sockets answers the heartbeats of 4,000 workers", async () => {
   const workers = Array.from(
     { length: WORKERS },
     (_, n) => new IdleWorker(`n-${String(n).padStart(6, "0")}`),
@@ -99,7 +99,7 @@
     }
   }
   assert.equal(failed, 0);
-  // users find room beside them
+  // users' requests are answered as well
   const answers = await Promise.all(
     Array.from({ length: 50 }, (_, n) => fetch(`http://${service.frontAddress}/v2/runs/req-${n}`)),
   );
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Seeded runs of the model with random faults: no rule may be broken, and with a guard disabled the checker has to report
+ * a broken rule.
+ */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { type Guard, World } from "./model.js";
@@ -6,9 +10,9 @@
 const SEEDS = Array.from({ length: 24 }, (_, i) => 1000 + i);
 
 for (const [name, faultRate] of [
-  ["calm", 0.3],
-  ["rough", 1],
-  ["very rough", 3],
+  ["rare faults", 0.3],
+  ["frequent faults", 1],
+  ["very frequent faults", 3],
 ] as const)
   test(`no rule is broken in seeded runs: ${name}`, () => {
     let started = 0;
@@ -21,7 +25,7 @@
       committed += world.jobsCommitted;
       terms += world.termsWritten;
     }
-    // the runs must have had something to break
+    // enough happened for a rule to be broken
     assert.ok(started > 500, `only ${started} starts`);
     assert.ok(committed > 20, `only ${committed} jobs done`);
     assert.ok(terms > SEEDS.length, `only ${terms} terms`);
@@ -35,16 +39,17 @@
   ["cancel", "ran_cancelled"],
 ];
 for (const [guard, rule] of GUARDS)
-  test(`the checker notices when the guard "${guard}" is taken out`, () => {
+  test(`the checker reports a broken rule with the guard "${guard}" disabled`, () => {
     const rules = new Set<string>();
     for (let seed = 1000; seed < 1100; seed++) {
-      for (const b of new World(seed, guard, 2).runTo(180_000).violations) rules.add(b.rule);
+      for (const { rule: brokenRule } of new World(seed, guard, 2).runTo(180_000).violations)
+        rules.add(brokenRule);
       if (rules.has(rule)) return;
     }
     assert.fail(`no run broke ${rule}: ${[...rules].join(", ") || "nothing at all"}`);
   });
 
-test('a zone is cut off for longer than a lease, with workers and a controller: guard "fence"', () => {
+test('a zone with workers and a controller is cut off for longer than a lease: guard "fence"', () => {
   const rulesBrokenByZoneCut = (seed: number, guard: Guard | null): string[] => {
     const world = new World(seed, guard, 0.3).runTo(20_000);
     world.cutZone(seed % 2 === 0 ? "west" : "east", 60_000).runTo(100_000);
@@ -58,27 +63,27 @@
   assert.ok(brokenWithoutGuard.includes("ran_cancelled"), brokenWithoutGuard.join(", "));
   assert.ok(
     brokenWithoutGuard.length >= 8,
-    `only ${brokenWithoutGuard.length} runs broke a rule without the guard`,
+    `only ${brokenWithoutGuard.length} broken rules without the guard`,
   );
 });
 
-test("the core's indices agree with a recount, whatever happens", () => {
+test("the scheduler's indices agree with a recount throughout runs with faults", () => {
   let machinesChecked = 0;
   for (let seed = 2000; seed < 2010; seed++) {
     const world = new World(seed, null, 2);
     while (world.now < 120_000) {
       world.step();
       if (world.now % 1000 !== 0) continue;
-      for (const picture of world.leaderClusters()) {
-        checkClusterIndices(picture);
-        machinesChecked += picture.machines.size;
+      for (const cluster of world.leaderClusters()) {
+        checkClusterIndices(cluster);
+        machinesChecked += cluster.machines.size;
       }
     }
   }
-  assert.ok(machinesChecked > 1000, `only ${machinesChecked} machines looked at`);
+  assert.ok(machinesChecked > 1000, `only ${machinesChecked} machines checked`);
 });
 
-test("once all troubles are over, every accepted job runs or is done", () => {
+test("once all faults have ended, every accepted job runs or is done", () => {
   let accepted = 0;
   for (const seed of SEEDS) {
     const world = new World(seed, null, 2).runTo(90_000);
@@ -87,5 +92,5 @@
     assert.deepEqual(world.violations, [], `seed ${seed}`);
     assert.deepEqual(world.unserved(), [], `seed ${seed}`);
   }
-  assert.ok(accepted > 20, `only ${accepted} jobs were left to serve`);
+  assert.ok(accepted > 20, `only ${accepted} jobs were unserved when the faults ended`);
 });
--- a/test/seeded-with-shards.test.ts
+++ b/test/seeded-with-shards.test.ts
@@ -1,4 +1,4 @@
-/** The seeded suite once more, with shards that change hands all the time. The rules and the guards are the same. */
+/** Repeats the seeded tests with shards that are handed over continually, under the same rules and guards. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { World } from "./model.js";
@@ -10,7 +10,7 @@
 await import("./concurrent-faults-handover.test.js");
 await import("./concurrent-faults-users.test.js");
 
-test("shards really changed hands in seeded runs, were refused, given up, and left behind by leaders that ended", () => {
+test("seeded runs include completed, refused and abandoned handoffs, and some left by an earlier leader", () => {
   const met = new Map<string, number>();
   for (let seed = 3000; seed < 3012; seed++)
     for (const [what, n] of new World(seed, null, 1).runTo(120_000).eventCounts)
--- a/test/shard-drain.test.ts
+++ b/test/shard-drain.test.ts
@@ -1,4 +1,4 @@
-/** What the core does for a handoff: what stands against one, silence towards paused machines, and raised tokens. */
+/** The scheduler's part in handing over a shard: reasons against a handoff, paused machines, and raised fencing tokens. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Machine } from "../src/core/cluster/cluster.js";
@@ -9,78 +9,83 @@
 
 const GANG_ID = "req-000002";
 
-const machineOf = (scene: ClusterFixture, id: string): Machine => scene.s.cluster.machines.get(id)!;
-const drainFacts = (scene: ClusterFixture, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
-  scene.s.shardDrain.factsOf(ids.map((id) => machineOf(scene, id)));
+const machineOf = (fixture: ClusterFixture, id: string): Machine =>
+  fixture.scheduler.cluster.machines.get(id)!;
+const drainFacts = (fixture: ClusterFixture, ids: readonly string[] = ["n-1", "n-2", "n-3"]) =>
+  fixture.scheduler.shardDrain.factsOf(ids.map((id) => machineOf(fixture, id)));
 
-const startCommandCount = (scene: ClusterFixture): number => scene.commandCount("start");
+const startCommandCount = (fixture: ClusterFixture): number => fixture.commandCount("start");
 
-test("a paused machine gets no commands, but is asked for heartbeats; once resumed it gets its share", () => {
-  const scene = new ClusterFixture(EAST_MACHINES);
-  for (const { id } of EAST_MACHINES) scene.pausedMachines.add(id);
-  scene.s.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(scene.now));
-  for (let i = 0; i < 6; i++) scene.step();
-  assert.equal(startCommandCount(scene), 0);
-  scene.s.shardDrain.raiseTokens([machineOf(scene, "n-1")]);
-  scene.step();
-  assert.equal(scene.heartbeatRequests("n-1").length, 1);
-  scene.pausedMachines.clear();
-  scene.s.shardDrain.resume(EAST_MACHINES.map(({ id }) => machineOf(scene, id)));
-  for (let i = 0; i < 3; i++) scene.step();
-  assert.equal(startCommandCount(scene), 6);
+test("a paused machine gets no commands but requests for heartbeats; once resumed it gets tasks again", () => {
+  const fixture = new ClusterFixture(EAST_MACHINES);
+  for (const { id } of EAST_MACHINES) fixture.pausedMachines.add(id);
+  fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(fixture.now));
+  for (let i = 0; i < 6; i++) fixture.step();
+  assert.equal(startCommandCount(fixture), 0);
+  fixture.scheduler.shardDrain.raiseTokens([machineOf(fixture, "n-1")]);
+  fixture.step();
+  assert.equal(fixture.heartbeatRequests("n-1").length, 1);
+  fixture.pausedMachines.clear();
+  fixture.scheduler.shardDrain.resume(EAST_MACHINES.map(({ id }) => machineOf(fixture, id)));
+  for (let i = 0; i < 3; i++) fixture.step();
+  assert.equal(startCommandCount(fixture), 6);
 });
 
-test("a machine is fenced only once it was seen under a token that was raised after the last command", () => {
-  const scene = new ClusterFixture(EAST_MACHINES);
-  scene.step();
-  assert.equal(drainFacts(scene).fenced, true);
-  scene.s.shardDrain.raiseTokens([machineOf(scene, "n-2")]);
-  assert.deepEqual([drainFacts(scene).fenced, drainFacts(scene).unfencedMachine], [false, "n-2"]);
-  assert.equal(drainFacts(scene, ["n-1"]).fenced, true);
-  const [question] = (scene.step(), scene.heartbeatRequests("n-2"));
+test("a machine is fenced once it has reported under a token raised after the last command", () => {
+  const fixture = new ClusterFixture(EAST_MACHINES);
+  fixture.step();
+  assert.equal(drainFacts(fixture).fenced, true);
+  fixture.scheduler.shardDrain.raiseTokens([machineOf(fixture, "n-2")]);
+  assert.deepEqual([drainFacts(fixture).fenced, drainFacts(fixture).unfencedMachine], [false, "n-2"]);
+  assert.equal(drainFacts(fixture, ["n-1"]).fenced, true);
+  const [question] = (fixture.step(), fixture.heartbeatRequests("n-2"));
   assert.ok(question !== undefined);
-  scene.step();
-  assert.equal(drainFacts(scene).fenced, true);
-  assert.ok(!scene.s.cluster.awaitingFence.has(machineOf(scene, "n-2")));
+  fixture.step();
+  assert.equal(drainFacts(fixture).fenced, true);
+  assert.ok(!fixture.scheduler.cluster.awaitingFence.has(machineOf(fixture, "n-2")));
 });
 
-test("a start without an answer stands against a handoff until it is settled", () => {
-  const scene = new ClusterFixture(EAST_MACHINES);
-  scene.s.jobReleased(spec({ id: "req-000001", tasks: 1 }), 20, instant(scene.now));
-  scene.step(["n-1", "n-2", "n-3"]);
-  assert.equal(drainFacts(scene).obstacle?._tag, "CommandInDoubt");
-  for (let i = 0; i < 6; i++) scene.step();
-  assert.equal(drainFacts(scene).obstacle, null);
+test("a start command without an answer prevents a handoff until its outcome is known", () => {
+  const fixture = new ClusterFixture(EAST_MACHINES);
+  fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 1 }), 20, instant(fixture.now));
+  fixture.step(["n-1", "n-2", "n-3"]);
+  assert.equal(drainFacts(fixture).obstacle?._tag, "CommandInDoubt");
+  for (let i = 0; i < 6; i++) fixture.step();
+  assert.equal(drainFacts(fixture).obstacle, null);
 });
 
-test("a gang that is being assembled, or saves, stands against a handoff; one that runs doesn't", () => {
-  const scene = new ClusterFixture(EAST_MACHINES);
-  scene.s.jobReleased(spec({ id: GANG_ID, kind: "gang", tasks: 3, cpus: 4 }), 20, instant(scene.now));
-  for (let i = 0; i < 4; i++) scene.step();
+test("a gang that assembles or saves a checkpoint prevents a handoff; a running one does not", () => {
+  const fixture = new ClusterFixture(EAST_MACHINES);
+  fixture.scheduler.jobReleased(
+    spec({ id: GANG_ID, kind: "gang", tasks: 3, cpus: 4 }),
+    20,
+    instant(fixture.now),
+  );
+  for (let i = 0; i < 4; i++) fixture.step();
   const obstacleWithTasksIn = (state: TaskState): string | undefined => {
-    for (const tasks of scene.tasks.values())
+    for (const tasks of fixture.tasks.values())
       for (const [key, task] of tasks) tasks.set(key, { ...task, state });
-    for (const { id } of EAST_MACHINES) scene.sendHeartbeat(id);
-    return drainFacts(scene).obstacle?._tag;
+    for (const { id } of EAST_MACHINES) fixture.sendHeartbeat(id);
+    return drainFacts(fixture).obstacle?._tag;
   };
-  assert.equal(scene.activeTasks().length, 3);
+  assert.equal(fixture.activeTasks().length, 3);
   assert.equal(obstacleWithTasksIn("running"), undefined);
   assert.equal(obstacleWithTasksIn("fetching"), "GangAssembling");
   assert.equal(obstacleWithTasksIn("waiting"), "GangAssembling");
   assert.equal(obstacleWithTasksIn("saving"), "GangSaving");
 });
 
-test("a machine that hasn't reported under the present token stands against a handoff; one on its way back doesn't", () => {
-  const scene = new ClusterFixture(EAST_MACHINES);
-  scene.step();
+test("a machine that has not reported under the current token is not fenced; one being released is not counted", () => {
+  const fixture = new ClusterFixture(EAST_MACHINES);
+  fixture.step();
   const term = {
     number: 2,
     leaderRevision: 10,
     leader: "a",
     members: [{ name: "a", incarnation: 1, zone: "east" }],
   };
-  scene.s.renewTerm(term, instant(scene.now));
-  assert.equal(drainFacts(scene).fenced, false);
-  machineOf(scene, "n-3").releaseRequestedAt = instant(scene.now);
-  assert.equal(drainFacts(scene).machines, 2);
+  fixture.scheduler.renewTerm(term, instant(fixture.now));
+  assert.equal(drainFacts(fixture).fenced, false);
+  machineOf(fixture, "n-3").releaseRequestedAt = instant(fixture.now);
+  assert.equal(drainFacts(fixture).machines, 2);
 });
--- a/test/shard-messages.test.ts
+++ b/test/shard-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages about shards: they are read as they were written, and what isn't one ends nothing. */
+/** Messages about shards between controllers and from operators: encoding, refusals, and malformed requests. */
 import assert from "node:assert/strict";
 import http from "node:http";
 import { after, before, test } from "node:test";
@@ -28,10 +28,10 @@
   Refusal.NotHolder({ member: "m", shard: "x", epoch: 1 }),
 ];
 
-/** Without the classes that Avro makes. */
+/** Strips the classes that Avro decodes into, for comparison with plain objects. */
 const toPlainObject = (value: unknown): unknown => JSON.parse(JSON.stringify(value));
 
-test("messages are read as they were written", () => {
+test("messages are decoded as they were encoded", () => {
   const workers = [{ addr: "127.0.0.1:1", session: 1, token: 7_000_001 }];
   const offer = { id: "m-1", term: 7, shard: SHARD, epoch: 3, machines: 80, workers };
   assert.deepEqual(toPlainObject(offerCodec.decode(offerCodec.encode(offer))), offer);
@@ -41,7 +41,7 @@
   assert.deepEqual({ ...operatorRequestCodec.decode(operatorRequestCodec.encode(request)) }, request);
 });
 
-test("each refusal arrives as it was given; what isn't known is no acceptance", () => {
+test("each refusal is decoded as it was encoded; an unknown one does not count as acceptance", () => {
   for (const refusal of REFUSALS) {
     const sent = refusalCodec.decode(refusalCodec.encode(encodeRefusal(refusal)));
     assert.deepEqual({ ...decodeRefusal(sent, "m") }, { ...refusal });
@@ -63,9 +63,9 @@
     await freePort(),
   ].map((port) => `127.0.0.1:${port}`) as [string, string, string];
   const unusedHandlers = {
-    sync: () => assert.fail("not asked"),
-    deliver: () => assert.fail("not asked"),
-    confirmTerm: () => assert.fail("not asked"),
+    sync: () => assert.fail("unexpected call"),
+    deliver: () => assert.fail("unexpected call"),
+    confirmTerm: () => assert.fail("unexpected call"),
   };
   const shards = {
     offer: () => Effect.succeed(encodeRefusal(null)),
@@ -94,14 +94,14 @@
   body: Buffer | string,
   method = "POST",
 ): Promise<[number, Buffer]> =>
-  new Promise((done, failed) => {
+  new Promise((resolve, reject) => {
     const [host, port] = addr.split(":");
     const request = http.request({ host, port, path, method, agent: false }, (response) => {
       const chunks: Buffer[] = [];
       response.on("data", (chunk: Buffer) => chunks.push(chunk));
-      response.on("end", () => done([response.statusCode ?? 0, Buffer.concat(chunks)]));
+      response.on("end", () => resolve([response.statusCode ?? 0, Buffer.concat(chunks)]));
     });
-    request.on("error", failed);
+    request.on("error", reject);
     request.end(body);
   });
 
@@ -119,7 +119,7 @@
   assert.equal(operatorAnswerCodec.decode((await post(peersAddr, shardPaths.operate, list))[1]).status, 200);
 });
 
-test("operators' commands are read, and anything else gets a status of its own", async () => {
+test("operators' commands are decoded, and invalid requests get 400, 404, 405 or 413", async () => {
   const move = JSON.stringify({ shard: "east.07", to: "south", epoch: 3 });
   assert.equal((await post(operatorsAddr, "/shards/move", move))[0], 200);
   assert.equal((await post(operatorsAddr, "/shards/drain", '{"member":"south"}'))[0], 200);
--- a/test/shards-on-loopback.test.ts
+++ b/test/shards-on-loopback.test.ts
@@ -1,6 +1,6 @@
 /**
- * Three real controllers on loopback with shards on, against stand-ins: moves back and forth under load, refusals, and ends of
- * source and target in the middle of a move. A checker reads the workers' histories.
+ * Three controller processes on loopback with shards enabled, against fakes: moves under load, refusals, and restarts of
+ * the source, the target or the leader during a move. The workers' histories show whether a task was killed or ran twice.
  */
 import assert from "node:assert/strict";
 import { after, before, test } from "node:test";
@@ -17,7 +17,7 @@
 const SERVICE_FIELDS = { shape: "daemon", urgency: "critical", chores: 1 };
 const otherThan = (owner: string | null): ControllerName => CONTROLLER_NAMES.find((name) => name !== owner)!;
 
-test("shards move back and forth under load: no task is killed, none runs twice", async () => {
+test("shards are moved under load, and no task is killed or runs twice", async () => {
   await cluster.submit("req-000019", SERVICE_FIELDS);
   await cluster.submit("req-000029", { ...SERVICE_FIELDS, vcpus: 2 });
   await until(
@@ -48,7 +48,7 @@
         /gang|no answer|not answered|did not answer|does not lead|term changed|not in force/,
       );
   }
-  assert.ok(moved > 0, "not a single move");
+  assert.ok(moved > 0, "no move succeeded");
   for (let round = 0; round < 6; round++)
     for (const kind of [1, 2, 8])
       await until(
@@ -62,7 +62,7 @@
   assert.ok(owners.length > 0 && owners.every(([, { value }]) => !("phase" in (value as object))));
 });
 
-test("what can't be moved is refused with a sentence, and wrong use has another code", async () => {
+test("a command that can't be carried out exits with 1 and says why, wrong usage exits with 2", async () => {
   const [shard] = await cluster.shardsWithMachines();
   const bad: [string[], number, RegExp][] = [
     [["move", "east.99", "north"], 1, /there is no shard east\.99/],
@@ -84,7 +84,7 @@
   }
 });
 
-test("a drained controller has no machines left, and cancelling ends the drain", async () => {
+test("a drained controller has no machines, and cancelling ends the drain", async () => {
   const { code, stderr } = await cluster.runShardsCommand("south", "drain", "inland", "--wait", "120");
   assert.equal(code, 0, stderr);
   const listing = await cluster.listShards("inland");
@@ -100,7 +100,7 @@
   );
 });
 
-test("beside a controller without shards nothing is moved, and the way back needs no repair", async () => {
+test("nothing is moved while a controller has shards disabled; enabling them again needs no repair", async () => {
   const [shard] = await cluster.shardsWithMachines();
   cluster.restart("inland", false);
   await cluster.untilShardsInForce(false);
@@ -117,7 +117,7 @@
   assert.deepEqual(historyViolations(cloud.taskEvents), []);
 });
 
-/** Holds a handoff at a step: before the release, or before the take. */
+/** Which write of the shard's record to hold back, so that the handoff stays in this phase. */
 const IS_HELD_WRITE = {
   draining: (value: ShardRecord) => value.phase === "released",
   released: (value: ShardRecord) => value.phase === undefined && value.epoch > 1,
@@ -130,7 +130,7 @@
 let arrayCount = 0;
 for (const heldPhase of ["draining", "released"] as const)
   for (const victim of ["source", "target", "leader"] as const)
-    test(`the ${victim} ends while a shard is ${heldPhase}, in the middle of an array: it is done once, and the handoff ends`, async () => {
+    test(`the ${victim} restarts while a shard is ${heldPhase}: an array runs once, and the handoff ends`, async () => {
       const arrayRef = `req-0004${arrayCount++}8`;
       const shards = await cluster.shardsWithMachines();
       const shard = shards[arrayCount % shards.length]!;
@@ -141,7 +141,7 @@
         victim === "source" ? (shard.owner as ControllerName) : victim === "target" ? target : leader;
       const askedController = CONTROLLER_NAMES.find((name) => name !== restarted)!;
       await cluster.submit(arrayRef, { chores: 8 });
-      await until("its tasks run", () =>
+      await until("a task of the array was started", () =>
         cloud.taskEvents.some((event) => event.startsWith(`start ${arrayRef}/`)),
       );
       state.failsWrite = (written, value) =>
@@ -150,7 +150,7 @@
       const phase = (): string | undefined => (state.rows.get(key)?.value as ShardRecord | undefined)?.phase;
       let isOver = false;
       void moving.then(() => (isOver = true));
-      await until("it is held there, or was refused", () => phase() === heldPhase || isOver);
+      await until("the handoff is held, or was refused", () => phase() === heldPhase || isOver);
       cluster.restart(restarted);
       state.failsWrite = () => false;
       await moving;
--- a/test/worker-partition.test.ts
+++ b/test/worker-partition.test.ts
@@ -1,4 +1,4 @@
-/** A member and its partition of the workers: heartbeats, updates to the leader, and stored finishes. */
+/** A member's partition of the workers: answers to heartbeats, updates to the leader, and stored finishes. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -15,10 +15,10 @@
   return partition;
 };
 
-test("a worker is sent to its partition's member once, and taken in when it comes back", () => {
-  const part = newPartition("a");
-  const heartbeatAt = (ms: number, entitledNow: boolean) =>
-    part.handleHeartbeat(heartbeatWith({ sequence: ms }), entitledNow, 1, instant(ms));
+test("a worker is redirected to its member once, and served here if it returns", () => {
+  const partition = newPartition("a");
+  const heartbeatAt = (ms: number, mayAnswer: boolean) =>
+    partition.handleHeartbeat(heartbeatWith({ sequence: ms }), mayAnswer, 1, instant(ms));
   assert.deepEqual(heartbeatAt(1, false), { kind: "unsure" });
   assert.deepEqual(heartbeatAt(2, true), { kind: "elsewhere", member: "b" });
   assert.deepEqual(heartbeatAt(3, true), {
@@ -26,35 +26,35 @@
     fencingToken: fencingTokenOf(4),
     stopCommands: [],
   });
-  part.setTerm({ ...TERM, number: 5 });
+  partition.setTerm({ ...TERM, number: 5 });
   assert.deepEqual(heartbeatAt(4, true), { kind: "elsewhere", member: "b" });
-  // another process of the same name is not that member
-  assert.deepEqual(part.handleHeartbeat(heartbeatWith({}), true, 9, instant(5)), { kind: "unsure" });
+  // another process of the same name is not the member
+  assert.deepEqual(partition.handleHeartbeat(heartbeatWith({}), true, 9, instant(5)), { kind: "unsure" });
 });
 
-test("a worker whose token the leader raised is answered with it: a lower one would be dropped", () => {
-  const part = newPartition("b");
-  const handleReport = (fencingToken: number) =>
-    part.handleHeartbeat(heartbeatWith({ fencingToken }), true, 2, instant(1));
-  assert.deepEqual(handleReport(fencingTokenOf(4, 3)), {
+test("a worker whose token the leader raised is answered with that token: it would ignore a lower one", () => {
+  const partition = newPartition("b");
+  const handleHeartbeat = (fencingToken: number) =>
+    partition.handleHeartbeat(heartbeatWith({ fencingToken }), true, 2, instant(1));
+  assert.deepEqual(handleHeartbeat(fencingTokenOf(4, 3)), {
     kind: "taken",
     fencingToken: fencingTokenOf(4, 3),
     stopCommands: [],
   });
-  assert.deepEqual(handleReport(fencingTokenOf(3, 9)), {
+  assert.deepEqual(handleHeartbeat(fencingTokenOf(3, 9)), {
     kind: "taken",
     fencingToken: fencingTokenOf(4),
     stopCommands: [],
   });
-  assert.deepEqual(handleReport(fencingTokenOf(5)), {
+  assert.deepEqual(handleHeartbeat(fencingTokenOf(5)), {
     kind: "taken",
     fencingToken: fencingTokenOf(4),
     stopCommands: [],
   });
 });
 
-test("whoever answers a worker tells it to stop the tasks of jobs that are over", () => {
-  const part = newPartition("b");
+test("the answer to a heartbeat tells the worker to stop tasks of jobs that have ended", () => {
+  const partition = newPartition("b");
   const task = (job: string, state: "running" | "exited") => ({
     job,
     index: 0,
@@ -63,7 +63,7 @@
     exitReason: null,
   });
   const tasks = [task("req-1", "running"), task("req-2", "running"), task("req-1", "exited")];
-  const answer = part.handleHeartbeat(
+  const answer = partition.handleHeartbeat(
     heartbeatWith({ tasks }),
     true,
     2,
@@ -76,86 +76,86 @@
   ]);
 });
 
-test("updates hold changes alone, and everything again for another leader", () => {
-  const part = newPartition("b");
-  const handleReport = (sequence: number, ms: number) =>
-    part.handleHeartbeat(heartbeatWith({ sequence }), true, 2, instant(ms));
-  handleReport(5, 1000);
-  const first = part.takeUpdate(instant(1000));
+test("updates contain only changes, and everything again for a new leader", () => {
+  const partition = newPartition("b");
+  const handleHeartbeat = (sequence: number, ms: number) =>
+    partition.handleHeartbeat(heartbeatWith({ sequence }), true, 2, instant(ms));
+  handleHeartbeat(5, 1000);
+  const first = partition.takeUpdate(instant(1000));
   assert.deepEqual([first.heartbeats.length, first.contacts.length], [1, 1]);
-  assert.deepEqual(part.takeUpdate(instant(1000)), {
+  assert.deepEqual(partition.takeUpdate(instant(1000)), {
     heartbeats: [],
     contacts: [],
     storedFinishes: [],
     commandResults: [],
   });
-  handleReport(6, 2000);
-  // nothing new in it: only that it was heard and answered
-  const second = part.takeUpdate(instant(2500));
+  handleHeartbeat(6, 2000);
+  // an unchanged heartbeat is reported only as a contact
+  const second = partition.takeUpdate(instant(2500));
   assert.deepEqual(second.heartbeats, []);
   assert.deepEqual(second.contacts, [{ machine: "n-1", answerAgeMs: 500, heartbeatAgeMs: 500 }]);
-  // a late copy is answered, which the proof by time must know, but it is no sign of life
-  handleReport(3, 9000);
-  assert.deepEqual(part.takeUpdate(instant(9000)).contacts, [
+  // a delayed copy renews the worker's lease, so the leader needs the time of the answer; it is no sign of life
+  handleHeartbeat(3, 9000);
+  assert.deepEqual(partition.takeUpdate(instant(9000)).contacts, [
     { machine: "n-1", answerAgeMs: 0, heartbeatAgeMs: 7000 },
   ]);
-  part.commandsAnswered(7, "done", null, instant(9000));
-  const lostUpdate = part.takeUpdate(instant(9000));
-  part.putBack(lostUpdate);
-  assert.deepEqual(part.takeUpdate(instant(9000)).commandResults, [
+  partition.commandsAnswered(7, "done", null, instant(9000));
+  const lostUpdate = partition.takeUpdate(instant(9000));
+  partition.putBack(lostUpdate);
+  assert.deepEqual(partition.takeUpdate(instant(9000)).commandResults, [
     { id: 7, outcome: "done", workerEpoch: 0, sequence: 0 },
   ]);
-  part.setTerm({ ...TERM, number: 5 });
-  assert.equal(part.takeUpdate(instant(9000)).heartbeats.length, 0, "the same leader remembers");
-  part.setTerm({ ...TERM, number: 6, leaderRevision: 11 });
-  assert.deepEqual([part.takeUpdate(instant(9000)).heartbeats.length], [1]);
+  partition.setTerm({ ...TERM, number: 5 });
+  assert.equal(partition.takeUpdate(instant(9000)).heartbeats.length, 0, "the same leader is not told again");
+  partition.setTerm({ ...TERM, number: 6, leaderRevision: 11 });
+  assert.deepEqual([partition.takeUpdate(instant(9000)).heartbeats.length], [1]);
 });
 
-test("finishes are stored together after a while, told once stored, and told anew to another leader", () => {
-  const part = newPartition("b");
+test("finishes are stored in batches, reported once stored, and reported again to a new leader", () => {
+  const partition = newPartition("b");
   const task = { job: "req-1", index: 3, attempt: 1, state: "exited", exitReason: "done" } as const;
-  part.recordHeartbeat(heartbeatWith({ tasks: [task] }), instant(9));
+  partition.recordHeartbeat(heartbeatWith({ tasks: [task] }), instant(9));
   const isOpen = (): boolean => true;
-  const takeStoredFinishes = () => part.takeUpdate(instant(9)).storedFinishes;
+  const takeStoredFinishes = () => partition.takeUpdate(instant(9)).storedFinishes;
   assert.deepEqual(takeStoredFinishes(), []);
   assert.deepEqual(
-    part.finishes.beginWrites("b.2", 8, instant(1000), isOpen),
+    partition.finishes.beginWrites("b.2", 8, instant(1000), isOpen),
     [],
-    "others of its job may follow",
+    "other finishes of its job may follow",
   );
   assert.deepEqual(
-    part.finishes.beginWrites("b.2", 8, instant(5000), () => false),
+    partition.finishes.beginWrites("b.2", 8, instant(5000), () => false),
     [],
-    "its job isn't open",
+    "its job has ended",
   );
-  const [writing] = part.finishes.beginWrites("b.2", 8, instant(5000), isOpen);
+  const [writing] = partition.finishes.beginWrites("b.2", 8, instant(5000), isOpen);
   assert.deepEqual(
-    present(writing).puts.map((p) => [p.key, p.ranges]),
+    present(writing).puts.map((put) => [put.key, put.ranges]),
     [["ranges/req-1/b.2/0", [[3, 4]]]],
   );
   assert.deepEqual(
-    part.finishes.beginWrites("b.2", 8, instant(5000), isOpen),
+    partition.finishes.beginWrites("b.2", 8, instant(5000), isOpen),
     [],
-    "a write under way is not repeated",
+    "a pending write is not repeated",
   );
-  part.finishes.writeAnswered(present(writing), "failed", instant(5000));
+  partition.finishes.writeAnswered(present(writing), "failed", instant(5000));
   assert.deepEqual(takeStoredFinishes(), []);
-  part.finishes.writeAnswered(
-    present(part.finishes.beginWrites("b.2", 8, instant(5000), isOpen)[0]),
+  partition.finishes.writeAnswered(
+    present(partition.finishes.beginWrites("b.2", 8, instant(5000), isOpen)[0]),
     "stored",
     instant(5000),
   );
   assert.deepEqual(takeStoredFinishes(), [{ job: "req-1", ranges: [[3, 4]] }]);
   assert.deepEqual(takeStoredFinishes(), []);
-  part.setTerm({ ...TERM, number: 5, leaderRevision: 11 });
+  partition.setTerm({ ...TERM, number: 5, leaderRevision: 11 });
   assert.deepEqual(takeStoredFinishes(), [{ job: "req-1", ranges: [[3, 4]] }]);
 });
 
-test("a write of finishes that got no answer can't take later ones back when it is carried out late", () => {
-  const part = newPartition("b");
+test("a delayed write of finishes does not undo later writes", () => {
+  const partition = newPartition("b");
   const stored = new Map<string, readonly (readonly [number, number])[]>();
   const finish = (index: number, now: number): void =>
-    part.recordHeartbeat(
+    partition.recordHeartbeat(
       heartbeatWith({
         sequence: now,
         tasks: [{ job: "req-1", index, attempt: 1, state: "exited", exitReason: "done" }],
@@ -163,16 +163,16 @@
       instant(now),
     );
   const beginWrite = (now: number) =>
-    present(part.finishes.beginWrites("b.2", 8, instant(now), () => true)[0]);
-  const apply = (w: ReturnType<typeof beginWrite>): void =>
-    w.puts.forEach((p) => stored.set(p.key, p.ranges));
+    present(partition.finishes.beginWrites("b.2", 8, instant(now), () => true)[0]);
+  const apply = (batch: ReturnType<typeof beginWrite>): void =>
+    batch.puts.forEach((put) => stored.set(put.key, put.ranges));
   finish(3, 10);
   const delayedWrite = beginWrite(5000);
-  part.finishes.writeAnswered(delayedWrite, "failed", instant(5100));
+  partition.finishes.writeAnswered(delayedWrite, "failed", instant(5100));
   finish(7, 5200);
   const laterWrite = beginWrite(10_000);
   apply(laterWrite);
-  part.finishes.writeAnswered(laterWrite, "stored", instant(10_100));
+  partition.finishes.writeAnswered(laterWrite, "stored", instant(10_100));
   apply(delayedWrite);
   const storedRanges = RangeSet.of([...stored.values()].flat());
   assert.ok(storedRanges.has(3) && storedRanges.has(7), JSON.stringify([...stored]));
