--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -96,7 +96,7 @@
 });
 
 test("a deadline counts from the submission, a long wait from the release", () => {
-  const firstStarted = (acceptedAt: number, releasedAt: number, more: Partial<JobSpec>): string => {
+  const firstStartedJob = (acceptedAt: number, releasedAt: number, more: Partial<JobSpec>): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
@@ -108,14 +108,14 @@
     return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   const withDeadline = { deadline: Duration.seconds(90) };
-  assert.equal(firstStarted(150_000, 199_000, withDeadline), "req-000001");
-  assert.equal(firstStarted(195_000, 199_000, withDeadline), "req-000002");
-  assert.equal(firstStarted(90_000, 90_000, {}), "req-000001");
-  assert.equal(firstStarted(90_000, 199_000, {}), "req-000002");
+  assert.equal(firstStartedJob(150_000, 199_000, withDeadline), "req-000001");
+  assert.equal(firstStartedJob(195_000, 199_000, withDeadline), "req-000002");
+  assert.equal(firstStartedJob(90_000, 90_000, {}), "req-000001");
+  assert.equal(firstStartedJob(90_000, 199_000, {}), "req-000002");
 });
 
 test("a stage hurries when the jobs after it would otherwise miss their deadline", () => {
-  const firstStarted = (deadline: number): string => {
+  const firstStartedJob = (deadline: number): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
@@ -133,8 +133,8 @@
     return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   // each of the two takes 45 s at most
-  assert.equal(firstStarted(120), "req-000001");
-  assert.equal(firstStarted(95), "req-000002");
+  assert.equal(firstStartedJob(120), "req-000001");
+  assert.equal(firstStartedJob(95), "req-000002");
 });
 
 test("a waiting job holds nothing, and its release keeps what flows back through it", () => {
@@ -142,10 +142,10 @@
     const { scheduler } = new ClusterFixture(EAST_MACHINES);
     const job = (id: string) => scheduler.cluster.jobs.get(id);
     const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
-    const due = Duration.seconds(300);
+    const deadline = Duration.seconds(300);
     scheduler.jobReleased(spec({ id: "req-000001", priority: "low" }), 20, instant(0));
     scheduler.jobBlocked(stage, instant(0));
-    scheduler.jobBlocked(spec({ ...PIPELINE_END, deadline: due }), instant(10_000));
+    scheduler.jobBlocked(spec({ ...PIPELINE_END, deadline }), instant(10_000));
     assert.deepEqual([...scheduler.blockedJobs], ["req-000002", "req-000009"]);
     assert.deepEqual([...scheduler.cluster.jobs.keys()], ["req-000001"]);
     assert.equal(present(job("req-000001")).rank, RANK.high);
@@ -183,7 +183,7 @@
 });
 
 test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
-  const stopped = (urgent: boolean): string[] => {
+  const stoppedJobs = (urgent: boolean): string[] => {
     const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
     fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
     fixture.step();
@@ -196,8 +196,8 @@
     for (let i = 0; i < 4; i++) fixture.step();
     return fixture.sentCommands.filter((sent) => sent.command.op === "stop").map((sent) => sent.command.job);
   };
-  assert.deepEqual(stopped(false), ["req-000002"]);
-  assert.deepEqual(stopped(true), ["req-000001"]);
+  assert.deepEqual(stoppedJobs(false), ["req-000002"]);
+  assert.deepEqual(stoppedJobs(true), ["req-000001"]);
 });
 
 test("a last job submitted later counts at once, without other news", () => {
@@ -206,26 +206,30 @@
   fixture.step();
   fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
   fixture.step();
-  const stops = (): number =>
+  const stopCount = (): number =>
     fixture.scheduler
       .step(instant(fixture.now + 10))
       .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []))
       .filter((command) => command.op === "stop").length;
-  assert.equal(stops(), 0);
+  assert.equal(stopCount(), 0);
   fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
-  assert.equal(stops(), 1);
+  assert.equal(stopCount(), 1);
 });
 
 test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
-  const firstStarted = (urgent: boolean): string => {
+  const firstStartedJob = (urgent: boolean): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
-    const late = {
+    const withDeadline = {
       priority: "low",
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     } as const;
-    fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
+    fixture.scheduler.jobReleased(
+      spec({ id: "req-000003", tasks: 6, ...withDeadline }),
+      20,
+      instant(150_000),
+    );
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
     // there is no machine for it
     fixture.scheduler.jobReleased(
@@ -238,10 +242,10 @@
     fixture.step();
     return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
-  assert.equal(firstStarted(false), "req-000003");
-  assert.equal(firstStarted(true), "req-000001");
+  assert.equal(firstStartedJob(false), "req-000003");
+  assert.equal(firstStartedJob(true), "req-000001");
 
-  const started = (urgent: boolean): number => {
+  const activeTaskCount = (urgent: boolean): number => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 50_000;
     for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
@@ -257,6 +261,6 @@
     fixture.step();
     return fixture.activeTasks().length;
   };
-  assert.equal(started(false), 6);
-  assert.equal(started(true), 1);
+  assert.equal(activeTaskCount(false), 6);
+  assert.equal(activeTaskCount(true), 1);
 });
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -16,35 +16,35 @@
   readonly rank: number;
   readonly deadline: number | null;
 }
-type Jobs = ReadonlyMap<string, { spec: JobSpec; accepted: Instant }>;
+type Jobs = ReadonlyMap<string, { spec: JobSpec; acceptedAt: Instant }>;
 
 /** Goes along every path from a job to the jobs that need it. */
 const recomputeInherited = (jobs: Jobs, id: string): InheritedValues => {
   let rank: number = RANK[jobs.get(id)!.spec.priority];
   let deadline: number | null = null;
   const longest = new Map<string, number>();
-  const walk = (at: string, durationMs: number): void => {
+  const walk = (parent: string, durationMs: number): void => {
     for (const [child, row] of jobs) {
-      if (!row.spec.dependsOn.includes(at)) continue;
+      if (!row.spec.dependsOn.includes(parent)) continue;
       const sum = durationMs + Duration.toMillis(estimatedJobDuration(row.spec));
       longest.set(child, Math.max(longest.get(child) ?? 0, sum));
       walk(child, sum);
     }
   };
   walk(id, 0);
-  for (const [other, takes] of longest) {
+  for (const [other, durationMs] of longest) {
     const row = jobs.get(other)!;
     rank = Math.max(rank, RANK[row.spec.priority]);
     if (row.spec.deadline === null) continue;
-    const latestEnd = row.accepted + Duration.toMillis(row.spec.deadline) - takes;
+    const latestEnd = row.acceptedAt + Duration.toMillis(row.spec.deadline) - durationMs;
     deadline = deadline === null ? latestEnd : Math.min(deadline, latestEnd);
   }
   return { rank, deadline };
 };
 
-const inheritedValues = (p: DependencyGraph, id: string): InheritedValues => ({
-  rank: p.rank(id)!,
-  deadline: p.inheritedDeadline(id),
+const inheritedValues = (graph: DependencyGraph, id: string): InheritedValues => ({
+  rank: graph.rank(id)!,
+  deadline: graph.inheritedDeadline(id),
 });
 const seconds = (s: number): Instant => instant(s * 1000);
 const DEFAULT_JOB_SECONDS = Duration.toSeconds(estimatedJobDuration(spec("x", [])));
@@ -57,7 +57,7 @@
     const random = xoroshiro128plus(seed);
     const randomBelow = (n: number): number => Math.floor(uniformFloat64(random) * n);
     const priorities: Priority[] = ["low", "low", "low", "normal", "high", "production"];
-    const all = Array.from({ length: 14 }, (_, n) => {
+    const specs = Array.from({ length: 14 }, (_, n) => {
       // a job names only earlier ones, some of them twice
       const dependencies = n === 0 ? [] : Array.from({ length: randomBelow(4) }, () => `j-${randomBelow(n)}`);
       return spec(`j-${n}`, dependencies, {
@@ -66,35 +66,38 @@
         deadline: randomBelow(3) === 0 ? Duration.seconds(100 + randomBelow(400)) : null,
       });
     });
-    const p = new DependencyGraph();
-    const jobs = new Map<string, { spec: JobSpec; accepted: Instant }>();
+    const graph = new DependencyGraph();
+    const jobs = new Map<string, { spec: JobSpec; acceptedAt: Instant }>();
     /** What somebody knows who only ever hears of changes. */
     const reported = new Map<string, InheritedValues>();
     for (let step = 0; step < 120; step++) {
-      const job = all[randomBelow(all.length)]!;
+      const job = specs[randomBelow(specs.length)]!;
       if (jobs.has(job.id) && randomBelow(4) > 0) {
-        p.remove(job.id);
+        graph.remove(job.id);
         jobs.delete(job.id);
         reported.delete(job.id);
       } else {
         // a job that is known already has been released, and its submission may be dated anew
-        const accepted = seconds(randomBelow(2) === 0 ? step : randomBelow(200));
-        p.add(job, accepted);
-        jobs.set(job.id, { spec: job, accepted });
+        const acceptedAt = seconds(randomBelow(2) === 0 ? step : randomBelow(200));
+        graph.add(job, acceptedAt);
+        jobs.set(job.id, { spec: job, acceptedAt });
       }
-      for (const id of p.takeChanged()) {
+      for (const id of graph.takeChanged()) {
         assert.ok(jobs.has(id), `${id} changed, but is gone`);
-        reported.set(id, inheritedValues(p, id));
+        reported.set(id, inheritedValues(graph, id));
       }
-      assert.equal(p.size, jobs.size);
+      assert.equal(graph.size, jobs.size);
       for (const [id, row] of jobs) {
         const expected = recomputeInherited(jobs, id);
-        assert.deepEqual(inheritedValues(p, id), expected, `seed ${seed}, step ${step}, ${id}`);
+        assert.deepEqual(inheritedValues(graph, id), expected, `seed ${seed}, step ${step}, ${id}`);
         assert.deepEqual(reported.get(id), expected, `seed ${seed}, step ${step}: ${id} changed silently`);
         const own = row.spec.deadline;
-        const deadlines = [expected.deadline, own === null ? null : row.accepted + Duration.toMillis(own)];
-        const known = deadlines.filter((d) => d !== null);
-        assert.equal(p.effectiveDeadline(id), known.length === 0 ? null : Math.min(...known));
+        const deadlines = [expected.deadline, own === null ? null : row.acceptedAt + Duration.toMillis(own)];
+        const ownAndInherited = deadlines.filter((d) => d !== null);
+        assert.equal(
+          graph.effectiveDeadline(id),
+          ownAndInherited.length === 0 ? null : Math.min(...ownAndInherited),
+        );
         checkCount++;
         if (expected.rank > RANK[row.spec.priority]) raisedCount++;
         if (expected.deadline !== null) withDeadlineCount++;
@@ -109,32 +112,38 @@
 });
 
 test("a last job submitted late raises the chain before it; its end lowers it again", () => {
-  const p = new DependencyGraph();
-  p.add(spec("a", [], { priority: "low" }), seconds(0));
-  p.add(spec("b", ["a"], { priority: "low" }), seconds(1));
-  p.add(spec("c", ["b"]), seconds(2));
-  assert.deepEqual([p.rank("a"), p.rank("b"), p.rank("c")], [RANK.normal, RANK.normal, RANK.normal]);
-  assert.equal(p.effectiveDeadline("a"), null);
-  p.takeChanged();
+  const graph = new DependencyGraph();
+  graph.add(spec("a", [], { priority: "low" }), seconds(0));
+  graph.add(spec("b", ["a"], { priority: "low" }), seconds(1));
+  graph.add(spec("c", ["b"]), seconds(2));
+  assert.deepEqual(
+    [graph.rank("a"), graph.rank("b"), graph.rank("c")],
+    [RANK.normal, RANK.normal, RANK.normal],
+  );
+  assert.equal(graph.effectiveDeadline("a"), null);
+  graph.takeChanged();
 
-  p.add(spec("d", ["c"], { priority: "high", deadline: Duration.seconds(600) }), seconds(100));
-  assert.deepEqual(p.takeChanged().sort(), ["a", "b", "c", "d"]);
-  assert.deepEqual([p.rank("a"), p.rank("b"), p.rank("c")], [RANK.high, RANK.high, RANK.high]);
-  assert.equal(p.effectiveDeadline("d"), seconds(700));
-  assert.equal(p.inheritedDeadline("d"), null);
-  assert.equal(p.effectiveDeadline("c"), seconds(700 - DEFAULT_JOB_SECONDS));
-  assert.equal(p.effectiveDeadline("a"), seconds(700 - 3 * DEFAULT_JOB_SECONDS));
+  graph.add(spec("d", ["c"], { priority: "high", deadline: Duration.seconds(600) }), seconds(100));
+  assert.deepEqual(graph.takeChanged().sort(), ["a", "b", "c", "d"]);
+  assert.deepEqual([graph.rank("a"), graph.rank("b"), graph.rank("c")], [RANK.high, RANK.high, RANK.high]);
+  assert.equal(graph.effectiveDeadline("d"), seconds(700));
+  assert.equal(graph.inheritedDeadline("d"), null);
+  assert.equal(graph.effectiveDeadline("c"), seconds(700 - DEFAULT_JOB_SECONDS));
+  assert.equal(graph.effectiveDeadline("a"), seconds(700 - 3 * DEFAULT_JOB_SECONDS));
   // released: nothing is lost, nothing changes
-  p.add(spec("c", ["b"]), seconds(2));
-  assert.deepEqual(p.takeChanged(), []);
-  assert.equal(p.rank("c"), RANK.high);
+  graph.add(spec("c", ["b"]), seconds(2));
+  assert.deepEqual(graph.takeChanged(), []);
+  assert.equal(graph.rank("c"), RANK.high);
   // a stage that is done asks for nothing, and what comes after it goes on
-  p.remove("a");
-  assert.equal(p.rank("b"), RANK.high);
+  graph.remove("a");
+  assert.equal(graph.rank("b"), RANK.high);
 
-  p.remove("d");
-  assert.deepEqual(p.takeChanged().sort(), ["b", "c"]);
-  assert.deepEqual([p.rank("b"), p.rank("c"), p.effectiveDeadline("b")], [RANK.normal, RANK.normal, null]);
+  graph.remove("d");
+  assert.deepEqual(graph.takeChanged().sort(), ["b", "c"]);
+  assert.deepEqual(
+    [graph.rank("b"), graph.rank("c"), graph.effectiveDeadline("b")],
+    [RANK.normal, RANK.normal, null],
+  );
 });
 
 test("in a diamond the longer way counts; children may be known before their parents", () => {
@@ -145,88 +154,89 @@
     spec("right", ["start"]),
     spec("start", [], { priority: "low" }),
   ];
-  const longTakes = Duration.toSeconds(estimatedJobDuration(jobs[1]!));
-  assert.ok(longTakes > DEFAULT_JOB_SECONDS);
-  for (const command of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
-    const p = new DependencyGraph();
-    for (const job of command) p.add(job, seconds(0));
-    assert.equal(p.rank("start"), RANK.high);
-    assert.equal(p.effectiveDeadline("start"), seconds(900 - DEFAULT_JOB_SECONDS - longTakes));
-    p.remove("left");
-    assert.equal(p.effectiveDeadline("start"), seconds(900 - 2 * DEFAULT_JOB_SECONDS));
+  const longJobSeconds = Duration.toSeconds(estimatedJobDuration(jobs[1]!));
+  assert.ok(longJobSeconds > DEFAULT_JOB_SECONDS);
+  for (const order of [jobs, [...jobs].reverse(), [jobs[0]!, jobs[3]!, jobs[2]!, jobs[1]!]]) {
+    const graph = new DependencyGraph();
+    for (const job of order) graph.add(job, seconds(0));
+    assert.equal(graph.rank("start"), RANK.high);
+    assert.equal(graph.effectiveDeadline("start"), seconds(900 - DEFAULT_JOB_SECONDS - longJobSeconds));
+    graph.remove("left");
+    assert.equal(graph.effectiveDeadline("start"), seconds(900 - 2 * DEFAULT_JOB_SECONDS));
   }
 });
 
 test("an event looks at the jobs before its own only as far as they change, at few children of many", () => {
-  const p = new DependencyGraph();
+  const graph = new DependencyGraph();
   const visitsDuring = (event: () => void): number => {
-    const before = p.visits;
+    const before = graph.visits;
     event();
-    return p.visits - before;
+    return graph.visits - before;
   };
   const urgent = { priority: "high", deadline: Duration.seconds(600) } as const;
   // other pipelines are never looked at
-  for (let n = 0; n < 2000; n++) p.add(spec(`other-${n}`, n % 4 === 0 ? [] : [`other-${n - 1}`]), seconds(0));
-  p.add(spec("first", [], { priority: "low" }), seconds(0));
-  p.add(spec("hub", ["first"], { priority: "low" }), seconds(0));
+  for (let n = 0; n < 2000; n++)
+    graph.add(spec(`other-${n}`, n % 4 === 0 ? [] : [`other-${n - 1}`]), seconds(0));
+  graph.add(spec("first", [], { priority: "low" }), seconds(0));
+  graph.add(spec("hub", ["first"], { priority: "low" }), seconds(0));
   for (let n = 0; n < 500; n++) {
-    const visits = visitsDuring(() => p.add(spec(`leaf-${n}`, ["hub"], urgent), seconds(n)));
+    const visits = visitsDuring(() => graph.add(spec(`leaf-${n}`, ["hub"], urgent), seconds(n)));
     assert.ok(visits <= 4, `${visits} visits for child ${n}`);
   }
-  assert.equal(p.effectiveDeadline("hub"), seconds(600 - DEFAULT_JOB_SECONDS));
+  assert.equal(graph.effectiveDeadline("hub"), seconds(600 - DEFAULT_JOB_SECONDS));
   // the last one in decides nothing; the first decides all
-  assert.ok(visitsDuring(() => p.remove("leaf-499")) <= 510);
-  assert.ok(visitsDuring(() => p.remove("leaf-0")) <= 510);
-  assert.equal(p.effectiveDeadline("hub"), seconds(601 - DEFAULT_JOB_SECONDS));
-  for (let n = 1; n < 499; n++) p.remove(`leaf-${n}`);
-  assert.deepEqual([p.rank("first"), p.effectiveDeadline("first")], [RANK.low, null]);
+  assert.ok(visitsDuring(() => graph.remove("leaf-499")) <= 510);
+  assert.ok(visitsDuring(() => graph.remove("leaf-0")) <= 510);
+  assert.equal(graph.effectiveDeadline("hub"), seconds(601 - DEFAULT_JOB_SECONDS));
+  for (let n = 1; n < 499; n++) graph.remove(`leaf-${n}`);
+  assert.deepEqual([graph.rank("first"), graph.effectiveDeadline("first")], [RANK.low, null]);
 
   // without deadlines one child of the same rank is enough to know that nothing changes
-  for (let n = 0; n < 500; n++) p.add(spec(`plain-${n}`, ["hub"]), seconds(n));
+  for (let n = 0; n < 500; n++) graph.add(spec(`plain-${n}`, ["hub"]), seconds(n));
   for (let n = 0; n < 499; n++) {
-    const visits = visitsDuring(() => p.remove(`plain-${n}`));
+    const visits = visitsDuring(() => graph.remove(`plain-${n}`));
     assert.ok(visits <= 2, `${visits} visits for the end of child ${n}`);
   }
 
   // a chain's end changes all of it, a second one of the same sort nothing, however long it is
-  for (let n = 0; n < 1000; n++) p.add(spec(`link-${n}`, n === 0 ? [] : [`link-${n - 1}`]), seconds(0));
-  assert.ok(visitsDuring(() => p.add(spec("end", ["link-999"], urgent), seconds(0))) <= 1010);
-  assert.ok(visitsDuring(() => p.add(spec("end-2", ["link-999"], urgent), seconds(0))) <= 4);
-  assert.ok(visitsDuring(() => p.remove("end")) <= 4);
+  for (let n = 0; n < 1000; n++) graph.add(spec(`link-${n}`, n === 0 ? [] : [`link-${n - 1}`]), seconds(0));
+  assert.ok(visitsDuring(() => graph.add(spec("end", ["link-999"], urgent), seconds(0))) <= 1010);
+  assert.ok(visitsDuring(() => graph.add(spec("end-2", ["link-999"], urgent), seconds(0))) <= 4);
+  assert.ok(visitsDuring(() => graph.remove("end")) <= 4);
   // each job is looked at, and the one that needs it
-  assert.ok(visitsDuring(() => p.remove("end-2")) <= 2 * 1010);
+  assert.ok(visitsDuring(() => graph.remove("end-2")) <= 2 * 1010);
 });
 
 test("many ways through a wide graph aren't gone one by one", () => {
-  const p = new DependencyGraph();
+  const graph = new DependencyGraph();
   const layers = 20;
   const width = 5;
   const layer = (l: number): string[] => (l < 0 ? [] : Array.from({ length: width }, (_, n) => `l${l}-${n}`));
-  for (let l = 0; l < layers; l++) for (const id of layer(l)) p.add(spec(id, layer(l - 1)), seconds(0));
+  for (let l = 0; l < layers; l++) for (const id of layer(l)) graph.add(spec(id, layer(l - 1)), seconds(0));
   const end = spec("end", layer(layers - 1), { priority: "high", deadline: Duration.seconds(3000) });
-  let before = p.visits;
-  p.add(end, seconds(0));
-  assert.ok(p.visits - before <= 2 * layers * width * width, `${p.visits - before} visits`);
-  assert.equal(p.effectiveDeadline("l0-0"), seconds(3000 - layers * DEFAULT_JOB_SECONDS));
-  before = p.visits;
-  p.remove("end");
-  assert.ok(p.visits - before <= 4 * layers * width * width, `${p.visits - before} visits`);
-  assert.equal(p.rank("l0-0"), RANK.normal);
+  let before = graph.visits;
+  graph.add(end, seconds(0));
+  assert.ok(graph.visits - before <= 2 * layers * width * width, `${graph.visits - before} visits`);
+  assert.equal(graph.effectiveDeadline("l0-0"), seconds(3000 - layers * DEFAULT_JOB_SECONDS));
+  before = graph.visits;
+  graph.remove("end");
+  assert.ok(graph.visits - before <= 4 * layers * width * width, `${graph.visits - before} visits`);
+  assert.equal(graph.rank("l0-0"), RANK.normal);
 });
 
 test("a malformed cycle neither hangs nor spoils other jobs", () => {
-  const due = { priority: "high", deadline: Duration.seconds(600) } as const;
-  const p = new DependencyGraph();
-  p.add(spec("self", ["self"], due), seconds(0));
-  assert.deepEqual([p.rank("self"), p.inheritedDeadline("self")], [RANK.high, null]);
-  p.add(spec("a", ["c"]), seconds(0));
-  p.add(spec("b", ["a"], due), seconds(0));
-  p.add(spec("c", ["b", "before"]), seconds(0));
-  p.add(spec("before", [], { priority: "low" }), seconds(0));
-  p.add(spec("after", ["a"], { ...due, deadline: Duration.seconds(100) }), seconds(0));
-  assert.equal(p.rank("before"), RANK.high);
-  p.remove("after");
-  for (const id of ["a", "b", "c"]) p.remove(id);
-  assert.deepEqual([p.rank("before"), p.effectiveDeadline("before")], [RANK.low, null]);
-  assert.equal(p.size, 2);
+  const urgent = { priority: "high", deadline: Duration.seconds(600) } as const;
+  const graph = new DependencyGraph();
+  graph.add(spec("self", ["self"], urgent), seconds(0));
+  assert.deepEqual([graph.rank("self"), graph.inheritedDeadline("self")], [RANK.high, null]);
+  graph.add(spec("a", ["c"]), seconds(0));
+  graph.add(spec("b", ["a"], urgent), seconds(0));
+  graph.add(spec("c", ["b", "before"]), seconds(0));
+  graph.add(spec("before", [], { priority: "low" }), seconds(0));
+  graph.add(spec("after", ["a"], { ...urgent, deadline: Duration.seconds(100) }), seconds(0));
+  assert.equal(graph.rank("before"), RANK.high);
+  graph.remove("after");
+  for (const id of ["a", "b", "c"]) graph.remove(id);
+  assert.deepEqual([graph.rank("before"), graph.effectiveDeadline("before")], [RANK.low, null]);
+  assert.equal(graph.size, 2);
 });
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -9,7 +9,7 @@
 
 test("together keeps a job in one zone, apart puts at most half of it into one", () => {
   const machines = [...EAST_MACHINES, { id: "n-4", zone: "west" }, { id: "n-5", zone: "west" }];
-  const zoneOf = new Map(machines.map((m) => [m.id, m.zone]));
+  const zoneOf = new Map(machines.map((machine) => [machine.id, machine.zone]));
   const zonesOfStarts = (fixture: ClusterFixture, job: string): string[] =>
     fixture.sentCommands
       .filter((sent) => sent.command.job === job && sent.command.op === "start")
@@ -23,7 +23,8 @@
   for (let i = 0; i < 5; i++) spread.step();
   const startZones = zonesOfStarts(spread, "req-000001");
   assert.equal(startZones.length, 5);
-  for (const zone of ["east", "west"]) assert.ok(startZones.filter((z) => z === zone).length <= 3);
+  for (const zone of ["east", "west"])
+    assert.ok(startZones.filter((startZone) => startZone === zone).length <= 3);
 });
 
 test("production work stops the youngest idle work, and no more of it than needed", () => {
@@ -85,7 +86,7 @@
     99,
     instant(fixture.now),
   );
-  const began = fixture.now;
+  const submittedAt = fixture.now;
   for (let i = 0; i < 480 && !fixture.sentCommands.some((sent) => sent.command.job === "req-000009"); i++) {
     // more than fits, all the time
     if (i % 4 === 0) submitJob();
@@ -96,14 +97,14 @@
     fixture.sentCommands.some((sent) => sent.command.job === "req-000009"),
     "it never began",
   );
-  assert.ok(fixture.now - began < 240_000);
+  assert.ok(fixture.now - submittedAt < 240_000);
 });
 
 test("work without a guarantee begins within four minutes under a steady stream of guaranteed jobs", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
   const jobWithoutGuarantee = spec({ id: "req-000009", priority: "low", tasks: 500 });
   fixture.scheduler.jobReleased(jobWithoutGuarantee, 10, instant(fixture.now));
-  const began = fixture.now;
+  const submittedAt = fixture.now;
   const isStarted = (): boolean =>
     fixture.sentCommands.some(({ command }) => command.job === jobWithoutGuarantee.id);
   for (let n = 0; n < 600 && !isStarted(); n++) {
@@ -114,8 +115,8 @@
     fixture.endTasks("n-1", "done");
   }
   assert.ok(isStarted(), "it never began");
-  assert.ok(fixture.now - began > 60_000, "guaranteed work goes first");
-  assert.ok(fixture.now - began < 240_000);
+  assert.ok(fixture.now - submittedAt > 60_000, "guaranteed work goes first");
+  assert.ok(fixture.now - submittedAt < 240_000);
   // one task of it was enough
   fixture.step();
   assert.ok(
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -73,7 +73,7 @@
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
   fixture.step();
-  const started = present(fixture.sentCommands[0]);
+  const firstStart = present(fixture.sentCommands[0]);
   const lateHeartbeat: Heartbeat = {
     machine: "n-77",
     addr: "x",
@@ -98,7 +98,7 @@
   assert.equal(fixture.commandCount("stop"), 0);
   assert.deepEqual(
     fixture.activeTasks().map((task) => task.attempt),
-    [started.command.attempt],
+    [firstStart.command.attempt],
   );
   fixture.scheduler.heartbeatReceived(
     { ...lateHeartbeat, sequence: 901, fencingToken: fencingTokenOf(1), tasks: [] },
--- a/test/unhealthy-machines.test.ts
+++ b/test/unhealthy-machines.test.ts
@@ -86,9 +86,9 @@
       now,
     );
   };
-  let why = "";
+  let releaseReason = "";
   let lateStarts = 0;
-  for (let i = 0; i < 80 && why === ""; i++) {
+  for (let i = 0; i < 80 && releaseReason === ""; i++) {
     // ClusterFixture's machines report by whatever way; only answers to reports of their own renew their leases
     reportRenewalsExcept(i < 4 ? "" : "n-2");
     const before = fixture.sentCommands.length;
@@ -99,9 +99,9 @@
         .filter((sent) => sent.machine === "n-2" && sent.command.op === "start").length;
     for (const { id } of EAST_MACHINES) fixture.endTasks(id, "done");
     for (const decision of fixture.scheduler.stepAutoscaler(instant(fixture.now)))
-      if (decision.kind === "release" && decision.machines.includes("n-2")) why = decision.reason;
+      if (decision.kind === "release" && decision.machines.includes("n-2")) releaseReason = decision.reason;
   }
-  assert.equal(why, "reaches no controller");
+  assert.equal(releaseReason, "reaches no controller");
   assert.equal(lateStarts, 0);
   const lease = Duration.toMillis(TIMINGS.workerLease);
   assert.ok(fixture.now < 2000 + lease, `released at ${fixture.now}`);
@@ -116,10 +116,10 @@
     if (i % 10 === 9) for (const id of ["n-1", "n-3", "n-4"]) fixture.endTasks(id, "done");
     fixture.step();
   }
-  const aside = [...fixture.scheduler.cluster.machines.values()]
+  const slowIds = [...fixture.scheduler.cluster.machines.values()]
     .filter((machine) => machine.cordonedAsSlow)
     .map((machine) => machine.id);
-  assert.deepEqual(aside, ["n-2"]);
+  assert.deepEqual(slowIds, ["n-2"]);
   const commandsTo = (machine: string, op: Command["op"]): Command[] =>
     fixture.sentCommands
       .filter((sent) => sent.machine === machine && sent.command.op === op)
@@ -135,7 +135,7 @@
   const released = fixture.scheduler
     .stepAutoscaler(instant(fixture.now))
     .filter((decision) => decision.kind === "release");
-  assert.ok(released.some((d) => d.machines.includes("n-2") && d.reason === "slow"));
+  assert.ok(released.some((decision) => decision.machines.includes("n-2") && decision.reason === "slow"));
 });
 
 test("after a failover no machine is judged slow: when its tasks began isn't known", () => {
