--- a/test/attempts.test.ts
+++ b/test/attempts.test.ts
@@ -1,4 +1,4 @@
-/** Attempt numbers: one term has a million, and none may ever be used for two starts (S4). */
+/** Attempt numbers: each term has a range of its own, and no number may be used for two starts (S4). */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import { TaskStarter } from "../src/core/placement/task-starter.js";
@@ -10,11 +10,11 @@
 
 const termWithNumber = (number: number) => ({ number, leaderRevision: 10, leader: "a", members: [] });
 
-test("no attempt number of a term is one of the next term's", () => {
+test("the attempt number ranges of successive terms don't overlap", () => {
   assert.ok(attemptNumberOf(1, ATTEMPTS_PER_TERM) < attemptNumberOf(2, 1));
 });
 
-test("numbers begin anew with each term, and before they are used up a new term is asked for and nothing is started", () => {
+test("before a term's attempt numbers run out, starts end and a new term is needed; it has a new range", () => {
   const scope = { term: termWithNumber(7) } as unknown as ConstructorParameters<typeof TaskStarter>[0];
   const starter = new TaskStarter(scope);
   assert.equal(starter.nextAttempt(), attemptNumberOf(7, 1));
@@ -29,14 +29,14 @@
   assert.equal(starter.nextAttempt(), attemptNumberOf(8, 1));
 });
 
-test("a leader whose numbers run out asks for a new term, and goes on under it", () => {
+test("a leader that runs out of attempt numbers requests a new term and continues to start tasks under it", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.step();
   assert.equal(fixture.scheduler.needsNewTerm, false);
   const { nextAttempt } = TaskStarter.prototype;
   const attemptNumbers: number[] = [];
   TaskStarter.prototype.nextAttempt = function (this: TaskStarter) {
-    // as after so many starts
+    // as if 950 000 tasks had been started in this term
     if (attemptNumbers.length === 0) for (let i = 0; i < 950_000; i++) nextAttempt.call(this);
     attemptNumbers.push(nextAttempt.call(this));
     return present(attemptNumbers.at(-1));
--- a/test/core-state.test.ts
+++ b/test/core-state.test.ts
@@ -1,4 +1,4 @@
-/** Rate limits, machine records and the log of progress. */
+/** The rate limiter, the store of machine records and the log of progress changes. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -7,7 +7,7 @@
 import { instant } from "../src/core/time.js";
 import { MachineRecordStore } from "../src/service/leader/machine-record-store.js";
 
-test("a budget keeps its rate, and lets the urgent through", () => {
+test("the rate limiter keeps its rate; urgent calls pass at once and delay the others, as a refusal does", () => {
   const limiter = new RateLimiter(10, 10);
   let now = 0;
   let takenCount = 0;
@@ -23,12 +23,12 @@
   assert.ok(Duration.toMillis(limiter.take(instant(now))) >= 5000);
 });
 
-test("blocks of machines only get smaller, and the last machine takes its block along", () => {
+test("a machine block is rewritten as machines leave it and deleted with its last machine", () => {
   const record = { type: "small", zone: "east", spot: false, addr: "x" };
   const store = new MachineRecordStore();
   store.add("machines/1-1", { a: record, b: record });
   store.add("machines/1-2", { c: record });
-  // an open that got no answer is tried again: the machine is in two blocks
+  // a rental request without an answer is repeated: the machine is in two blocks
   store.add("machines/1-3", { c: record });
   assert.deepEqual(store.pendingRewrites(9), []);
   store.remove("a");
@@ -47,13 +47,13 @@
     remainingRewrites.map((rewrite) => [rewrite.key, Object.keys(rewrite.machines!)]),
     [["machines/1-1", ["b"]]],
   );
-  // it changed again while it was being written
+  // the block changes again while it is being written
   store.remove("b");
   store.markWritten(remainingRewrites);
   assert.equal(store.pendingRewrites(9)[0]?.machines, null);
 });
 
-test("progress is told as changes, and whole to whoever missed too much", () => {
+test("the progress log lists the jobs changed since a version, or null if that version is too old", () => {
   const log = new ProgressLog();
   assert.equal(log.changedSince(-1), null);
   for (const job of ["a", "b", "a"]) log.recordChange(job);
--- a/test/gang-scheduling.test.ts
+++ b/test/gang-scheduling.test.ts
@@ -1,4 +1,4 @@
-/** Gang scheduling: all tasks of a gang start together or none does, and it is neither starved nor starves others. */
+/** Gang scheduling: all tasks of a gang start together or none does; gangs are not starved and don't starve others. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -7,7 +7,7 @@
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
-test("a gang starts whole, with one attempt, and after a loss is taken down whole before the next", () => {
+test("all tasks of a gang start under one attempt; when one is lost, all are stopped before the next attempt", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   const gang = spec({
     kind: "gang",
@@ -20,7 +20,7 @@
   const firstAttempts = new Set(fixture.activeTasks().map((task) => task.attempt));
   assert.equal(fixture.activeTasks().length, 4);
   assert.equal(firstAttempts.size, 1);
-  // one machine is gone for certain: its tasks with it
+  // the release of one machine is confirmed: its tasks are gone
   const lostMachine = present(fixture.sentCommands[0]).machine;
   present(fixture.tasks.get(lostMachine)).clear();
   fixture.scheduler.releaseAnswered([lostMachine], true, instant(fixture.now));
@@ -38,7 +38,7 @@
   assert.notDeepEqual(firstAttempts, secondAttempts);
 });
 
-test("a gang that doesn't fit takes no place, and is not starved by smaller jobs", () => {
+test("a gang that doesn't fit starts no task, and smaller jobs don't starve it", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6, image: "x" }), 20, instant(0));
   fixture.step();
@@ -60,7 +60,7 @@
   assert.deepEqual(new Set(starts.slice(6, 12)), new Set(["req-000002"]));
 });
 
-test("a gang held up by smaller jobs is patient from its release on", () => {
+test("a gang's waiting time counts from its release: only after a long wait does it hold back smaller jobs", () => {
   const holdsBackLaterJob = (releasedAt: number): boolean => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 50_000;
--- a/test/leases-and-terms.test.ts
+++ b/test/leases-and-terms.test.ts
@@ -1,4 +1,4 @@
-/** Leases and terms: their timings, the owner of a worker, and who may answer. */
+/** Leases and terms: lease timings, which member owns a machine, and when a member may answer requests. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -36,7 +36,7 @@
   }
 });
 
-test("parts: same zone first, and only a lost member's machines move", () => {
+test("a machine is owned by a member of its zone; when a member is lost, only its machines change owner", () => {
   const machines = Array.from({ length: 200 }, (_, i) => `n-${i}`);
   const termWithoutC = { ...TERM, members: TERM.members.filter((member) => member.name !== "c") };
   const machinesByOwner = new Map<string, number>();
@@ -50,7 +50,7 @@
   assert.ok(Math.min(present(machinesByOwner.get("a")), present(machinesByOwner.get("c"))) > 50);
 });
 
-test("the word of all other nodes, and of no fewer, keeps a node answering", () => {
+test("a member may answer only while all of its peers confirm it; the oldest confirmation counts", () => {
   const confirmations = new Map([["b", instant(500)]]);
   assert.equal(oldestPeerConfirmation(["b", "c"], confirmations), null);
   confirmations.set("c", instant(300));
@@ -58,7 +58,7 @@
   assert.equal(oldestPeerConfirmation([], new Map()), null);
 });
 
-test("the others' word holds as long as each is fresh; what was read of cancels, for a while only", () => {
+test("peer confirmations and a member's view of the jobs each expire", () => {
   const timings = leaseTimingsOf({ leaseS: 28, reportS: 4, cancelS: 53 }, Duration.seconds(3));
   const isConfirmed = (confirmedAt: number, now: number) =>
     isConfirmedByPeers(timings, ["b"], new Map([["b", instant(confirmedAt)]]), instant(now));
@@ -67,7 +67,7 @@
   const isJobViewFresh = (readAt: number | null, now: number) =>
     hasFreshJobView(timings, readAt === null ? null : instant(readAt), instant(now));
   assert.equal(isJobViewFresh(null, 10_000), false);
-  // lease and window together stay under the time that a cancel has
+  // the worker lease and the age of the job view together stay under the cancel deadline
   const maxAgeMs = Duration.toMillis(timings.jobViewMaxAge);
   assert.equal(isJobViewFresh(0, maxAgeMs - 1), true);
   assert.equal(isJobViewFresh(0, maxAgeMs), false);
--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -1,4 +1,4 @@
-/** Pipelines: what a stage inherits from the jobs after it, and what that changes in order and preemption. */
+/** Pipelines: a stage inherits rank and deadline from the jobs after it, which affects order and preemption. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -14,7 +14,7 @@
 
 const PIPELINE_END = { id: "req-000009", dependsOn: ["req-000002"], priority: "high" } as const;
 
-test("an idle first stage of an urgent pipeline goes before plain normal work, as long as the pipeline stands", () => {
+test("a low-priority first stage of a high-priority pipeline goes before normal jobs until that is cancelled", () => {
   const firstStartedJob = (submit: (scheduler: Scheduler) => void): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
@@ -53,7 +53,7 @@
   );
 });
 
-test("a stage of an urgent pipeline isn't stopped for normal or urgent work, but for production, and once it is plain", () => {
+test("a stage of a high-priority pipeline is preempted only for production while it inherits the rank", () => {
   const fixtureWithRunningStage = (): ClusterFixture => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
@@ -81,7 +81,7 @@
   assert.equal(lowered.commandCount("stop"), 1);
 });
 
-test("a stage of an urgent pipeline makes room for itself among normal work", () => {
+test("a stage of a high-priority pipeline preempts normal tasks", () => {
   const stopCount = (urgent: boolean): number => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
@@ -95,7 +95,7 @@
   assert.equal(stopCount(true), 1);
 });
 
-test("a deadline counts from the submission, a long wait from the release", () => {
+test("a deadline counts from the acceptance of a job, its waiting time from its release", () => {
   const firstStartedJob = (acceptedAt: number, releasedAt: number, more: Partial<JobSpec>): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
@@ -114,7 +114,7 @@
   assert.equal(firstStartedJob(90_000, 199_000, {}), "req-000002");
 });
 
-test("a stage hurries when the jobs after it would otherwise miss their deadline", () => {
+test("a stage goes first when the jobs after it would otherwise miss their deadline", () => {
   const firstStartedJob = (deadline: number): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
@@ -137,7 +137,7 @@
   assert.equal(firstStartedJob(95), "req-000002");
 });
 
-test("a waiting job holds nothing, and its release keeps what flows back through it", () => {
+test("a blocked job is not in the cluster, but passes rank and deadline back, also once it is released", () => {
   for (const releasedFirst of [true, false]) {
     const { scheduler } = new ClusterFixture(EAST_MACHINES);
     const job = (id: string) => scheduler.cluster.jobs.get(id);
@@ -149,14 +149,14 @@
     assert.deepEqual([...scheduler.blockedJobs], ["req-000002", "req-000009"]);
     assert.deepEqual([...scheduler.cluster.jobs.keys()], ["req-000001"]);
     assert.equal(present(job("req-000001")).rank, RANK.high);
-    // two later stages of 60 s at most
+    // minus the two later stages, 60 s each at most
     assert.equal(present(job("req-000001")).deadlineAt, 310_000 - 2 * 60_000);
 
     scheduler.jobEnded("req-000001");
     if (!releasedFirst) scheduler.jobUnblocked(stage.id);
     scheduler.jobReleased(stage, 30, instant(0), instant(50_000));
     if (releasedFirst) scheduler.jobUnblocked(stage.id);
-    // late word that it waits
+    // a late report that it is blocked
     scheduler.jobBlocked(stage, instant(0));
     assert.deepEqual([...scheduler.blockedJobs], ["req-000009"]);
     assert.equal(present(job(stage.id)).rank, RANK.high);
@@ -170,7 +170,7 @@
   }
 });
 
-test("room is kept for the stages of urgent pipelines that are likely to arrive, and for no other idle work", () => {
+test("the autoscaler expects arrivals of stages of high-priority pipelines, but not of other low-priority jobs", () => {
   const options = { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(45) };
   const autoscaler = new Autoscaler(options);
   const job = addJob(newCluster(), spec({ priority: "low", tasks: 3 }), 20, instant(0), instant(100_000));
@@ -182,7 +182,7 @@
   assert.equal(autoscaler.expectedCpus(instant(150_000)), 0);
 });
 
-test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
+test("a task whose rank a pipeline raised is preempted after tasks of lower rank, whatever its priority", () => {
   const stoppedJobs = (urgent: boolean): string[] => {
     const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
     fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
@@ -200,7 +200,7 @@
   assert.deepEqual(stoppedJobs(true), ["req-000001"]);
 });
 
-test("a last job submitted later counts at once, without other news", () => {
+test("a last job submitted later takes effect at the next step, without any other event", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
   fixture.step();
@@ -216,7 +216,7 @@
   assert.equal(stopCount(), 1);
 });
 
-test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
+test("a long-waiting stage of a high-priority pipeline stops deadlines from raising others; its gang gets room", () => {
   const firstStartedJob = (urgent: boolean): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
@@ -231,7 +231,7 @@
       instant(150_000),
     );
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
-    // there is no machine for it
+    // there is no machine in its zone
     fixture.scheduler.jobReleased(
       spec({ id: "req-000002", priority: "low", zone: "west" }),
       22,
--- a/test/pipeline-rules.test.ts
+++ b/test/pipeline-rules.test.ts
@@ -1,6 +1,7 @@
 /**
- * Jobs that wait for others, in seeded runs: that the troubles really met is counted, no rule may be broken, everything
- * accepted is served or cancelled afterwards, and where a guard is named the checker has to notice that it is missing.
+ * Jobs that depend on others, in seeded simulations with faults. Each scenario must reach its events a minimum number
+ * of times, break no rule, and see every accepted job served or cancelled in the end. With one of its guards disabled,
+ * the checker must report a violation.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, type World } from "./model.js";
@@ -9,7 +10,7 @@
 const CANCEL_DEADLINE_MS = Duration.toMillis(TIMINGS.cancelDeadline);
 const SMALL_JOB = { tasks: 2, cpus: 1 } as const;
 const waitForLeader = (world: World): boolean => world.runUntil(() => world.hasLeader(), 30_000);
-/** A job that waits for nothing, of tasks that each run so long. */
+/** Submits a job without dependencies, whose tasks each run for `ms`. */
 const submitRoot = (world: World, ms = 2000): string => world.submit(1, SMALL_JOB, [ms, ms])[0]!;
 const submitDependent = (world: World, dependencies: readonly string[], ms = 1000): string =>
   world.submitDependent(dependencies, SMALL_JOB, [ms, ms]);
@@ -18,13 +19,13 @@
   while (jobs.length < length) jobs.push(submitDependent(world, [jobs.at(-1)!], ms));
   return jobs;
 };
-/** One job, several that need it, and one that needs all of these. */
+/** Submits one job, several that depend on it, and one that depends on all of these. */
 const submitDiamond = (world: World, width: number, ms = 1000): string[] => {
   const first = submitRoot(world, ms);
   const middle = Array.from({ length: width }, (_, i) => submitDependent(world, [first], ms + (i % 3) * 700));
   return [first, ...middle, submitDependent(world, middle, ms)];
 };
-/** One job that needs many, of different lengths. */
+/** Submits one job that depends on many of different durations. */
 const submitFanIn = (world: World, width: number, ms = 1000): string[] => {
   const parents = Array.from({ length: width }, (_, i) => submitRoot(world, ms + (i % 4) * 900));
   return [...parents, submitDependent(world, parents, ms)];
@@ -34,7 +35,7 @@
 
 const SCENARIOS: readonly Scenario[] = [
   {
-    name: "chains, diamonds and wide fans run through all that happens on a rough day",
+    name: "chains, diamonds and wide fan-ins complete under all kinds of faults",
     faultRate: 1,
     run: (world, seed) => {
       world.wait(8000);
@@ -55,7 +56,7 @@
     guards: [["release", ["too_early"]]],
   },
   {
-    name: "a leader ends between a commit and the joins that follow from it",
+    name: "a leader crashes between a commit and the joins that follow from it",
     faultRate: 0.3,
     run: (world) => {
       world.randomCancels = false;
@@ -74,7 +75,7 @@
     guards: [["join", ["unserved"]]],
   },
   {
-    name: "joins, cancels and acceptances come late, or meet those of another leader",
+    name: "writes of joins, cancels and acceptances are delayed, or conflict with another leader's",
     faultRate: 0.5,
     run: (world, seed) => {
       world.wait(8000);
@@ -97,7 +98,7 @@
     guards: [["filling", ["went_back", "too_early"]]],
   },
   {
-    name: "users call off a waiting job as its last parent ends",
+    name: "users cancel a waiting job as its last parent ends",
     faultRate: 0.3,
     run: (world, seed) => {
       world.randomCancels = false;
@@ -108,7 +109,7 @@
           world,
           jobs.map(([, last]) => last!),
         );
-        // its end is on the way to the state service, and the release follows at once
+        // the parent's end is on its way to the state service, and the release follows at once
         for (const [n, [first, last]] of (jobs as [string, string][]).entries()) {
           if (!world.runUntil(() => world.completedTaskCount([first]) >= 2, 15_000)) continue;
           world.wait(((seed + n) % 4) * 150);
@@ -125,7 +126,7 @@
     },
   },
   {
-    name: "users call off a parent as it ends: told that it is done, the jobs after it go on",
+    name: "users cancel a parent as it ends: they learn that it is done, and its dependents go on",
     faultRate: 0.3,
     run: (world) => {
       world.randomCancels = false;
@@ -141,7 +142,7 @@
     minimumCounts: { "cancels that met the job's end": 120, "cancels passed on": 180, releases: 200 },
   },
   {
-    name: "a last job comes late: its parents are done, running, waiting, cancelled or just about to end",
+    name: "a last job is submitted late: its parents are done, running, waiting, cancelled or about to end",
     faultRate: 0.3,
     run: (world, seed) => {
       world.randomCancels = false;
@@ -152,7 +153,7 @@
         waitUntilAccepted(world, [second, third]);
         submitDependent(world, [first, third]);
         world.runUntil(() => world.completedTaskCount([first]) >= 2, 15_000);
-        // its end is on the way to the state service
+        // the end of the first job is on its way to the state service
         for (let n = 0; n < 4; n++) {
           submitDependent(world, [first]);
           submitDependent(world, [first, second]);
@@ -176,7 +177,7 @@
     },
   },
   {
-    name: "a job needs more jobs than a transaction compares, and some end while it is accepted",
+    name: "a job has more parents than one transaction can compare, and some end while it is being accepted",
     faultRate: 0.3,
     run: (world) => {
       world.randomCancels = false;
@@ -195,18 +196,18 @@
     minimumCounts: { "children accepted while a parent committed": 120, releases: 360 },
   },
   {
-    name: "a job is cancelled, and an outage or the loss of the leader holds up what has to follow from it",
+    name: "a job is cancelled, and an outage or the loss of the leader delays the cancellation of its dependents",
     faultRate: 0,
     run: (world, seed) => {
       world.randomCancels = false;
       world.wait(8000);
       for (let i = 0; i < 2; i++) {
-        // one of them hears of nothing that is submitted
+        // a leader that is cut off learns of none of the submissions
         if (seed % 3 === 1) world.isolateLeader(16_000, false);
         const jobs = [...submitChain(world, 6, 40_000), ...submitDiamond(world, 4, 40_000).slice(1)];
         waitUntilAccepted(world, jobs.slice(1, 6));
         world.wait(2000);
-        // nobody is there to pass it on when the user is told
+        // there is no leader to pass the cancel on when the user gets the answer
         if (seed % 3 === 0) world.crashLeader(6000);
         world.cancelThroughNode(jobs[0]!);
         if (!world.runUntil(() => world.outcome(jobs[0]!) === "cancelled", 10_000)) continue;
@@ -223,7 +224,7 @@
     ],
   },
   {
-    name: "a job is cancelled, and those that need it through others are sent until the state service is back",
+    name: "a job is cancelled, and indirect dependents of it are submitted until the state service is back",
     faultRate: 0,
     run: (world, seed) => {
       world.randomCancels = false;
@@ -246,7 +247,7 @@
     guards: [["before", ["orphaned"]]],
   },
   {
-    name: "leaders change one after the other while pipelines run and are called off anywhere",
+    name: "leaders change again and again while pipelines run and jobs anywhere in them are cancelled",
     faultRate: 0.8,
     run: (world, seed) => {
       world.wait(8000);
--- a/test/pipelines.test.ts
+++ b/test/pipelines.test.ts
@@ -1,4 +1,4 @@
-/** What flows backwards through pipelines, checked against a recomputation of the whole graph. */
+/** Rank and deadline that a job inherits from its dependents, checked against a recomputation of the whole graph. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -18,7 +18,7 @@
 }
 type Jobs = ReadonlyMap<string, { spec: JobSpec; acceptedAt: Instant }>;
 
-/** Goes along every path from a job to the jobs that need it. */
+/** Recomputes what a job inherits by walking every path to the jobs that depend on it. */
 const recomputeInherited = (jobs: Jobs, id: string): InheritedValues => {
   let rank: number = RANK[jobs.get(id)!.spec.priority];
   let deadline: number | null = null;
@@ -49,7 +49,7 @@
 const seconds = (s: number): Instant => instant(s * 1000);
 const DEFAULT_JOB_SECONDS = Duration.toSeconds(estimatedJobDuration(spec("x", [])));
 
-test("in random graphs, what flows back is right after each job that comes, goes or comes again, in any order", () => {
+test("in random graphs, inherited values are right after each job added, removed or added again, in any order", () => {
   let raisedCount = 0;
   let withDeadlineCount = 0;
   let checkCount = 0;
@@ -58,7 +58,7 @@
     const randomBelow = (n: number): number => Math.floor(uniformFloat64(random) * n);
     const priorities: Priority[] = ["low", "low", "low", "normal", "high", "production"];
     const specs = Array.from({ length: 14 }, (_, n) => {
-      // a job names only earlier ones, some of them twice
+      // a job depends only on earlier ones, possibly on one of them twice
       const dependencies = n === 0 ? [] : Array.from({ length: randomBelow(4) }, () => `j-${randomBelow(n)}`);
       return spec(`j-${n}`, dependencies, {
         priority: priorities[randomBelow(priorities.length)]!,
@@ -68,7 +68,7 @@
     });
     const graph = new DependencyGraph();
     const jobs = new Map<string, { spec: JobSpec; acceptedAt: Instant }>();
-    /** What somebody knows who only ever hears of changes. */
+    /** The values as a reader of `takeChanged` alone knows them. */
     const reported = new Map<string, InheritedValues>();
     for (let step = 0; step < 120; step++) {
       const job = specs[randomBelow(specs.length)]!;
@@ -77,7 +77,7 @@
         jobs.delete(job.id);
         reported.delete(job.id);
       } else {
-        // a job that is known already has been released, and its submission may be dated anew
+        // adding a known job stands for its release, which may come with another time of acceptance
         const acceptedAt = seconds(randomBelow(2) === 0 ? step : randomBelow(200));
         graph.add(job, acceptedAt);
         jobs.set(job.id, { spec: job, acceptedAt });
@@ -90,7 +90,11 @@
       for (const [id, row] of jobs) {
         const expected = recomputeInherited(jobs, id);
         assert.deepEqual(inheritedValues(graph, id), expected, `seed ${seed}, step ${step}, ${id}`);
-        assert.deepEqual(reported.get(id), expected, `seed ${seed}, step ${step}: ${id} changed silently`);
+        assert.deepEqual(
+          reported.get(id),
+          expected,
+          `seed ${seed}, step ${step}: ${id} changed without being reported`,
+        );
         const own = row.spec.deadline;
         const deadlines = [expected.deadline, own === null ? null : row.acceptedAt + Duration.toMillis(own)];
         const ownAndInherited = deadlines.filter((d) => d !== null);
@@ -104,14 +108,14 @@
       }
     }
   }
-  // the graphs are no trivial ones
+  // many jobs must inherit something, or the test would check little
   assert.ok(
     raisedCount > checkCount / 10 && withDeadlineCount > checkCount / 10,
     `${raisedCount} and ${withDeadlineCount} of ${checkCount}`,
   );
 });
 
-test("a last job submitted late raises the chain before it; its end lowers it again", () => {
+test("a last job submitted late raises the rank of the chain before it; its removal lowers it again", () => {
   const graph = new DependencyGraph();
   graph.add(spec("a", [], { priority: "low" }), seconds(0));
   graph.add(spec("b", ["a"], { priority: "low" }), seconds(1));
@@ -130,11 +134,11 @@
   assert.equal(graph.inheritedDeadline("d"), null);
   assert.equal(graph.effectiveDeadline("c"), seconds(700 - DEFAULT_JOB_SECONDS));
   assert.equal(graph.effectiveDeadline("a"), seconds(700 - 3 * DEFAULT_JOB_SECONDS));
-  // released: nothing is lost, nothing changes
+  // its release changes nothing
   graph.add(spec("c", ["b"]), seconds(2));
   assert.deepEqual(graph.takeChanged(), []);
   assert.equal(graph.rank("c"), RANK.high);
-  // a stage that is done asks for nothing, and what comes after it goes on
+  // when a stage is done, the later stages keep their rank
   graph.remove("a");
   assert.equal(graph.rank("b"), RANK.high);
 
@@ -146,7 +150,7 @@
   );
 });
 
-test("in a diamond the longer way counts; children may be known before their parents", () => {
+test("in a diamond the longer path counts; children may be added before their parents", () => {
   const long = { estimate: Duration.seconds(100) };
   const jobs = [
     spec("end", ["left", "right"], { priority: "high", deadline: Duration.seconds(900) }),
@@ -166,7 +170,7 @@
   }
 });
 
-test("an event looks at the jobs before its own only as far as they change, at few children of many", () => {
+test("a change visits a job's ancestors only as far as their values change, and few of many children", () => {
   const graph = new DependencyGraph();
   const visitsDuring = (event: () => void): number => {
     const before = graph.visits;
@@ -174,7 +178,7 @@
     return graph.visits - before;
   };
   const urgent = { priority: "high", deadline: Duration.seconds(600) } as const;
-  // other pipelines are never looked at
+  // these other pipelines must never be visited
   for (let n = 0; n < 2000; n++)
     graph.add(spec(`other-${n}`, n % 4 === 0 ? [] : [`other-${n - 1}`]), seconds(0));
   graph.add(spec("first", [], { priority: "low" }), seconds(0));
@@ -184,30 +188,30 @@
     assert.ok(visits <= 4, `${visits} visits for child ${n}`);
   }
   assert.equal(graph.effectiveDeadline("hub"), seconds(600 - DEFAULT_JOB_SECONDS));
-  // the last one in decides nothing; the first decides all
+  // the last leaf has the latest deadline, the first one the deadline that is inherited
   assert.ok(visitsDuring(() => graph.remove("leaf-499")) <= 510);
   assert.ok(visitsDuring(() => graph.remove("leaf-0")) <= 510);
   assert.equal(graph.effectiveDeadline("hub"), seconds(601 - DEFAULT_JOB_SECONDS));
   for (let n = 1; n < 499; n++) graph.remove(`leaf-${n}`);
   assert.deepEqual([graph.rank("first"), graph.effectiveDeadline("first")], [RANK.low, null]);
 
-  // without deadlines one child of the same rank is enough to know that nothing changes
+  // without deadlines one remaining child of the same rank shows that nothing changes
   for (let n = 0; n < 500; n++) graph.add(spec(`plain-${n}`, ["hub"]), seconds(n));
   for (let n = 0; n < 499; n++) {
     const visits = visitsDuring(() => graph.remove(`plain-${n}`));
     assert.ok(visits <= 2, `${visits} visits for the end of child ${n}`);
   }
 
-  // a chain's end changes all of it, a second one of the same sort nothing, however long it is
+  // an urgent last job changes the whole chain; a second one like it changes nothing, however long the chain is
   for (let n = 0; n < 1000; n++) graph.add(spec(`link-${n}`, n === 0 ? [] : [`link-${n - 1}`]), seconds(0));
   assert.ok(visitsDuring(() => graph.add(spec("end", ["link-999"], urgent), seconds(0))) <= 1010);
   assert.ok(visitsDuring(() => graph.add(spec("end-2", ["link-999"], urgent), seconds(0))) <= 4);
   assert.ok(visitsDuring(() => graph.remove("end")) <= 4);
-  // each job is looked at, and the one that needs it
+  // visits each job and its dependent
   assert.ok(visitsDuring(() => graph.remove("end-2")) <= 2 * 1010);
 });
 
-test("many ways through a wide graph aren't gone one by one", () => {
+test("a graph of many layers is updated without walking each of its paths", () => {
   const graph = new DependencyGraph();
   const layers = 20;
   const width = 5;
@@ -224,7 +228,7 @@
   assert.equal(graph.rank("l0-0"), RANK.normal);
 });
 
-test("a malformed cycle neither hangs nor spoils other jobs", () => {
+test("a dependency cycle neither hangs nor corrupts the values of other jobs", () => {
   const urgent = { priority: "high", deadline: Duration.seconds(600) } as const;
   const graph = new DependencyGraph();
   graph.add(spec("self", ["self"], urgent), seconds(0));
--- a/test/placement.test.ts
+++ b/test/placement.test.ts
@@ -1,4 +1,4 @@
-/** Placement: zones, spread, the order among jobs, and preemption of what runs. */
+/** Placement: zones, spreading, the order among jobs, and preemption of running tasks. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -7,7 +7,7 @@
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
-test("together keeps a job in one zone, apart puts at most half of it into one", () => {
+test("oneZone keeps a job in one zone; spreadOverZones puts at most half of it, rounded up, into each of two", () => {
   const machines = [...EAST_MACHINES, { id: "n-4", zone: "west" }, { id: "n-5", zone: "west" }];
   const zoneOf = new Map(machines.map((machine) => [machine.id, machine.zone]));
   const zonesOfStarts = (fixture: ClusterFixture, job: string): string[] =>
@@ -27,7 +27,7 @@
     assert.ok(startZones.filter((startZone) => startZone === zone).length <= 3);
 });
 
-test("production work stops the youngest idle work, and no more of it than needed", () => {
+test("a production job preempts low-priority tasks, and no more of them than needed", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ priority: "low", tasks: 6 }), 20, instant(0));
   fixture.step();
@@ -43,9 +43,9 @@
   assert.equal(fixture.activeTasks().filter((task) => task.job === "req-000001").length, 5);
 });
 
-test("replicas don't gather on the largest machine: losing it would cost most of them", () => {
+test("replicas of services don't gather on the largest machine, whose loss would take most of them", () => {
   const fixture = new ClusterFixture([...EAST_MACHINES, { id: "n-4", zone: "east", type: "large" }]);
-  // the image is cached on all of them: a cached image comes first
+  // the image is cached on all machines first, since placement prefers machines that have it
   fixture.scheduler.jobReleased(spec({ id: "req-000100", tasks: 10 }), 11, instant(0));
   for (let i = 0; i < 3; i++) fixture.step();
   assert.equal(fixture.activeTasks().length, 10);
@@ -69,7 +69,7 @@
   for (const [machine, tasks] of fixture.tasks) assert.ok(tasks.size <= 2, `${tasks.size} on ${machine}`);
 });
 
-test("a large job of low priority begins in bounded time under a steady stream of others", () => {
+test("a large low-priority job starts within four minutes under a steady stream of other jobs", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   let n = 0;
   const submitJob = (): void =>
@@ -88,19 +88,19 @@
   );
   const submittedAt = fixture.now;
   for (let i = 0; i < 480 && !fixture.sentCommands.some((sent) => sent.command.job === "req-000009"); i++) {
-    // more than fits, all the time
+    // always more than fits
     if (i % 4 === 0) submitJob();
     if (i % 6 === 0) for (const { id } of EAST_MACHINES) fixture.endTasks(id, "done");
     fixture.step();
   }
   assert.ok(
     fixture.sentCommands.some((sent) => sent.command.job === "req-000009"),
-    "it never began",
+    "it never started",
   );
   assert.ok(fixture.now - submittedAt < 240_000);
 });
 
-test("work without a guarantee begins within four minutes under a steady stream of guaranteed jobs", () => {
+test("a job beyond its team's guarantee starts within four minutes under a steady stream of guaranteed jobs", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
   const jobWithoutGuarantee = spec({ id: "req-000009", priority: "low", tasks: 500 });
   fixture.scheduler.jobReleased(jobWithoutGuarantee, 10, instant(fixture.now));
@@ -108,16 +108,16 @@
   const isStarted = (): boolean =>
     fixture.sentCommands.some(({ command }) => command.job === jobWithoutGuarantee.id);
   for (let n = 0; n < 600 && !isStarted(); n++) {
-    // two tasks take the whole machine, and all of their team's guarantee
+    // two tasks take the whole machine and all of their team's guarantee
     const job = spec({ id: `req-1${String(n).padStart(5, "0")}`, team: "red", priority: "high", tasks: 2 });
     fixture.scheduler.jobReleased(job, 100 + n, instant(fixture.now));
     fixture.step();
     fixture.endTasks("n-1", "done");
   }
-  assert.ok(isStarted(), "it never began");
-  assert.ok(fixture.now - submittedAt > 60_000, "guaranteed work goes first");
+  assert.ok(isStarted(), "it never started");
+  assert.ok(fixture.now - submittedAt > 60_000, "guaranteed jobs go first");
   assert.ok(fixture.now - submittedAt < 240_000);
-  // one task of it was enough
+  // starting one of its tasks ends its precedence
   fixture.step();
   assert.ok(
     fixture.sentCommands.filter(
@@ -126,7 +126,7 @@
   );
 });
 
-test("idle work with a deadline goes first when it is about to miss it, and a new leader knows its age", () => {
+test("a low-priority job goes first when it would otherwise miss its deadline, counted from its acceptance", () => {
   const firstStartedJob = (acceptedAt: number): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
@@ -145,13 +145,13 @@
   };
   assert.equal(firstStartedJob(195_000), "req-000002");
   assert.equal(firstStartedJob(150_000), "req-000001");
-  // too late for its deadline: it waits its turn
+  // the deadline can't be met any more: it waits its turn
   assert.equal(firstStartedJob(105_000), "req-000002");
-  // and not for ever
+  // but after a long wait it goes first
   assert.equal(firstStartedJob(90_000), "req-000001");
 });
 
-test("a machine that will be taken saves what can be saved and moves its replica", () => {
+test("tasks with checkpoints are stopped with time to save when their machine is about to be reclaimed", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(
     spec({ checkpointInterval: Duration.seconds(10), saveDuration: Duration.seconds(3) }),
--- a/test/reconciliation.test.ts
+++ b/test/reconciliation.test.ts
@@ -1,4 +1,4 @@
-/** Reconciliation: commands without an answer, late heartbeats, and what a new leader makes of either. */
+/** Reconciliation: unanswered commands, late heartbeats, and how a leader (also a new one) treats them. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import type { Heartbeat } from "../src/core/records.js";
@@ -8,7 +8,7 @@
 import { jobSpec as spec } from "./specs.js";
 import { present } from "./present.js";
 
-test("an unanswered start is neither repeated elsewhere nor reaped until a higher token settles it", () => {
+test("an unanswered start is not repeated until the machine has answered a query with a higher fencing token", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
   fixture.scheduler.jobReleased(spec({}), 20, instant(0));
   fixture.step(["n-1"]);
@@ -20,17 +20,17 @@
   fixture.tasks.set("n-2", new Map());
   for (let i = 0; i < 6; i++) fixture.step(["n-1"]);
   assert.equal(fixture.commandCount("start"), 1);
-  // asked under a token of its own that is higher than the start's, it answers without the task
+  // queried with a token higher than the start's, the machine answers without the task
   const question = present(fixture.heartbeatRequests("n-1").at(-1));
   assert.ok(question.fencingToken > present(fixture.sentCommands[0]).fencingToken);
-  assert.equal(termNumberOf(question.fencingToken), 1, "nobody else has to hear of it");
+  assert.equal(termNumberOf(question.fencingToken), 1, "the query takes no new term");
   fixture.step();
   fixture.step();
   assert.equal(fixture.commandCount("start"), 2);
   assert.equal(fixture.activeTasks().length, 1);
 });
 
-test("after a take-over an old memory of a machine is not taken for the machine", () => {
+test("after a failover a stale heartbeat does not make a machine known or get it work", () => {
   const fixture = new ClusterFixture([]);
   const machineState = {
     machine: "n-9",
@@ -43,7 +43,7 @@
     fencingToken: 0,
   };
   const staleHeartbeat = { ...machineState, reclaimNoticeSeconds: null, tasks: [] };
-  // released by the leader before, so without a record: nobody is there
+  // the previous leader released the machine, so it has no record: the heartbeat is ignored
   fixture.scheduler.heartbeatReceived(staleHeartbeat, "a", instant(50_000), instant(20_000));
   assert.equal(fixture.scheduler.cluster.machines.size, 0);
   fixture.scheduler.machineRecorded(
@@ -69,7 +69,7 @@
   assert.ok(starts.length <= 1);
 });
 
-test("a stranger in a late heartbeat is no machine, until it knows the present token", () => {
+test("a late heartbeat of an unknown machine is ignored until it carries the current fencing token", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
   fixture.step();
@@ -89,12 +89,12 @@
   fixture.scheduler.heartbeatReceived(lateHeartbeat, "a", instant(fixture.now));
   assert.equal(fixture.scheduler.cluster.machines.has("n-77"), false);
   for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
-  // nor does a machine speak for the present that is recorded, but has not reported under this term
+  // nor does it count for a machine that has a record but has not reported under this term
   const machineRecord = { type: "small", zone: "east", spot: false, addr: "n-9" };
   fixture.scheduler.machineRecorded("n-9", machineRecord, instant(fixture.now));
   fixture.scheduler.heartbeatReceived({ ...lateHeartbeat, machine: "n-9" }, "a", instant(fixture.now));
   for (let i = 0; i < 4; i++) fixture.step(["n-9"]);
-  // the lower attempt in the copies doesn't get the real task stopped
+  // the lower attempt number in the late heartbeats doesn't get the real task stopped
   assert.equal(fixture.commandCount("stop"), 0);
   assert.deepEqual(
     fixture.activeTasks().map((task) => task.attempt),
@@ -108,7 +108,7 @@
   assert.equal(fixture.scheduler.cluster.machines.has("n-77"), true);
 });
 
-test("a start whose outcome comes before its heartbeat is waited for, not repeated", () => {
+test("a start that was answered is not repeated until a later heartbeat shows that the task is missing", () => {
   const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
   fixture.scheduler.jobReleased(spec({}), 20, instant(0));
   const commands = fixture.scheduler
@@ -133,7 +133,7 @@
       .filter((decision) => decision.kind === "commands" && decision.commands.length > 0).length;
   assert.equal(stepAndCountBatches(), 0);
   fixture.sendHeartbeat("n-1", "east", { sequence: 49 });
-  assert.equal(stepAndCountBatches(), 0, "older than the answer");
+  assert.equal(stepAndCountBatches(), 0, "the heartbeat is older than the answer");
   fixture.sendHeartbeat("n-1", "east", { sequence: 51 });
-  assert.equal(stepAndCountBatches(), 1, "the worker doesn't have it");
+  assert.equal(stepAndCountBatches(), 1, "the worker doesn't have the task");
 });
--- a/test/unhealthy-machines.test.ts
+++ b/test/unhealthy-machines.test.ts
@@ -1,4 +1,4 @@
-/** Machines that fail, are slow or are cut off: cordoned, given no new work, and returned in time. */
+/** Machines that fail, are slow or unreachable: they are cordoned, get no new work, and are released in time. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -32,7 +32,7 @@
     for (const { id } of EAST_MACHINES) allMachinesFail.endTasks(id, "error");
   }
   assert.deepEqual(cordonedIds(allMachinesFail), []);
-  // and it isn't retried in a tight loop
+  // and the job isn't retried in a tight loop
   assert.ok(
     allMachinesFail.commandCount("start") < 60,
     `${allMachinesFail.commandCount("start")} starts in 100 s`,
@@ -40,12 +40,12 @@
   assert.ok(allMachinesFail.commandCount("start") > 6);
 });
 
-test("a machine that hears nothing gets no new work, troubles no other, and is returned", () => {
+test("a machine that receives no commands gets no new work, is released, and doesn't affect others", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ tasks: 60, image: "x" }), 20, instant(0));
   let releaseReason = "";
   for (let i = 0; i < 60 && releaseReason === ""; i++) {
-    // its heartbeats go on, but orders and answers don't reach it
+    // its heartbeats arrive, but commands and answers don't reach it
     fixture.step(["n-2"]);
     for (const { id } of EAST_MACHINES) if (id !== "n-2") fixture.endTasks(id, "done");
     for (const decision of fixture.scheduler.stepAutoscaler(instant(fixture.now)))
@@ -53,9 +53,9 @@
   }
   assert.equal(releaseReason, "doesn't hear");
   const starts = fixture.sentCommands.filter((sent) => sent.command.op === "start" && sent.machine === "n-2");
-  assert.ok(starts.length <= 4, `${starts.length} starts sent to a machine that hears nothing`);
-  assert.ok(fixture.commandCount("start") > 20, "the others work on");
-  // what it may hold starts elsewhere only once it is gone
+  assert.ok(starts.length <= 4, `${starts.length} starts sent to a machine that receives none`);
+  assert.ok(fixture.commandCount("start") > 20, "the other machines continue to work");
+  // tasks that it may have started start elsewhere only once it is released
   const heldIndices = new Set(starts.map((sent) => sent.command.index));
   const startsElsewhere = (): number =>
     fixture.sentCommands.filter(
@@ -71,7 +71,7 @@
   assert.equal(startsElsewhere(), heldIndices.size);
 });
 
-test("a machine whose heartbeats reach nobody, though it answers commands, gets no new work and goes before its lease ends", () => {
+test("a machine whose heartbeats get no answer is given no work and released before its lease ends", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ tasks: 60, image: "x" }), 20, instant(0));
   const reportRenewalsExcept = (excluded: string): void => {
@@ -89,7 +89,7 @@
   let releaseReason = "";
   let lateStarts = 0;
   for (let i = 0; i < 80 && releaseReason === ""; i++) {
-    // ClusterFixture's machines report by whatever way; only answers to reports of their own renew their leases
+    // ClusterFixture delivers all heartbeats; this machine's lease, though, is no longer reported as renewed
     reportRenewalsExcept(i < 4 ? "" : "n-2");
     const before = fixture.sentCommands.length;
     fixture.step();
@@ -105,10 +105,10 @@
   assert.equal(lateStarts, 0);
   const lease = Duration.toMillis(TIMINGS.workerLease);
   assert.ok(fixture.now < 2000 + lease, `released at ${fixture.now}`);
-  assert.ok(fixture.now > 2000 + lease / 2, `released at ${fixture.now}: too soon for what runs there`);
+  assert.ok(fixture.now > 2000 + lease / 2, `released at ${fixture.now}: too soon for its running tasks`);
 });
 
-test("a machine much slower than others at the same job is cordoned, and its tasks start anew once", () => {
+test("a machine much slower than others at the same job is cordoned, and its tasks are restarted once", () => {
   const fixture = new ClusterFixture([...EAST_MACHINES, { id: "n-4", zone: "east" }]);
   fixture.scheduler.jobReleased(spec({ tasks: 40 }), 20, instant(0));
   for (let i = 0; i < 60; i++) {
@@ -138,7 +138,7 @@
   assert.ok(released.some((decision) => decision.machines.includes("n-2") && decision.reason === "slow"));
 });
 
-test("after a failover no machine is judged slow: when its tasks began isn't known", () => {
+test("after a failover no machine is judged slow, since the start times of its tasks are unknown", () => {
   const fixture = new ClusterFixture([...EAST_MACHINES, { id: "n-4", zone: "east" }]);
   const running = (index: number): TaskStatus => {
     return { job: "req-000001", index, attempt: 7, state: "running", exitReason: null };
@@ -157,7 +157,7 @@
   assert.equal(fixture.commandCount("stop"), 0);
 });
 
-test("behind a cut machines are kept until just before their leases end, also by a leader that never heard them", () => {
+test("machines in a zone without members are kept until shortly before their leases end, also by a new leader", () => {
   const lease = Duration.toMillis(TIMINGS.workerLease);
   const zones = new ZoneMembership();
   const member = (name: string, zone: string) => ({ name, incarnation: 1, zone });
@@ -191,12 +191,12 @@
   for (let t = lostAt + 2000; releasedAt === 0 && t < lostAt + 3 * lease; t += 250)
     for (const decision of scheduler.stepAutoscaler(instant(t)))
       if (decision.kind === "release") releasedAt = t;
-  // the last answers may be older than the loss by a heartbeat and by the member's own lease
+  // the last lease renewals may precede the loss by the member lease and a heartbeat interval
   const earliestLeaseStart =
     lostAt - Duration.toMillis(TIMINGS.memberLease) - Duration.toMillis(TIMINGS.heartbeatInterval);
   assert.ok(
     releasedAt <= earliestLeaseStart + lease,
-    `released ${releasedAt - earliestLeaseStart - lease} ms after the first leases`,
+    `released ${releasedAt - earliestLeaseStart - lease} ms after the first leases ended`,
   );
   assert.ok(
     releasedAt > earliestLeaseStart + lease / 2,
@@ -204,7 +204,7 @@
   );
 });
 
-test("a leader that lost its workers alone asks them through another member before it gives them up", () => {
+test("a leader that can't reach a machine queries it through another member before releasing it", () => {
   const member = (name: string, zone: string) => ({ name, incarnation: 1, zone });
   const term = {
     number: 1,
@@ -253,7 +253,7 @@
     for (const decision of scheduler.step(instant(t))) {
       if (decision.kind !== "commands" || decision.machine !== "n-0") continue;
       routes.add(decision.via);
-      // this node can't reach it, the other one can
+      // the leader can't reach it, the other member can
       if (decision.via === "b") heartbeat("n-0", "b", t);
       scheduler.commandsAnswered(
         "n-0",
