--- a/test/pipeline-priority.test.ts
+++ b/test/pipeline-priority.test.ts
@@ -1,4 +1,4 @@
-/** Pipelines: what a stage inherits from the jobs after it, and what that changes in order and preemption. */
+/** Pipelines: a stage inherits rank and deadline from the jobs after it, which affects order and preemption. */
 import assert from "node:assert/strict";
 import { test } from "node:test";
 import * as Duration from "effect/Duration";
@@ -14,7 +14,7 @@
 
 const PIPELINE_END = { id: "req-000009", dependsOn: ["req-000002"], priority: "high" } as const;
 
-test("an idle first stage of an urgent pipeline goes before plain normal work, as long as the pipeline stands", () => {
+test("a low-priority first stage of a high-priority pipeline goes before normal jobs until that is cancelled", () => {
   const firstStartedJob = (submit: (scheduler: Scheduler) => void): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
@@ -53,7 +53,7 @@
   );
 });
 
-test("a stage of an urgent pipeline isn't stopped for normal or urgent work, but for production, and once it is plain", () => {
+test("a stage of a high-priority pipeline is preempted only for production while it inherits the rank", () => {
   const fixtureWithRunningStage = (): ClusterFixture => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000002", tasks: 6, priority: "low" }), 20, instant(0));
@@ -81,7 +81,7 @@
   assert.equal(lowered.commandCount("stop"), 1);
 });
 
-test("a stage of an urgent pipeline makes room for itself among normal work", () => {
+test("a stage of a high-priority pipeline preempts normal tasks", () => {
   const stopCount = (urgent: boolean): number => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
@@ -95,8 +95,8 @@
   assert.equal(stopCount(true), 1);
 });
 
-test("a deadline counts from the submission, a long wait from the release", () => {
-  const firstStarted = (acceptedAt: number, releasedAt: number, more: Partial<JobSpec>): string => {
+test("a deadline counts from the acceptance of a job, its waiting time from its release", () => {
+  const firstStartedJob = (acceptedAt: number, releasedAt: number, more: Partial<JobSpec>): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
@@ -108,14 +108,14 @@
     return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   const withDeadline = { deadline: Duration.seconds(90) };
-  assert.equal(firstStarted(150_000, 199_000, withDeadline), "req-000001");
-  assert.equal(firstStarted(195_000, 199_000, withDeadline), "req-000002");
-  assert.equal(firstStarted(90_000, 90_000, {}), "req-000001");
-  assert.equal(firstStarted(90_000, 199_000, {}), "req-000002");
+  assert.equal(firstStartedJob(150_000, 199_000, withDeadline), "req-000001");
+  assert.equal(firstStartedJob(195_000, 199_000, withDeadline), "req-000002");
+  assert.equal(firstStartedJob(90_000, 90_000, {}), "req-000001");
+  assert.equal(firstStartedJob(90_000, 199_000, {}), "req-000002");
 });
 
-test("a stage hurries when the jobs after it would otherwise miss their deadline", () => {
-  const firstStarted = (deadline: number): string => {
+test("a stage goes first when the jobs after it would otherwise miss their deadline", () => {
+  const firstStartedJob = (deadline: number): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
     const estimate = Duration.seconds(20);
@@ -133,30 +133,30 @@
     return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
   // each of the two takes 45 s at most
-  assert.equal(firstStarted(120), "req-000001");
-  assert.equal(firstStarted(95), "req-000002");
+  assert.equal(firstStartedJob(120), "req-000001");
+  assert.equal(firstStartedJob(95), "req-000002");
 });
 
-test("a waiting job holds nothing, and its release keeps what flows back through it", () => {
+test("a blocked job is not in the cluster, but passes rank and deadline back, also once it is released", () => {
   for (const releasedFirst of [true, false]) {
     const { scheduler } = new ClusterFixture(EAST_MACHINES);
     const job = (id: string) => scheduler.cluster.jobs.get(id);
     const stage = spec({ id: "req-000002", dependsOn: ["req-000001"], priority: "low" });
-    const due = Duration.seconds(300);
+    const deadline = Duration.seconds(300);
     scheduler.jobReleased(spec({ id: "req-000001", priority: "low" }), 20, instant(0));
     scheduler.jobBlocked(stage, instant(0));
-    scheduler.jobBlocked(spec({ ...PIPELINE_END, deadline: due }), instant(10_000));
+    scheduler.jobBlocked(spec({ ...PIPELINE_END, deadline }), instant(10_000));
     assert.deepEqual([...scheduler.blockedJobs], ["req-000002", "req-000009"]);
     assert.deepEqual([...scheduler.cluster.jobs.keys()], ["req-000001"]);
     assert.equal(present(job("req-000001")).rank, RANK.high);
-    // two later stages of 60 s at most
+    // minus the two later stages, 60 s each at most
     assert.equal(present(job("req-000001")).deadlineAt, 310_000 - 2 * 60_000);
 
     scheduler.jobEnded("req-000001");
     if (!releasedFirst) scheduler.jobUnblocked(stage.id);
     scheduler.jobReleased(stage, 30, instant(0), instant(50_000));
     if (releasedFirst) scheduler.jobUnblocked(stage.id);
-    // late word that it waits
+    // a late report that it is blocked
     scheduler.jobBlocked(stage, instant(0));
     assert.deepEqual([...scheduler.blockedJobs], ["req-000009"]);
     assert.equal(present(job(stage.id)).rank, RANK.high);
@@ -170,7 +170,7 @@
   }
 });
 
-test("room is kept for the stages of urgent pipelines that are likely to arrive, and for no other idle work", () => {
+test("the autoscaler expects arrivals of stages of high-priority pipelines, but not of other low-priority jobs", () => {
   const options = { reuse: 0.5, idleBoots: 1.5, warmFor: Duration.seconds(45) };
   const autoscaler = new Autoscaler(options);
   const job = addJob(newCluster(), spec({ priority: "low", tasks: 3 }), 20, instant(0), instant(100_000));
@@ -182,8 +182,8 @@
   assert.equal(autoscaler.expectedCpus(instant(150_000)), 0);
 });
 
-test("what a pipeline raised isn't stopped where plain work of a higher priority of its own will do", () => {
-  const stopped = (urgent: boolean): string[] => {
+test("a task whose rank a pipeline raised is preempted after tasks of lower rank, whatever its priority", () => {
+  const stoppedJobs = (urgent: boolean): string[] => {
     const fixture = new ClusterFixture([{ id: "n-1", zone: "east" }]);
     fixture.scheduler.jobReleased(spec({ id: "req-000001" }), 20, instant(0));
     fixture.step();
@@ -196,38 +196,42 @@
     for (let i = 0; i < 4; i++) fixture.step();
     return fixture.sentCommands.filter((sent) => sent.command.op === "stop").map((sent) => sent.command.job);
   };
-  assert.deepEqual(stopped(false), ["req-000002"]);
-  assert.deepEqual(stopped(true), ["req-000001"]);
+  assert.deepEqual(stoppedJobs(false), ["req-000002"]);
+  assert.deepEqual(stoppedJobs(true), ["req-000001"]);
 });
 
-test("a last job submitted later counts at once, without other news", () => {
+test("a last job submitted later takes effect at the next step, without any other event", () => {
   const fixture = new ClusterFixture(EAST_MACHINES);
   fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 20, instant(0));
   fixture.step();
   fixture.scheduler.jobReleased(spec({ id: "req-000002", priority: "low" }), 21, instant(fixture.now));
   fixture.step();
-  const stops = (): number =>
+  const stopCount = (): number =>
     fixture.scheduler
       .step(instant(fixture.now + 10))
       .flatMap((decision) => (decision.kind === "commands" ? decision.commands : []))
       .filter((command) => command.op === "stop").length;
-  assert.equal(stops(), 0);
+  assert.equal(stopCount(), 0);
   fixture.scheduler.jobBlocked(spec(PIPELINE_END), instant(fixture.now));
-  assert.equal(stops(), 1);
+  assert.equal(stopCount(), 1);
 });
 
-test("a stage of an urgent pipeline that can't start for long ends the hurry of others, and attempts places for its gang", () => {
-  const firstStarted = (urgent: boolean): string => {
+test("a long-waiting stage of a high-priority pipeline stops deadlines from raising others; its gang gets room", () => {
+  const firstStartedJob = (urgent: boolean): string => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 200_000;
-    const late = {
+    const withDeadline = {
       priority: "low",
       estimate: Duration.seconds(20),
       deadline: Duration.seconds(90),
     } as const;
-    fixture.scheduler.jobReleased(spec({ id: "req-000003", tasks: 6, ...late }), 20, instant(150_000));
+    fixture.scheduler.jobReleased(
+      spec({ id: "req-000003", tasks: 6, ...withDeadline }),
+      20,
+      instant(150_000),
+    );
     fixture.scheduler.jobReleased(spec({ id: "req-000001", tasks: 6 }), 21, instant(199_000));
-    // there is no machine for it
+    // there is no machine in its zone
     fixture.scheduler.jobReleased(
       spec({ id: "req-000002", priority: "low", zone: "west" }),
       22,
@@ -238,10 +242,10 @@
     fixture.step();
     return present(fixture.sentCommands.find((sent) => sent.command.op === "start")).command.job;
   };
-  assert.equal(firstStarted(false), "req-000003");
-  assert.equal(firstStarted(true), "req-000001");
+  assert.equal(firstStartedJob(false), "req-000003");
+  assert.equal(firstStartedJob(true), "req-000001");
 
-  const started = (urgent: boolean): number => {
+  const activeTaskCount = (urgent: boolean): number => {
     const fixture = new ClusterFixture(EAST_MACHINES);
     fixture.now = 50_000;
     for (const id of ["n-1", "n-2", "n-3"]) fixture.sendHeartbeat(id);
@@ -257,6 +261,6 @@
     fixture.step();
     return fixture.activeTasks().length;
   };
-  assert.equal(started(false), 6);
-  assert.equal(started(true), 1);
+  assert.equal(activeTaskCount(false), 6);
+  assert.equal(activeTaskCount(true), 1);
 });
