--- a/test/index-checker.ts
+++ b/test/index-checker.ts
@@ -1,11 +1,11 @@
-/** Checks the core's indices against a checkClusterIndices of the whole picture. */
+/** Checks the indices of the core's cluster state against a full scan. */
 import assert from "node:assert/strict";
 import { type Cluster, type TaskAttempt, occupiesCapacity } from "../src/core/cluster/cluster.js";
 import { RANK } from "../src/core/records.js";
 
 const ids = (set: Iterable<{ id: string }>): string[] => [...set].map((m) => m.id).sort();
 
-/** Fails where an index of the cluster differs from what its machines, attempts and jobs say. */
+/** Fails if an index of the cluster differs from what a scan of its machines, attempts and jobs gives. */
 export const checkClusterIndices = (cluster: Cluster): void => {
   const machines = [...cluster.machines.values()];
   const machineIds = (condition: (machine: (typeof machines)[number]) => boolean): string[] =>
--- a/test/model.ts
+++ b/test/model.ts
@@ -1,3 +1,3 @@
-/** The model of a cluster (test/model/), for the tests that use it. */
+/** The entry point of the simulated cluster in test/model/. */
 export { type Guard, TEAMS, TIMINGS, TYPES } from "./model/settings.js";
 export { World } from "./model/world.js";
--- a/test/model/commands.ts
+++ b/test/model/commands.ts
@@ -1,5 +1,5 @@
 /**
- * Commands on their way from the leader through a member to a worker, and what becomes of them.
+ * The way of commands from the leader through a member to a worker, and of their outcomes back to the leader.
  */
 import { type WorldState } from "./world-state.js";
 import { sendLater, whenAwake, areConnected, areZonesApart } from "./network.js";
@@ -11,7 +11,7 @@
 import { type Decision, type CommandOutcome, type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { instant } from "../../src/core/time.js";
 
-/** The outcome of a batch of commands reaches the leader. */
+/** Reports the outcome of a batch of commands to the leader's core. */
 export function settleCommands(
   world: WorldState,
   leader: Node,
@@ -69,7 +69,7 @@
       const sent = world.now;
       const arrive = (): void => {
         if (worker === undefined || worker.gone || world.now < worker.upAt) return;
-        // hung, cut or deaf: the order waits, and is executed when that ends
+        // the worker can't be reached: the batch waits and is executed once it can
         const zoneCutUntil = areZonesApart(world, via.zone, worker.record.zone)
           ? Math.max(world.zoneCutUntil.get(via.zone) ?? 0, world.zoneCutUntil.get(worker.record.zone) ?? 0)
           : 0;
@@ -104,14 +104,14 @@
   );
 }
 
-/** How long something is held up, if it is. */
+/** The extra delay of a command batch or of its answer; 0 for most. */
 export function drawHoldUpMs(world: WorldState, event: string): number {
   if (world.delayedCommandShare === 0 || world.extraRandom() >= world.delayedCommandShare) return 0;
   world.count(event);
   return 1000 + world.extraRandom() * 7000;
 }
 
-/** How late a command is, if it is. */
+/** The extra delay of a command batch beyond the time that the sender waits; 0 for most. */
 export function drawLateDelayMs(world: WorldState): number {
   if (world.lateCommandShare === 0 || world.extraRandom() >= world.lateCommandShare) return 0;
   world.count("late orders");
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -1,5 +1,6 @@
 /**
- * A step of a simulated controller: it reads jobs, sends its updates to the leader, stores finishes, and leads.
+ * A step of a simulated controller: it renews its lease, reads jobs, sends updates to the leader, stores finished
+ * tasks and, as the leader, runs the scheduler.
  */
 import * as Duration from "effect/Duration";
 import { type WorldState } from "./world-state.js";
@@ -15,7 +16,6 @@
 import { instant, minus } from "../../src/core/time.js";
 import { type JobRow } from "./job-views.js";
 
-/** One step of a controller. */
 export function stepController(world: WorldState, node: Node): void {
   if (world.leader !== null && world.now >= world.leader.expiresAt && world.now >= world.stateDownUntil)
     world.leader = null;
@@ -45,7 +45,7 @@
       carryOutDecision(world, node, scheduler, decision);
 }
 
-/** Once for each leader that may act. */
+/** Counts each leader once, when it may act for the first time. */
 export function countLeader(world: WorldState, node: Node, scheduler: Scheduler): void {
   const released = [...world.jobs.values()].some((job) => job.spec.dependsOn.length > 0);
   const isWaiting = world.waitingJobs.waiting.size > 0;
@@ -53,18 +53,18 @@
     world.count(event);
 }
 
-/** Shows a job to a leader's core. */
+/** Passes a released job to a leader's core. */
 export function showJob(
   world: WorldState,
   scheduler: Scheduler,
-  { spec, revision: stamp, accepted, released }: JobRow,
+  { spec, revision, accepted, released }: JobRow,
 ): void {
   const shownSpec =
     world.disabledGuard === "zone" ? { ...spec, oneZone: false, zone: null, types: null } : spec;
-  scheduler.jobReleased(shownSpec, stamp, instant(accepted), instant(released));
+  scheduler.jobReleased(shownSpec, revision, instant(accepted), instant(released));
 }
 
-/** What the state service has of unfinished jobs comes a moment later, and not at all while it can't be reached. */
+/** Reads the unfinished jobs from the state service, which takes a moment and fails while it can't be reached. */
 export function readJobs(world: WorldState, node: Node): void {
   node.nextReadAt = world.now + 500;
   const { incarnation } = node;
@@ -97,12 +97,12 @@
   );
 }
 
-/** Brings a leader's core up to what its process knows of the jobs. */
+/** Updates a leader's core with the jobs that its process has read. */
 export function applyJobs(world: WorldState, node: Node, scheduler: Scheduler): void {
   for (const [id, row] of node.knownJobs)
     if (!(world.commits.has(id) && !scheduler.cluster.jobs.has(id))) showJob(world, scheduler, row);
   const { view } = node;
-  // released by this very process a moment ago
+  // released by this process since that read
   for (const row of view.jobs.values())
     if (row.revision > node.knownJobsRevision) showJob(world, scheduler, row);
   for (const row of view.waiting.values())
@@ -115,7 +115,7 @@
       scheduler.jobEnded(id);
 }
 
-/** Sends what a member has gathered to the leader. */
+/** Sends a member's gathered heartbeats, contacts and command outcomes to the leader. */
 export function sendMemberUpdate(world: WorldState, node: Node): void {
   node.nextUpdateAt = world.now + 200;
   const term = node.term!;
@@ -186,7 +186,7 @@
   });
 }
 
-/** Stores the finishes that a member has gathered. */
+/** Writes the finished tasks that a member has gathered to the state service. */
 export function storeFinishes(world: WorldState, node: Node): void {
   if (!reachesState(world, node) || node.leaseUntil <= world.now) return;
   const isUnfinished = (job: string): boolean => world.jobs.has(job);
@@ -211,7 +211,7 @@
             for (let n = from; n < to; n++) if (!ranges.has(n)) return true;
             return false;
           });
-          // what is stored may be forgotten by the machine
+          // a machine may forget a finish once it is stored, so no write may remove it
           if (losesRanges) world.violations.push({ rule: "lost_finish", text: `${key} at ${world.now}` });
           jobFinishes.set(key, ranges);
         }
--- a/test/model/decisions.ts
+++ b/test/model/decisions.ts
@@ -1,5 +1,5 @@
 /**
- * What a leader's core decides, carried out at the simulated state service and cloud.
+ * Carries out the decisions of a leader's core at the simulated state service and cloud.
  */
 import { type WorldState } from "./world-state.js";
 import { transact, delayCloudRequest, isLeaderKey, hasNoCommit, commitJob } from "./state-service.js";
@@ -11,7 +11,6 @@
 import { type Decision, type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { instant } from "../../src/core/time.js";
 
-/** Carries out one decision of a leader's core. */
 export function carryOutDecision(
   world: WorldState,
   node: Node,
@@ -22,7 +21,7 @@
   const { leaderRevision: leaderKeyRevision, version } = node;
   if (decision.kind === "commands") sendCommands(world, node, scheduler, decision);
   else if (decision.kind === "commit") {
-    // a job cancelled in the meantime has its commit already
+    // a job that was cancelled in the meantime already has a commit record
     const written = transact(
       world,
       node,
@@ -56,7 +55,7 @@
         ids.push(addMachine(world, decision.rent.type.name, decision.rent.zone, decision.rent.spot));
       return ids;
     };
-    // no answer, and carried out much later: machines that nobody expects
+    // not answered and executed much later: no leader expects these machines
     if (delayCloudRequest(world, "rentals carried out late", rent)) return;
     const ids = rent();
     const record = {
@@ -65,7 +64,7 @@
       spot: decision.rent.spot,
       count: decision.rent.count,
     };
-    // a leader that dies now leaves machines that nobody recorded: the list shows them to the next one
+    // if the leader crashes here, the next one finds the unrecorded machines in the cloud's list
     if (holdsLeaderKey()) scheduler.rentalAnswered("", record, ids, instant(world.now));
   } else if (decision.kind === "release") {
     // the cloud may be slow, and its answer may be lost
@@ -101,7 +100,7 @@
   }
 }
 
-/** The cloud's list is late: what is gone is still in it for a while, what is new is not yet. */
+/** Reads the cloud's list, which lags: released machines stay in it for a while, and new ones appear late. */
 export function listMachines(world: WorldState, scheduler: Scheduler): void {
   const listed = [...world.workers.values()]
     .filter(
--- a/test/model/election.ts
+++ b/test/model/election.ts
@@ -1,5 +1,5 @@
 /**
- * Leases, terms and leadership of the simulated controllers: who may act, who may answer, and how a leader begins.
+ * Leases, terms and leader election of the simulated controllers: who may act, who may answer, and how a leader starts.
  */
 import * as Duration from "effect/Duration";
 import { CONTROLLER_LEASE, TIMINGS, TYPES } from "./settings.js";
@@ -19,7 +19,7 @@
 } from "../../src/core/leases/term.js";
 import { instant } from "../../src/core/time.js";
 
-/** Whether this process may act under its term now. */
+/** Whether this process may act under its current term. */
 export function mayAct(world: WorldState, node: Node): boolean {
   if (!node.alive || node.term === null) return false;
   if (world.disabledGuard === "fence") return node.leaseConfirmedAt !== null;
@@ -30,12 +30,12 @@
   );
 }
 
-/** Whether its view of the jobs is fresh. */
+/** Whether this process has read the jobs recently enough. */
 export function hasFreshJobs(world: WorldState, node: Node): boolean {
   return world.disabledGuard === "read" || hasFreshJobView(TIMINGS, node.jobsReadAt, instant(world.now));
 }
 
-/** The word of all other nodes opens the window too, for answers alone. */
+/** Whether this process may answer heartbeats: for that, confirmations by all other controllers suffice as well. */
 export function mayAnswer(world: WorldState, node: Node): boolean {
   if (mayAct(world, node)) return true;
   if (!node.alive || node.term === null || !isInTerm(node) || !hasFreshJobs(world, node)) return false;
@@ -71,7 +71,7 @@
   );
 }
 
-/** Renewals take a while; the fence counts from when they were sent. */
+/** Renews the lease; the fencing window counts from when the renewal was sent. */
 export function renewLease(world: WorldState, node: Node): void {
   node.nextRenewalAt = world.now + 700;
   const sentAt = instant(world.now);
@@ -94,7 +94,7 @@
       if (!reachesState(world, node) || node.incarnation !== incarnation) return;
       if (world.now >= node.leaseUntil) {
         if (world.now < node.frozenUntil) return;
-        // a new lease, a new key; the leader's key went with the old one
+        // the lease has ended: this one is new, and the leader's key was deleted with the old one
         if (world.leader?.name === node.name) world.leader = null;
         node.incarnation = ++world.revision;
         node.scheduler = null;
@@ -104,7 +104,7 @@
         world.leader.expiresAt = node.leaseUntil;
       const renewedIncarnation = node.incarnation;
       whenAwake(world, node, () => {
-        // a lease that ended while the process stood still is found out by the next renewal
+        // if the lease ended while the process was frozen, the next renewal finds out
         if (node.incarnation === renewedIncarnation && world.now < node.leaseUntil) onRenewed();
       })();
     },
@@ -113,7 +113,7 @@
   );
 }
 
-/** Creates the leader's key on this process's lease; one that was written late is its own as well. */
+/** Creates the leader's key on this process's lease, or adopts a key of its own that was written late. */
 export function tryLead(world: WorldState, node: Node): void {
   const { incarnation } = node;
   const written = transact(
@@ -128,13 +128,13 @@
   const { leader } = world;
   if (leader === null || leader.name !== node.name || leader.incarnation !== incarnation) return;
   if (leader.revision === node.leaderRevision) return;
-  // without the guard nobody knows of a key that was written late
+  // without the guard its process does not adopt a key that was written late
   if (world.disabledGuard === "adopt" && written !== true) return;
   node.leaderRevision = leader.revision;
   node.scheduler = null;
 }
 
-/** The holder of the leader's key writes a term if the members changed, and loads a scheduler if it has none. */
+/** The holder of the leader's key writes a new term if the members changed, and creates a scheduler if it has none. */
 export function takeLeadership(world: WorldState, node: Node): void {
   const members = world.nodes
     .filter((node) => node.alive && node.leaseUntil > world.now)
@@ -143,13 +143,13 @@
   const hasSameMembers = !isNewLeader && world.term !== null && sameMembers(world.term.members, members);
   if (!hasSameMembers && !writeTerm(world, node, members)) return;
   if (!isNewLeader) {
-    // also a term of its own that was written late
+    // this includes a term of its own that was written late
     const { term } = world;
     if (node.scheduler!.term !== term && term!.leaderRevision === node.leaderRevision)
       node.scheduler!.renewTerm(term!, instant(world.now));
     return;
   }
-  // the state service answers at once in the model: reread everything
+  // in the model this read of the state service takes no time
   const scheduler = new Scheduler(
     {
       timings: TIMINGS,
@@ -184,7 +184,7 @@
   node.scheduler = scheduler;
 }
 
-/** Writes the next term; without an answer the old one goes on, until the node sees what became of it. */
+/** Writes the next term; without an answer the old one stays until the process reads the new one. */
 export function writeTerm(world: WorldState, node: Node, members: TermRecord["members"]): boolean {
   const previousTerm = world.term;
   const { leaderRevision: leaderKeyRevision } = node;
--- a/test/model/heartbeats.ts
+++ b/test/model/heartbeats.ts
@@ -1,5 +1,5 @@
 /**
- * How heartbeats reach a member, also late copies of them.
+ * Delivers heartbeats and late copies of them to members.
  */
 import { type WorldState } from "./world-state.js";
 import { whenAwake } from "./network.js";
@@ -10,7 +10,7 @@
 import { type HeartbeatAnswer } from "../../src/core/members/worker-partition.js";
 import { instant } from "../../src/core/time.js";
 
-/** A copy of a heartbeat arrives at `at`, at any node or at who leads then. */
+/** Delivers a copy of a heartbeat at the time `at`, to the given controller or a random one. */
 export function deliverCopy(
   world: WorldState,
   worker: Worker,
@@ -24,7 +24,7 @@
     const isEarlierSession = heartbeat.workerEpoch < worker.workerEpoch;
     world.count(isEarlierSession ? "copies from an earlier session" : "copies after newer ones");
     if (showsOutdatedAttempt(world, heartbeat)) world.count("copies with an earlier attempt");
-    // without the guard the copy counts as new
+    // without the guard the copy is taken for a new heartbeat
     const isAcceptedAsNew = world.disabledGuard === (isEarlierSession ? "session" : "seq");
     deliverHeartbeat(
       world,
@@ -42,7 +42,7 @@
   world.messages.push({ at, run });
 }
 
-/** Whether a task that it shows runs under a later attempt by now. */
+/** Whether the heartbeat shows an attempt whose task now runs as a later attempt. */
 export function showsOutdatedAttempt(world: WorldState, heartbeat: Heartbeat): boolean {
   const workerTasks = [...world.workers.values()].flatMap((worker) => [...worker.tasks.values()]);
   return heartbeat.tasks.some(
@@ -58,7 +58,7 @@
   );
 }
 
-/** What a node was told by the state service, it knows for as long as it lives. */
+/** Hands a heartbeat to a controller, which knows of the commits that it has read from the state service. */
 export function deliverHeartbeat(world: WorldState, node: Node, heartbeat: Heartbeat): HeartbeatAnswer {
   const hasEnded = (job: string): boolean => {
     const commit = world.commits.get(job);
--- a/test/model/invariants.ts
+++ b/test/model/invariants.ts
@@ -1,5 +1,5 @@
 /**
- * The rules that are checked after each step.
+ * The rules that are checked after each step, besides those that are checked where an event occurs.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS } from "./settings.js";
@@ -7,7 +7,7 @@
 import { workersRunning, workersRunningTask } from "./workers.js";
 import { type JobSpec } from "../../src/core/records.js";
 
-/** The rules that hold after every step. */
+/** Checks quotas, cancelled jobs and, once faults have stopped, jobs that wait without need. */
 export function checkInvariants(world: WorldState): void {
   const usage = new Map<string, number>();
   for (const worker of world.workers.values())
@@ -30,7 +30,7 @@
       world.violations.push({ rule: "quota", text: `${team.name}: ${usage.get(team.name)} at ${world.now}` });
 }
 
-/** Once all is over: a job waits though a machine that fits has room and its team is under its limit. */
+/** Reports jobs that wait for more than 90 s although a suitable machine has room and their team is below its limit. */
 export function checkWaitingWithRoom(world: WorldState, usage: ReadonlyMap<string, number>): void {
   for (const { spec } of world.jobs.values()) {
     const used = usage.get(spec.team) ?? 0;
@@ -69,8 +69,8 @@
 }
 
 /**
- * Whether the services of its team leave a job no room for a single task below the team's limit (S6). They run until their
- * users call them off, so nothing can be served then, whoever owns the machines.
+ * Whether the services of a job's team leave no room for one of its tasks below the team's limit (S6). Services run until
+ * they are cancelled, so the job can't be served.
  */
 export function isExcludedByServices(world: WorldState, { team, cpus }: JobSpec): boolean {
   const limit = world.teams.find(({ name }) => name === team)?.maxCpus ?? 0;
--- a/test/model/job-releases.ts
+++ b/test/model/job-releases.ts
@@ -1,12 +1,12 @@
 /**
- * The leader's part: it joins finished parents to fan-in sets, and releases or cancels what waited for them.
+ * The leader's work on waiting jobs: it joins finished parents to fan-in sets, and releases or cancels waiting jobs.
  */
 import { type JobRow, type Fanin, type Process, FULL_REVIEW_INTERVAL_MS } from "./job-views.js";
 import { cancelWaitingJob } from "./job-status.js";
 import { type WaitingJobs } from "./waiting-jobs.js";
 import { faninStep, type ParentState } from "../../src/core/jobs/fanin.js";
 
-/** One round of a leader: all that waits after a take-over and every few seconds, else what changed. */
+/** Reviews all waiting jobs after a change of leader and every few seconds, otherwise only those that changed. */
 export function reviewWaitingJobs<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -33,7 +33,7 @@
   for (const id of toReview) reviewJob(waitingJobs, node, id, isFullReview);
 }
 
-/** Sets of jobs that are over: an earlier version left them, or whoever committed the job didn't know of them. */
+/** Deletes sets of ended jobs, left by the earlier version or by a process that did not know the set at the commit. */
 export function deleteObsoleteSets<N extends Process>(waitingJobs: WaitingJobs<N>, node: N): void {
   const { host, versions } = waitingJobs;
   if (!host.reachesState(node) || host.isWithoutGuard("useless")) return;
@@ -43,13 +43,13 @@
   }
 }
 
-/** This process doesn't lead any more. */
+/** Stops the reviews of a process that does not lead. */
 export function stopReviewing<N extends Process>(node: N): void {
   node.view.leadership = null;
   node.view.toReview.clear();
 }
 
-/** A waiting job whose parents may have ended: it waits on, is cancelled, or gets what joined. */
+/** Reviews a waiting job whose parents may have ended: it waits on, is cancelled, or finished parents are joined. */
 export function reviewJob<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -89,7 +89,7 @@
   });
 }
 
-/** Reads which of these jobs have ended. */
+/** Reads the outcomes of these jobs, as far as they have ended; `then` gets false if an answer is missing. */
 export function readOutcomes<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -110,7 +110,6 @@
   );
 }
 
-/** Reads a fan-in set. */
 export function readSet<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -127,7 +126,7 @@
   );
 }
 
-/** The add, and with the filling one the release, in one conditional write. */
+/** Joins parents to a set in one conditional write, which also releases the job if the set is complete then. */
 export function joinFanin<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -145,7 +144,7 @@
   const completesLostJoin = next.joined.some(
     (p) => !set.joined.includes(p) && waitingJobs.committedBy.get(p) !== view && host.commits.has(p),
   );
-  // somebody else's add came first
+  // whether another process changed the set first
   let isSetChanged = false;
   const isUnchanged = (): boolean =>
     waitingJobs.fanins.get(id)?.revision === set.revision &&
@@ -167,7 +166,7 @@
       if (!next.released) return;
       host.count("releases");
       if (host.commits.has(id))
-        host.reportViolation("went_back", `${id}: over, then released at ${host.now()}`);
+        host.reportViolation("went_back", `${id}: committed, then released at ${host.now()}`);
       waitingJobs.release(id, { ...row, revision });
       waitingJobs.waiting.delete(id);
     },
--- a/test/model/job-status.ts
+++ b/test/model/job-status.ts
@@ -1,10 +1,10 @@
 /**
- * Answers about jobs: what a process knows, checked against the commits in the state service.
+ * Answers to status queries: what a process knows of a job, checked against the commits in the state service.
  */
 import { type JobView, type Process, type JobStatus } from "./job-views.js";
 import { type WaitingJobs } from "./waiting-jobs.js";
 
-/** The unfinished jobs before a waiting one, as far as this process knows them. */
+/** The unfinished ancestors of a waiting job, as far as this process knows them. */
 export function knownAncestors<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   view: JobView,
@@ -14,7 +14,7 @@
   return view.blockedJobs.ancestorsOf(id, (p) => view.outcomes.get(p) === "done");
 }
 
-/** Rests on the commits, checked in the state service, of the job and all unfinished ones before it. */
+/** Reads a job's status, after checking that neither it nor an unfinished ancestor has a commit in the state service. */
 export function readStatus<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -40,7 +40,7 @@
       if (!isKnown) return then({ kind: "absent" });
       const job = view.jobs.get(id);
       const row = job ?? view.waiting.get(id);
-      // it ended in the meantime, or more was heard of what it waits for
+      // it ended in the meantime, or this process has learned of further ancestors
       if (row === undefined) return readJob(waitingJobs, node, id, then);
       const isUnchecked = (p: string): boolean =>
         !ids.includes(p) || (!view.isUnfinished(p) && !host.isWithoutGuard("unheard"));
@@ -51,7 +51,7 @@
   );
 }
 
-/** Reads a job's commit, waiting record and record, one request after the other. */
+/** Reads a job's commit, waiting record and released record, one request after the other. */
 export function readJob<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -86,7 +86,7 @@
         then({ kind: "open", revision: row.revision, waiting: false });
       },
     );
-  // the commit first, then what a job is in the course of its life, one request after the other
+  // the waiting record before the released one, as a job turns from the former to the latter
   readCommit(() =>
     get(
       () => (node.version === "new" ? waitingJobs.waiting.get(id) : undefined),
@@ -99,7 +99,7 @@
   );
 }
 
-/** A waiting job is what its record says, unless one before it was cancelled. */
+/** Answers with a waiting job's record unless one of its ancestors was cancelled. */
 export function readWaitingJob<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -110,7 +110,7 @@
 ): void {
   const { host } = waitingJobs;
   const { view } = node;
-  // released or over in the meantime: what comes before it is not known here any more
+  // released or ended in the meantime: its ancestors are not known here any more
   if (!view.waiting.has(id)) return readJob(waitingJobs, node, id, then);
   const hasEndedSinceCheck = (p: string): boolean =>
     !host.isWithoutGuard("overtaken") && view.hasEnded(p) !== checkedAncestors.get(p);
@@ -132,7 +132,7 @@
       const checkNext = (): void => readWaitingJob(waitingJobs, node, id, revision, checkedAncestors, then);
       if (row.commit !== undefined || view.isUnfinished(ancestor) || host.isWithoutGuard("unheard"))
         return checkNext();
-      // not heard of here yet: what it waits for itself counts as well
+      // this process does not know the ancestor yet, nor what it waits for itself
       waitingJobs.request(
         node,
         () => ({
@@ -153,7 +153,7 @@
   );
 }
 
-/** A parent's outcome passes on; false: no answer. */
+/** Cancels a waiting job whose ancestor was cancelled; `then` gets false if there was no answer. */
 export function cancelWaitingJob<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -167,7 +167,7 @@
     () => !host.commits.has(id),
     () => {
       if (!waitingJobs.hasCancelledAncestor(id))
-        host.reportViolation("went_back", `${id}: cancelled with nothing at ${host.now()}`);
+        host.reportViolation("went_back", `${id}: cancelled without need at ${host.now()}`);
       host.count("cancels passed on");
       waitingJobs.commitCancellation(id, "new");
     },
--- a/test/model/job-views.ts
+++ b/test/model/job-views.ts
@@ -1,5 +1,5 @@
 /**
- * The records of jobs that wait for others, and what each process knows of them, a moment behind the state service.
+ * The records of waiting jobs, and what each controller process knows of them, which lags behind the state service.
  */
 import { BlockedJobs } from "../../src/core/jobs/fanin.js";
 import { type JobSpec, type JobOutcome } from "../../src/core/records.js";
@@ -16,24 +16,25 @@
   readonly released: boolean;
   readonly revision: number;
 }
-/** What the state service has of unfinished jobs at one moment. */
+/** The unfinished jobs in the state service as of one revision. */
 export interface Snapshot {
   readonly jobs: ReadonlyMap<string, JobRow>;
   readonly waiting: ReadonlyMap<string, JobRow>;
   readonly fanins: ReadonlyMap<string, Fanin>;
   readonly revision: number;
 }
-/** What one process knows, a moment behind the state service; a new process knows nothing. */
+/** What one process knows of jobs, which lags behind the state service; a new process knows nothing. */
 export class JobView {
   readonly jobs = new Map<string, JobRow>();
   readonly waiting = new Map<string, JobRow>();
   readonly fanins = new Map<string, Fanin>();
   readonly blockedJobs = new BlockedJobs();
-  /** Outcomes that were read: they never change. */
+  /** Outcomes that this process has read; they never change. */
   readonly outcomes = new Map<string, JobOutcome>();
   private readonly ended = new Set<string>();
-  /** Waiting jobs to look at while it leads, whose leadership that is, and how many are looked at now. */
+  /** While this process leads: the waiting jobs to review. */
   readonly toReview = new Set<string>();
+  /** The scheduler for which it reviews jobs; null: it does not lead. */
   leadership: unknown = null;
   fullReviewAt: number | null = null;
   reviewsInProgress = 0;
@@ -71,7 +72,7 @@
       for (const child of this.blockedJobs.childrenOf(id)) this.toReview.add(child);
   }
 
-  /** What is not in a reading is over, unless it was written after that. */
+  /** Takes over a snapshot; a job that is missing in it has ended, unless it was written after that. */
   refresh({ jobs, waiting, fanins, revision }: Snapshot): void {
     for (const [id, set] of fanins) this.putFanin(id, set);
     for (const [id, row] of waiting) this.putWaiting(id, row);
@@ -83,13 +84,13 @@
       if (!fanins.has(id) && set.revision <= revision) this.fanins.delete(id);
   }
 }
-/** A controller, as far as it matters here; another `view` is another process. */
+/** The process of a controller; after a restart its `view` is another object. */
 export interface Process {
   readonly alive: boolean;
   readonly view: JobView;
   readonly version: Version;
 }
-/** What the model of the cluster does for this part. */
+/** What the simulated cluster provides for the waiting jobs. */
 export interface Host<N extends Process> {
   readonly nodes: readonly N[];
   readonly jobs: Map<string, JobRow>;
@@ -97,10 +98,10 @@
   readonly cancelDeadlineMs: number;
   now(): number;
   random(): number;
-  /** How long a message to the state service, or back, takes. */
+  /** Draws how long a message to or from the state service takes. */
   delayMs(): number;
   after(ms: number, run: () => void): void;
-  /** Done when the process doesn't stand still. */
+  /** Defers `run` while the process is frozen. */
   whenAwake(node: N, run: () => void): () => void;
   reachesState(node: N): boolean;
   transact(node: N, conditionHolds: (late: boolean) => boolean, apply: () => void): boolean | null;
@@ -108,7 +109,7 @@
   commit(id: string, outcome: JobOutcome): void;
   count(what: string): void;
   reportViolation(rule: string, text: string): void;
-  /** Since when there are no more troubles. */
+  /** Since when there are no more faults; null: faults may still occur. */
   faultFreeSince(): number | null;
   isWithoutGuard(
     guard:
@@ -129,12 +130,13 @@
   | { readonly kind: "final"; readonly outcome: JobOutcome }
   | { readonly kind: "open"; readonly revision: number; readonly waiting: boolean }
   | { readonly kind: "absent" };
-/** How many records one transaction compares: wide fans have more parents. */
+/** The limit of conditions in one transaction; a job may have more parents than that. */
 export const MAX_CONDITIONS = 10;
+/** The conditions on the submitted job itself. */
 export const OWN_RECORD_CONDITIONS = 3;
 export const MAX_ACCEPT_ATTEMPTS = 4;
 export const MAX_CANCEL_ATTEMPTS = 3;
 export const FULL_REVIEW_INTERVAL_MS = 5000;
-/** Users wait so long for an answer, and then ask again. */
+/** How long users wait for an answer before they retry. */
 export const ANSWER_TIMEOUT_MS = 2000;
 export const STATUS_REQUEST_INTERVAL_MS = 1000;
--- a/test/model/network.ts
+++ b/test/model/network.ts
@@ -1,21 +1,21 @@
 /**
- * The simulated network: how long messages take, which are lost, who reaches whom, and processes that stand still.
+ * The simulated network: delay and loss of messages, network cuts, and frozen processes.
  */
 import { STEP_MS } from "./settings.js";
 import { type WorldState } from "./world-state.js";
 import { type Node } from "./nodes.js";
 
-/** Whether something that happens so often per second happens in this step. */
+/** Draws whether an event with this rate happens in this step. */
 export function chance(world: WorldState, perSecond: number): boolean {
   return world.random() < (perSecond * world.faultRate * STEP_MS) / 1000;
 }
 
-/** One of the list, drawn from the seed. */
+/** Draws an element of the list. */
 export function pick<T>(world: WorldState, list: readonly T[]): T {
   return list[Math.floor(world.random() * list.length)]!;
 }
 
-/** Messages are quick, slow, or held back for long; some never arrive. */
+/** Sends a message, which takes milliseconds, in rare cases seconds, or is lost. */
 export function sendLater(world: WorldState, run: () => void, mayBeLost = true, extraDelayMs = 0): void {
   const drawn = world.random();
   if (mayBeLost && drawn < 0.01 * world.faultRate) return;
@@ -24,7 +24,7 @@
   world.messages.push({ at: world.now + delayMs + linkDelayMs + extraDelayMs, run });
 }
 
-/** Something that a node's process does when a message is there: a process that stands still does it later. */
+/** Defers the handling of a message while the receiving process is frozen. */
 export function whenAwake(world: WorldState, node: Node, run: () => void): () => void {
   return () => {
     if (world.now < node.frozenUntil)
@@ -33,13 +33,13 @@
   };
 }
 
-/** Whether this process reaches the state service now. */
+/** Whether this process can reach the state service now. */
 export function reachesState(world: WorldState, node: Node): boolean {
   const cut = Math.max(world.stateDownUntil, node.stateCutUntil, node.isolatedUntil);
   return node.alive && world.now >= cut && !isZoneCut(world, node.zone);
 }
 
-/** Whether two controllers reach one another. */
+/** Whether two controllers can reach each other. */
 export function areConnected(world: WorldState, node: Node, other: Node): boolean {
   return (
     node === other ||
@@ -48,12 +48,11 @@
   );
 }
 
-/** Whether this zone is cut off. */
 export function isZoneCut(world: WorldState, zone: string): boolean {
   return world.now < (world.zoneCutUntil.get(zone) ?? 0);
 }
 
-/** Whether a cut lies between two zones. */
+/** Whether two zones are cut off from each other. */
 export function areZonesApart(world: WorldState, a: string, b: string): boolean {
   return a !== b && (isZoneCut(world, a) || isZoneCut(world, b));
 }
--- a/test/model/nodes.ts
+++ b/test/model/nodes.ts
@@ -1,5 +1,5 @@
 /**
- * A simulated controller's process, as the model keeps it.
+ * The state of a simulated controller.
  */
 import * as Duration from "effect/Duration";
 import { type WorldState } from "./world-state.js";
@@ -10,32 +10,32 @@
 import { type JobRow, JobView } from "./job-views.js";
 import { type Version } from "./versions.js";
 
-/** A controller: what its process knows, and what it keeps while it leads. */
+/** A controller: its present process, and the faults that affect it. */
 export interface Node {
   readonly name: string;
   readonly zone: string;
-  /** The next process of this member may have another one. */
+  /** The version of the process; it may change with a restart. */
   version: Version;
   alive: boolean;
   restartAt: number;
   incarnation: number;
   partition: WorkerPartition;
   leaseConfirmedAt: Instant | null;
-  /** The unfinished jobs as last read from the state service, when that was asked for, and up to which revision. */
+  /** When the last successful read of the unfinished jobs was requested. */
   jobsReadAt: Instant | null;
   knownJobs: ReadonlyMap<string, JobRow>;
   knownJobsRevision: number;
   nextReadAt: number;
-  /** What its process knows of waiting jobs and of outcomes. */
+  /** What its process knows of waiting jobs and outcomes. */
   view: JobView;
   term: TermRecord | null;
-  /** The lease in the state service; the key goes when it ends. */
+  /** When its lease in the state service ends, and the leader's key with it. */
   leaseUntil: number;
   nextRenewalAt: number;
   stateCutUntil: number;
-  /** Cut off from the state service and the other nodes, but not from its workers. */
+  /** Until when it is cut off from the state service and the other controllers, but not from its workers. */
   isolatedUntil: number;
-  /** Stands still while its clocks run on: what comes waits and is handled on waking, before anything else. */
+  /** Until when it does nothing while its clock runs on; messages wait and are handled first afterwards. */
   frozenUntil: number;
   pendingCommands: Map<number, { machine: string; orders: readonly Command[]; token: number; at: number }>;
   batchCount: number;
@@ -48,7 +48,7 @@
   peerConfirmations: Map<string, Instant>;
 }
 
-/** A new process of a member, which knows nothing. */
+/** The state of a newly started process. */
 export function newNode(world: WorldState, name: string, zone: string): Omit<Node, "version"> {
   const partition = new WorkerPartition(name, 400, Duration.millis(300));
   if (world.shardMoves !== null) partition.lookUpOwner = world.shardMoves.ownerLookupOf(name);
--- a/test/model/settings.ts
+++ b/test/model/settings.ts
@@ -1,57 +1,65 @@
 /**
- * The settings of all runs, and the guards that a run may take out.
+ * The settings of all runs, and the guards of the protocol that a run may disable.
  */
 import * as Duration from "effect/Duration";
 import { type MachineType, type Team } from "../../src/core/records.js";
 import { leaseTimingsOf } from "../../src/core/leases/term.js";
 
-/** A guard that a run may take out, to show that the checker notices. */
+/** A guard of the protocol that a run may disable, to show that the checker then reports a violation. */
 export type Guard =
+  /** A leader doesn't wait for a recorded machine's report under its own term before it places tasks. */
   | "confirm"
+  /** A process acts outside its fencing window. */
   | "fence"
+  /** Commands with an unknown outcome count as never sent. */
   | "doubt"
+  /** A leader does not know the limits of teams. */
   | "quota"
+  /** A leader does not know the zones and machine types that jobs require. */
   | "zone"
+  /** Leaders and members do not learn of cancelled jobs. */
   | "cancel"
+  /** A process acts although it hasn't read the jobs recently. */
   | "read"
-  /** Late transactions of a leader aren't bound to its key. */
+  /** Late transactions of a leader do not check that it still holds the leader's key. */
   | "stamp"
-  /** A leader's key that was written late is not known to its own process. */
+  /** A process does not adopt a leader's key of its own that was written late. */
   | "adopt"
-  /** Finishes are written to the same key again after a write without an answer. */
+  /** Records of finished tasks are written under a key that a write without an answer may already have used. */
   | "key"
   /** A machine counts as recorded before its record is written. */
   | "record"
-  /** Answers about unfinished jobs rest on what the process has heard, not on the commits in the state service. */
+  /** Answers about unfinished jobs do not check the commits in the state service. */
   | "checked"
-  /** Late transactions don't ask whether the job is over. */
+  /** Late transactions do not check that the job has no commit yet. */
   | "absent"
-  /** Late copies of heartbeats are taken for new ones: those of this session, and those of earlier ones. */
+  /** Late copies of heartbeats of the present worker session are taken for new ones. */
   | "seq"
+  /** Late copies of heartbeats of earlier worker sessions are taken for new ones. */
   | "session"
   /** A leader starts waiting jobs as if they were released. */
   | "release"
-  /** Answers about a waiting job rest on its own commit alone. */
+  /** Answers about a waiting job do not consider its ancestors. */
   | "ancestors"
-  /** What comes before a waiting job is looked through only as far as the process heard of it. */
+  /** Only those ancestors of a waiting job are checked that the process already knows. */
   | "unheard"
-  /** An outcome that passes on meanwhile isn't noticed by who goes through the jobs before a waiting one. */
+  /** An ancestor that ends while the ancestors of a waiting job are being checked is not checked again. */
   | "overtaken"
-  /** A job is accepted without a look at what comes before the jobs that it awaits. */
+  /** A job is accepted without a check of the ancestors of its parents. */
   | "before"
-  /** Joins that were lost aren't looked for again. */
+  /** A leader does not look for joins that were lost. */
   | "join"
-  /** A join isn't bound to the set, the waiting job and its commit as they were read. */
+  /** A join does not check that the set and the waiting job are unchanged and that the job has no commit. */
   | "filling"
-  /** A process of the earlier version lists waiting jobs as if they were released. */
+  /** Processes of the earlier version read waiting jobs as if they were released. */
   | "listed"
-  /** Sets that an earlier version left aren't deleted. */
+  /** Sets that the earlier version left behind are not deleted. */
   | "useless"
-  /** Users send jobs that wait for others before all processes have the new version. */
+  /** Users submit jobs that depend on others before all processes have the new version. */
   | "early"
-  /** Processes go back to the earlier version while jobs wait. */
+  /** Processes are downgraded to the earlier version while jobs wait. */
   | "back";
-/** What may befall a machine for a while. */
+/** A temporary fault of a machine: it hangs, is cut off, receives nothing, or its heartbeats are lost. */
 export type MachineFault = "hung" | "cut" | "deaf" | "mute";
 export const CONTROLLER_LEASE = Duration.seconds(3);
 export const TIMINGS = leaseTimingsOf({ leaseS: 12, reportS: 1, cancelS: 30 }, CONTROLLER_LEASE);
--- a/test/model/shards.ts
+++ b/test/model/shards.ts
@@ -1,7 +1,7 @@
 /**
- * Shards in the model of the whole core: machines belong to owners, each controller knows that as of a moment ago, and the
- * leader hands shards over while everything else goes on. The handoff itself has a model of its own in packages/shards; here
- * it is what the core does for it, under all troubles and all rules.
+ * Shards in the simulated cluster: the leader hands shards over between controllers during normal operation, and each
+ * controller knows the owners with a delay. The handoff protocol has its own model in packages/shards; this one covers
+ * the core's part of it (draining, fencing tokens, ownership of machines) under all faults and rules.
  */
 import { rendezvousOwner, type ShardId, shardOf } from "#shards";
 import type { Machine } from "../../src/core/cluster/cluster.js";
@@ -12,7 +12,7 @@
 
 const HANDOFF_INTERVAL_MS = 700;
 const DRAIN_TIMEOUT_MS = 3000;
-/** How far behind a controller's reading may be. */
+/** How much a controller's knowledge of the owners may lag. */
 const MAX_READ_LAG_MS = 1500;
 
 interface Handoff {
@@ -20,11 +20,11 @@
   readonly target: string;
   readonly scheduler: Scheduler;
   readonly startedAt: number;
-  /** From when on the target may take it; null: not drained yet. */
+  /** When the target takes the shard over; null: it is not drained yet. */
   takeoverAt: number | null;
 }
 
-/** The owners of all shards, and the handoff under way. */
+/** The owners of all shards, and the handoff in progress. */
 export class ShardMoves {
   private readonly owners = new Map<ShardId, string>();
   private readonly cachedOwners = new Map<
@@ -40,7 +40,7 @@
     private readonly count: (what: string) => void,
   ) {}
 
-  /** Whom a controller takes for the owner of a machine. */
+  /** The owner of a machine as this controller knows it. */
   ownerLookupOf(node: string): OwnerNameLookup {
     return (term, machine, zone) => {
       const shard = shardOf(machine, zone);
@@ -59,7 +59,7 @@
     return owners;
   }
 
-  /** What a leader's core is told. */
+  /** What the leader's core is told about ownership. */
   readonly ownership: MachineOwnership = {
     isPaused: (machine, zone) => this.handoff?.shard === shardOf(machine, zone),
     routeOverride: () => null,
@@ -71,7 +71,7 @@
     );
   }
 
-  /** A step of whoever leads. What another leader left behind is over. */
+  /** A step of the leader; it ends a handoff that an earlier leader left. */
   step(scheduler: Scheduler, term: TermRecord): void {
     const { handoff } = this;
     if (handoff === null) return this.beginHandoff(scheduler, term);
--- a/test/model/state-service.ts
+++ b/test/model/state-service.ts
@@ -1,6 +1,6 @@
 /**
- * The simulated state service: transactions on conditions that may be carried out late or lose their answer, outages, and
- * the commit records.
+ * The simulated state service: conditional transactions that may be executed late or lose their answer, outages, and
+ * commit records.
  */
 import * as Duration from "effect/Duration";
 import { CONTROLLER_LEASE } from "./settings.js";
@@ -9,14 +9,14 @@
 import { type Node } from "./nodes.js";
 import { RangeSet } from "../../src/core/ranges.js";
 
-/** How much longer the state service takes. */
+/** Draws the extra delay of the state service. */
 export function drawStateDelayMs(world: WorldState): number {
   return world.maxStateDelayMs > 0 ? world.extraRandom() * world.maxStateDelayMs : 0;
 }
 
 /**
- * A transaction to the state service: true: carried out; false: a condition failed; null: no answer, and it may be
- * carried out yet, after newer ones, if its conditions hold then.
+ * Sends a transaction to the state service. Returns true if it was executed, false if its condition failed, and null if
+ * there was no answer: it may then have been executed, or be executed later, after newer ones, if its condition holds.
  */
 export function transact(
   world: WorldState,
@@ -38,7 +38,7 @@
   return null;
 }
 
-/** A transaction that is carried out 2 to 12 s later, if its conditions hold then. */
+/** Executes a transaction 2 to 12 s later, if its condition holds then. */
 export function carryOutLate(
   world: WorldState,
   conditionHolds: (late: boolean) => boolean,
@@ -55,7 +55,7 @@
   world.messages.push({ at: world.now + 2000 + world.extraRandom() * 10_000, run });
 }
 
-/** Requests to the cloud may be carried out late too, when whoever sent them has long given up. */
+/** Draws whether a request to the cloud is executed 2 to 12 s late, after its sender's time-out. */
 export function delayCloudRequest(world: WorldState, event: string, run: () => void): boolean {
   if (world.lateWriteShare === 0 || world.extraRandom() >= world.lateWriteShare) return false;
   const runLate = (): void => {
@@ -66,7 +66,7 @@
   return true;
 }
 
-/** Conditions of a transaction: the leader's key still has this stamp; the job has no commit yet. */
+/** A condition of a transaction: the leader's key still has this revision. */
 export function isLeaderKey(world: WorldState, revision: number, late: boolean): boolean {
   return (late && world.disabledGuard === "stamp") || world.leader?.revision === revision;
 }
@@ -76,7 +76,7 @@
   return (late && world.disabledGuard === "absent") || !world.commits.has(job);
 }
 
-/** Once the state service has had an outage, every lease has its full time again. */
+/** After an outage of the state service every lease runs for its full time again. */
 export function endOutage(world: WorldState): void {
   if (world.stateDownFrom === null || world.now < world.stateDownUntil) return;
   const leaseEnd = world.now + Duration.toMillis(CONTROLLER_LEASE);
@@ -86,13 +86,13 @@
   world.stateDownFrom = null;
 }
 
-/** The state service is out for so long. */
+/** Makes the state service unreachable for this time. */
 export function beginOutage(world: WorldState, ms: number): void {
   world.stateDownFrom ??= world.now;
   world.stateDownUntil = Math.max(world.stateDownUntil, world.now + ms);
 }
 
-/** The commit record is written. */
+/** Writes a job's commit record. */
 export function commitJob(world: WorldState, id: string, outcome: "done" | "cancelled"): void {
   const previous = world.commits.get(id);
   if (previous !== undefined) {
--- a/test/model/status-requests.ts
+++ b/test/model/status-requests.ts
@@ -1,12 +1,12 @@
 /**
- * Users who look closely: right after an answer about a job they ask all nodes and repeat the submission, and users whose
- * questions fail for long. Both watch the rules about answers: `forgotten` and `invented`.
+ * Status requests of users. Probes query and resubmit a job at all controllers right after an answer about it, and
+ * requests that stay unanswered for long are found. They exercise the rules `forgotten` and `invented`.
  */
 
-/** The moments after which users look closely. */
+/** The answers after which users may probe a job. */
 export type AnswerKind = "accepted" | "done" | "cancelled";
 
-/** What close looks need of the users' side of the model. */
+/** What probes need of the simulated users. */
 export interface UserRequests<N> {
   readonly nodes: readonly N[];
   random(): number;
@@ -20,9 +20,9 @@
 const PROBE_WINDOW_MS = 200;
 const CANCEL_SHARE = 0.25;
 
-/** Right after an answer: every node is asked, and gets the submission once more; some jobs are cancelled at once. */
+/** Queries and resubmits a job at every controller right after an answer, and cancels some jobs just accepted. */
 export class StatusProbes<N> {
-  /** The share of answers that are followed by a close look. */
+  /** The share of answers that are followed by a probe. */
   share = 0;
 
   constructor(private readonly requests: UserRequests<N>) {}
@@ -41,11 +41,11 @@
   }
 }
 
-/** A job whose questions fail for so long counts as forgotten while most others are answered. */
+/** A job whose requests are unanswered for this long counts as forgotten if most others are answered. */
 const FORGOTTEN_MS = 90_000;
-/** The same once all troubles are over, however others fare. */
+/** The same once faults have stopped, whether or not others are answered. */
 const FORGOTTEN_WITHOUT_FAULTS_MS = 75_000;
-/** One failed question long ago is no sign: users must have asked again. */
+/** A single lost request proves nothing, so several must have failed. */
 const MIN_REQUESTS = 3;
 
 interface Unanswered {
@@ -53,7 +53,7 @@
   requests: number;
 }
 
-/** Which accepted jobs are asked about in vain, and since when. */
+/** Accepted jobs with unanswered status requests, and since when. */
 export class UnansweredRequests {
   private readonly open = new Map<string, Unanswered>();
   private readonly lastAnswerAt = new Map<string, number>();
@@ -73,7 +73,7 @@
     return this.open.has(id);
   }
 
-  /** The jobs that count as forgotten; `faultFreeSince`: since when there are no more troubles. */
+  /** The jobs that count as forgotten; `faultFreeSince`: since when there are no more faults. */
   forgotten(now: number, faultFreeSince: number | null): string[] {
     const forgotten: string[] = [];
     for (const [id, { since, requests: questions }] of this.open) {
--- a/test/model/submissions.ts
+++ b/test/model/submissions.ts
@@ -1,5 +1,5 @@
 /**
- * Submissions and cancellations at one process, as transactions on what it read.
+ * Submissions and cancellations at one controller, as transactions conditional on what it has read.
  */
 import {
   type Process,
@@ -13,7 +13,10 @@
 import { type WaitingJobs } from "./waiting-jobs.js";
 import { type JobSpec } from "../../src/core/records.js";
 
-/** Its record and set, or the released job, or its end: written if its parents are still what they were. */
+/**
+ * Writes a submitted job as waiting, released or cancelled, depending on its parents, on condition that these are
+ * unchanged.
+ */
 export function acceptSubmission<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -31,7 +34,7 @@
     if (parents.some((p) => p.kind === "absent"))
       return host.reportViolation(
         "went_back",
-        `${spec.id}: awaits an accepted job, refused at ${host.now()}`,
+        `${spec.id}: refused though its parents are accepted, at ${host.now()}`,
       );
     const isDone = (p: JobStatus): boolean => p.kind === "final" && p.outcome === "done";
     const joined = parentIds.filter((_, i) => isDone(parents[i]!));
@@ -42,7 +45,7 @@
     });
     const conditions = unfinishedParents.slice(0, MAX_CONDITIONS - OWN_RECORD_CONDITIONS);
     const { view } = node;
-    // a cancel before a parent counts although it hasn't been passed on to the parent yet
+    // a cancelled ancestor counts although its parents' cancellation may not be written yet
     const ancestors = new Set(
       unfinishedParents.flatMap((p) => (p.waiting ? knownAncestors(waitingJobs, view, p.id) : [])),
     );
@@ -66,17 +69,17 @@
         return isNew && isUnchanged();
       },
       () => {
-        const stamp = host.nextRevision();
-        row.revision = stamp;
+        const revision = host.nextRevision();
+        row.revision = revision;
         if (hasCancelledParent) return host.commit(spec.id, "cancelled");
         if (unfinishedParents.length === 0) return waitingJobs.release(spec.id, row);
         if (unfinishedParents.some((p) => host.commits.has(p.id)))
           host.count("children accepted while a parent committed");
         waitingJobs.waiting.set(spec.id, row);
-        waitingJobs.fanins.set(spec.id, { joined, released: false, revision: stamp });
+        waitingJobs.fanins.set(spec.id, { joined, released: false, revision });
       },
       (ok) => {
-        // without an answer it may have been accepted all the same
+        // without an answer it may still have been accepted
         if (ok === null || !isNew) return waitingJobs.queryStatus(node, spec.id);
         if (!ok) return acceptSubmission(waitingJobs, node, spec, true, attempts + 1);
         if (hasCancelledParent) {
@@ -103,7 +106,7 @@
   });
 }
 
-/** The status of all parents; null: no answer about one of them. */
+/** Reads the status of all parents; `then` gets null if an answer is missing. */
 export function readParents<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -131,7 +134,7 @@
   }
 }
 
-/** One process cancels a job, on condition that its record is still what it read. */
+/** Cancels a job, on condition that its record is unchanged since it was read. */
 export function cancelAtNode<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -1,5 +1,5 @@
 /**
- * Simulated users: they submit and cancel, also at the very end of a job.
+ * Simulated users, who submit and cancel jobs, also just as a job ends.
  */
 import * as Duration from "effect/Duration";
 import { type WorldState } from "./world-state.js";
@@ -10,7 +10,7 @@
 import { type RangeSet } from "../../src/core/ranges.js";
 import { type JobRow } from "./job-views.js";
 
-/** The users of one step: some submit, some cancel. */
+/** Draws the submissions and cancellations of one step. */
 export function stepUsers(world: WorldState): void {
   if (world.now < world.stateDownUntil) return;
   if (world.jobs.size < 8 && world.faultRate > 0 && chance(world, 0.8 / world.faultRate)) {
@@ -50,18 +50,21 @@
     cancelJob(world, pick(world, [...world.jobs.keys()]));
 }
 
-/** A job's record is written. */
+/** Writes the record of a released job. */
 export function acceptJob(world: WorldState, spec: JobSpec): void {
   world.allJobs.set(spec.id, spec);
   world.jobs.set(spec.id, newRow(world, spec));
-  // the user sent it twice, and the first one comes last
+  // the user submitted the job twice, and the first write is executed late
   if (world.lateWriteShare > 0 && world.extraRandom() < world.lateWriteShare)
     carryOutLate(
       world,
       (late) => !world.jobs.has(spec.id) && hasNoCommit(world, spec.id, late),
       () => {
         if (world.commits.has(spec.id))
-          world.violations.push({ rule: "went_back", text: `${spec.id} queued at ${world.now}` });
+          world.violations.push({
+            rule: "went_back",
+            text: `${spec.id}: committed, then written again at ${world.now}`,
+          });
         world.jobs.set(spec.id, newRow(world, spec));
       },
     );
@@ -72,7 +75,7 @@
   return { spec, revision: ++world.revision, accepted: world.now, released: world.now };
 }
 
-/** A user calls a job off, and is told that it is over; says on how many machines it was. */
+/** Cancels a job and confirms it to the user; returns on how many machines the job had tasks. */
 export function cancelJob(world: WorldState, id: string): number {
   if (!world.jobs.has(id) || world.now < world.stateDownUntil) return 0;
   const machineCount = workersRunning(world, id).length;
@@ -87,7 +90,7 @@
   return machineCount;
 }
 
-/** The last task of a job has completed: some users call it off at this very moment, before or after it is known. */
+/** After a job's last task some users cancel the job, before or after its completion is committed. */
 export function onTaskEnded(world: WorldState, id: string, completed: RangeSet): void {
   if (world.queriedAtEnd.has(id) && completed.covers(world.allJobs.get(id)!.tasks)) queryAtEnd(world, id);
   if (world.cancelAtEndShare === 0 || !world.jobs.has(id)) return;
@@ -99,13 +102,13 @@
       if (world.now < world.stateDownUntil) return;
       const outcome = world.commits.get(id)?.outcome;
       world.count(outcome === "done" ? "called off once done" : "called off before it was known");
-      // the answer is done already, or cancelled for ever
+      // cancels the job only if it has not been committed
       cancelJob(world, id);
     },
   });
 }
 
-/** Users ask about a job at all nodes and send it once more. */
+/** Has users query and resubmit a job at all controllers. */
 export function queryAtEnd(world: WorldState, id: string): void {
   for (const node of world.nodes)
     world.messages.push({
@@ -117,7 +120,7 @@
     });
 }
 
-/** New jobs of one kind. */
+/** Specs of new jobs: defaults with overrides; `durationsMs`: the duration of each task. */
 export function newSpecs(
   world: WorldState,
   count: number,
--- a/test/model/versions.ts
+++ b/test/model/versions.ts
@@ -1,18 +1,18 @@
 /**
- * Two versions at once: the version in production, which knows no waiting jobs and no fan-in sets, beside this one. What
- * the former does is played from what its kept schemas name as read and listed; all else is the same in both.
+ * Controllers of two versions at once: this one, and the version in production, which knows neither waiting jobs nor
+ * fan-in sets. The latter is modelled by the records that its schemas name; all else is the same in both.
  */
 
-/** "old": the version in production. */
+/** "old" is the version in production. */
 export type Version = "old" | "new";
 
-/** What users and operators keep to, and what the earlier version leaves behind. */
+/** The behaviour of users while versions are mixed, and the sets that the earlier version leaves behind. */
 export class MixedVersions {
-  /** Whether users send jobs that wait for others. */
+  /** Whether users submit jobs that depend on others. */
   usersSendDependents = true;
-  /** Whether users go to processes of this version only. */
+  /** Whether users send requests only to processes of the new version. */
   usersAvoidOld = false;
-  /** Whether users who get no answer go on to the next process; without it they ask some other time. */
+  /** Whether users without an answer retry at the next controller; otherwise they retry later. */
   usersRetryElsewhere = false;
   /** Sets whose job a process of the earlier version committed. */
   readonly leftoverSets = new Set<string>();
@@ -23,14 +23,14 @@
     return this.usersAvoidOld ? nodes.filter((n) => n.version === "new") : nodes;
   }
 
-  /** Whether this is the job's first release. */
+  /** Marks a job as released; returns false if it was released before. */
   markReleased(id: string): boolean {
     if (this.releasedJobs.has(id)) return false;
     this.releasedJobs.add(id);
     return true;
   }
 
-  /** What is to be counted of a leader that may act, each only once. */
+  /** The events to count for a leader that may act, each only once per leadership. */
   leaderEvents(leadership: object, version: Version, hasReleased: boolean, hasWaiting: boolean): string[] {
     const counted = this.counted.get(leadership) ?? new Set<string>();
     this.counted.set(leadership, counted);
--- a/test/model/waiting-jobs.ts
+++ b/test/model/waiting-jobs.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs that wait for others: their records in the state service, and the users who submit, ask and cancel through any
- * node, over a state service that answers late or not at all.
+ * Jobs that depend on others: their records in the state service, and the users who submit, query and cancel them through
+ * any controller. Answers of the state service may be late or missing.
  */
 import { reviewWaitingJobs, stopReviewing } from "./job-releases.js";
 import {
@@ -20,18 +20,19 @@
 import { StatusProbes, UnansweredRequests } from "./status-requests.js";
 import { MixedVersions, type Version } from "./versions.js";
 
-/** The waiting jobs of a simulated cluster, and the users who sent them. */
+/** The waiting jobs of a simulated cluster, and the users who submitted them. */
 export class WaitingJobs<N extends Process> {
   /** The records of waiting jobs and their fan-in sets in the state service. */
   readonly waiting = new Map<string, JobRow>();
   readonly fanins = new Map<string, Fanin>();
-  /** Which process committed a job and heard of it. */
+  /** The view of the process that committed a job and got the answer. */
   readonly committedBy = new Map<string, JobView>();
-  /** Jobs that users have sent, those that they were told are accepted and when, and those that they called off. */
+  /** Jobs that users have submitted. */
   readonly sent = new Map<string, JobSpec>();
+  /** When users were first told that a job is accepted. */
   readonly acceptedAt = new Map<string, number>();
   readonly cancelRequested = new Set<string>();
-  /** The final answers, and when the first of them came. */
+  /** The first final answer about each job. */
   readonly finalAnswers = new Map<string, { outcome: JobOutcome; at: number }>();
   nextRequestsAt = 0;
   readonly statusProbes: StatusProbes<N>;
@@ -50,7 +51,7 @@
     });
   }
 
-  /** What a process of this version lists. */
+  /** The records that a process of this version reads. */
   snapshot(revision: number, version: Version): Snapshot {
     const { host, waiting, fanins } = this;
     if (version === "new")
@@ -59,7 +60,7 @@
     return { jobs, waiting: new Map(), fanins: new Map(), revision };
   }
 
-  /** Sent until an answer comes, through any node, as soon as those that it needs are accepted. */
+  /** Submits a job through random controllers until it is answered, once its parents are accepted. */
   submit(spec: JobSpec): void {
     this.sent.set(spec.id, spec);
     this.send(spec);
@@ -88,7 +89,7 @@
       }),
     );
   }
-  /** A user sends the same once more, answered or not. */
+  /** Submits a job once more, whether or not it was answered. */
   resubmit(id: string): void {
     const spec = this.sent.get(id)!;
     if (!this.maySend(spec)) return this.host.after(100, () => this.resubmit(id));
@@ -107,16 +108,17 @@
     const next = host.nodes[(host.nodes.indexOf(node) + 1) % host.nodes.length]!;
     host.after(ANSWER_TIMEOUT_MS, () => this.unansweredRequests.isOpen(id) && this.requestStatus(next, id));
   }
-  /** What was sent to a process that users avoid meanwhile doesn't reach it. */
+  /** Whether requests reach this process; those to a process that users now avoid are dropped. */
   receivesRequests(node: N): boolean {
     return node.alive && this.versions.nodesForUsers([node]).length > 0;
   }
 
-  /** Users ask about everything that they weren't told the end of, and now and then about what is over. */
+  /** Has users query all accepted jobs without a final answer, and now and then ended ones. */
   step(): void {
     const { host } = this;
     for (const id of this.acceptedAt.keys())
-      if (!this.isStored(id)) host.reportViolation("forgotten", `${id}: no record of it, at ${host.now()}`);
+      if (!this.isStored(id))
+        host.reportViolation("forgotten", `${id}: accepted, but not stored, at ${host.now()}`);
     if (host.now() < this.nextRequestsAt || this.sent.size === 0) return;
     this.nextRequestsAt = host.now() + STATUS_REQUEST_INTERVAL_MS;
     for (const id of this.acceptedAt.keys()) {
@@ -128,7 +130,7 @@
       });
     }
     for (const id of this.unansweredRequests.forgotten(host.now(), host.faultFreeSince()))
-      host.reportViolation("forgotten", `${id}: no question answered, at ${host.now()}`);
+      host.reportViolation("forgotten", `${id}: no status request answered, at ${host.now()}`);
   }
 
   isAccepted(id: string): boolean {
@@ -137,11 +139,11 @@
   isStored(id: string): boolean {
     return this.host.commits.has(id) || this.host.jobs.has(id) || this.waiting.has(id);
   }
-  /** Whether all that was sent is accepted, and nothing waits: what a way back has to wait for. */
+  /** Whether all submitted jobs are accepted and none waits, as a downgrade requires. */
   hasNoWaitingJobs(): boolean {
     return this.waiting.size === 0 && [...this.sent.keys()].every((id) => this.acceptedAt.has(id));
   }
-  /** Jobs sent and not answered, that wait, or of which nothing or the set alone is left: none may be at the end. */
+  /** Jobs that are not accepted, not stored, still waiting, or ended with their set left behind. */
   unserved(): string[] {
     const { jobs, commits } = this.host;
     const open = [...this.sent.keys()].filter(
@@ -151,7 +153,7 @@
     return [...open, ...this.waiting.keys(), ...leftoverSets];
   }
 
-  /** A user was told that his job is over. */
+  /** Checks the answer that a job has ended. */
   receiveOutcome(id: string, outcome: JobOutcome, byUser = false): void {
     const { host } = this;
     if (byUser) this.cancelRequested.add(id);
@@ -163,9 +165,10 @@
       if (this.sent.has(id)) this.statusProbes.answered(id, outcome);
     }
     if (outcome === "cancelled" && !this.cancelRequested.has(id) && !this.hasCancelledAncestor(id))
-      host.reportViolation("went_back", `${id}: cancelled by nobody at ${host.now()}`);
+      host.reportViolation("went_back", `${id}: cancelled without a request at ${host.now()}`);
     if (this.sent.has(id)) this.markAccepted(id);
   }
+  /** Checks the answer that a job is unfinished. */
   receiveUnfinished(id: string, askedAt: number): void {
     const { host } = this;
     const earlier = this.finalAnswers.get(id);
@@ -176,7 +179,7 @@
       if (answer?.outcome === "cancelled" && host.now() > answer.at + host.cancelDeadlineMs)
         host.reportViolation(
           "orphaned",
-          `${id}, ${ancestor} was cancelled at ${answer.at}, now ${host.now()}`,
+          `${id}: ${ancestor} was cancelled at ${answer.at}, unfinished at ${host.now()}`,
         );
     }
     this.markAccepted(id);
@@ -188,10 +191,10 @@
   }
   receiveAnswer(id: string, status: JobStatus | null, askedAt: number): void {
     const { host } = this;
-    // nobody waits for it any more
+    // the user has stopped waiting for the answer
     if (status === null || host.now() > askedAt + ANSWER_TIMEOUT_MS) return;
     if (status.kind !== "absent" && !this.sent.has(id) && !host.commits.has(id) && !host.jobs.has(id))
-      host.reportViolation("invented", `${id}: nobody submitted it, at ${host.now()}`);
+      host.reportViolation("invented", `${id}: never submitted, but reported at ${host.now()}`);
     this.unansweredRequests.requestAnswered(id, host.now());
     if (status.kind === "final") this.receiveOutcome(id, status.outcome);
     else if (status.kind === "open") this.receiveUnfinished(id, askedAt);
@@ -199,19 +202,19 @@
       host.reportViolation("went_back", `${id}: accepted, then unknown at ${host.now()}`);
   }
 
-  /** All jobs before this one, whatever anybody knows of them. */
+  /** All ancestors of a job, whether or not a controller knows them. */
   ancestors(id: string): Set<string> {
     const ancestors = new Set(this.sent.get(id)?.dependsOn ?? []);
     for (const at of ancestors)
       for (const parent of this.sent.get(at)?.dependsOn ?? []) ancestors.add(parent);
     return ancestors;
   }
-  /** Whether a job before it is cancelled. */
+  /** Whether an ancestor has been cancelled. */
   hasCancelledAncestor(id: string): boolean {
     return [...this.ancestors(id)].some((p) => this.host.commits.get(p)?.outcome === "cancelled");
   }
 
-  /** `then` gets null if there was no answer; nothing comes of it if the process has ended. */
+  /** Sends a request to the state service; `then` gets null without an answer, and isn't called if the process ended. */
   request<T extends object>(node: N, read: () => T | null, then: (answer: T | null) => void): void {
     const { host } = this;
     const { view } = node;
@@ -238,19 +241,19 @@
     );
   }
 
-  /** A user asks this node about a job, and sends the job to it once more. */
+  /** Queries a job's status at this controller and submits the job to it once more. */
   queryAndResubmit(node: N, id: string): void {
     this.host.whenAwake(node, () => node.alive && this.queryStatus(node, id))();
     this.host.count("submissions repeated");
     this.sendTo(node, this.sent.get(id)!);
   }
-  /** Users ask all nodes about a job that nobody has sent. */
+  /** Queries a job that was never submitted at all controllers. */
   queryUnknownJob(id: string): void {
     for (const node of this.host.nodes)
       this.host.whenAwake(node, () => node.alive && this.queryStatus(node, id))();
   }
 
-  /** A user asks about a job. */
+  /** Queries a job's status. */
   queryStatus(node: N, id: string): void {
     const askedAt = this.host.now();
     readStatus(this, node, id, (status) => this.receiveAnswer(id, status, askedAt));
@@ -260,12 +263,12 @@
     this.waiting.delete(id);
     this.deleteSet(id, by);
   }
-  /** The earlier version knows no sets: it leaves them behind. */
+  /** Deletes a job's set; the earlier version knows no sets and leaves it behind. */
   deleteSet(id: string, by: Version): void {
     if (by === "new") this.fanins.delete(id);
     else if (this.fanins.has(id)) this.versions.leftoverSets.add(id);
   }
-  /** The job's record is written: once for ever. */
+  /** Writes a job's released record, which may happen only once. */
   release(id: string, row: JobRow): void {
     const { host } = this;
     if (!this.versions.markReleased(id))
@@ -273,7 +276,7 @@
     host.jobs.set(id, row);
   }
 
-  /** A user calls a job off, through any node, until he is answered. */
+  /** Cancels a job through random controllers until there is a final answer. */
   cancel(id: string): void {
     if (this.finalAnswers.has(id)) return;
     this.cancelRequested.add(id);
@@ -285,11 +288,11 @@
     this.host.after(ANSWER_TIMEOUT_MS, () => this.cancel(id));
   }
 
-  /** Whether jobs wait for this one, by the records. */
+  /** Whether the record of a waiting job names this one as a parent. */
   hasChildren(id: string): boolean {
     return [...this.waiting.values()].some((row) => row.spec.dependsOn.includes(id));
   }
-  /** The leader's own commit: carried out, refused or unanswered. */
+  /** Handles the answer to the leader's commit of a job; `ok` is null without an answer. */
   commitAnswered(node: N, id: string, ok: boolean | null): void {
     const { view } = node;
     if (ok === true) {
@@ -300,11 +303,10 @@
     if (ok === true || (ok === false && this.host.commits.has(id))) view.remove(id);
   }
 
-  /** A leader's round over the jobs that wait. */
+  /** Reviews the waiting jobs as a leader. */
   review(node: N, leadership: object): void {
     reviewWaitingJobs(this, node, leadership);
   }
-  /** A process that doesn't lead looks after nothing. */
   stopReview(node: N): void {
     stopReviewing(node);
   }
--- a/test/model/workers.ts
+++ b/test/model/workers.ts
@@ -1,5 +1,5 @@
 /**
- * Simulated workers: machines that carry out commands, run tasks and send heartbeats.
+ * Simulated workers, which execute commands, run tasks and send heartbeats.
  */
 import * as Duration from "effect/Duration";
 import { TIMINGS, STEP_MS, FAST_BOOT_MS, TYPES } from "./settings.js";
@@ -10,7 +10,7 @@
 import { type MachineRecord, type Command, type Heartbeat } from "../../src/core/records.js";
 import { RangeSet } from "../../src/core/ranges.js";
 
-/** An attempt on a worker, as the worker keeps it. */
+/** A task attempt in a worker's own state. */
 export interface WorkerTask {
   attempt: number;
   job: string;
@@ -30,9 +30,9 @@
   goneAt = 0;
   hungUntil = 0;
   cutUntil = 0;
-  /** Its reports arrive, but nothing reaches it. */
+  /** Until when nothing reaches it, although its heartbeats arrive. */
   deafUntil = 0;
-  /** Its reports reach nobody, but direct orders reach it. */
+  /** Until when its heartbeats are lost, although commands reach it. */
   muteUntil = 0;
   nodeIndex = 0;
   nextHeartbeatAt: number;
@@ -49,7 +49,7 @@
   }
 }
 
-/** A machine is rented; it is up after its boot. */
+/** Rents a machine, which is up after its boot time. */
 export function addMachine(world: WorldState, type: string, zone: string, spot: boolean): string {
   const id = `n-${String(world.machineCount++).padStart(4, "0")}`;
   const cpus = TYPES.find((t) => t.name === type)!.cpus;
@@ -59,7 +59,7 @@
   return id;
 }
 
-/** A machine is gone for ever, with its tasks. */
+/** Removes a machine with its tasks. */
 export function killWorker(world: WorldState, worker: Worker): void {
   worker.gone = true;
   worker.goneAt = world.now;
@@ -82,7 +82,7 @@
   };
 }
 
-/** One step of a worker: its tasks go on, and it sends a heartbeat when one is due. */
+/** Advances a worker's tasks by one step and sends a heartbeat when one is due. */
 export function stepWorker(world: WorldState, worker: Worker): void {
   if (worker.gone || world.now < worker.upAt) return;
   if (world.now - worker.leaseRenewedAt > Duration.toMillis(TIMINGS.workerLease)) {
@@ -90,13 +90,13 @@
     worker.workerEpoch++;
     worker.leaseRenewedAt = world.now;
   }
-  // a hanging machine goes on within its lease or not at all
+  // a hanging machine continues if the hang ends within its lease; otherwise it has lost its tasks
   if (world.now < worker.hungUntil) return;
   for (const t of worker.tasks.values()) {
     if (t.state === "exited") continue;
     t.remainingMs -= STEP_MS;
     if (t.state === "fetching" && t.remainingMs <= 0) {
-      // the result is kept: what completed before exits as soon as it has its image
+      // the result of a task that completed before is kept: the attempt exits as soon as it has its image
       const wasCompleted = world.completedTasks.get(t.job)?.has(t.index) ?? false;
       t.state = wasCompleted ? "exited" : "running";
       if (wasCompleted) t.exitReason = "done";
@@ -105,7 +105,7 @@
       t.remainingMs = world.taskDurationsMs.get(t.job)?.[t.index] ?? usualDurationMs;
     } else if (t.remainingMs <= 0) {
       t.state = "exited";
-      // what a script wants to last so long doesn't fail
+      // tasks with a duration set by a scenario don't fail
       t.exitReason = world.random() < 0.05 && !world.taskDurationsMs.has(t.job) ? "error" : "done";
       if (world.failingJobs.has(t.job)) {
         t.exitReason = "error";
@@ -138,7 +138,7 @@
     );
   }
   const node = world.nodes[worker.nodeIndex % world.nodes.length]!;
-  // a copy may come late, from seconds to well over a lease, and to whoever is there then
+  // a late copy may arrive at any controller, up to 2.5 leases later
   if (chance(world, 0.2)) {
     const arrivesAt = world.now + world.random() * 2.5 * Duration.toMillis(TIMINGS.workerLease);
     const target = pick(world, world.nodes);
@@ -149,7 +149,7 @@
       }),
     });
   }
-  // its connection waits for an answer at a process that stands still; the next heartbeat goes elsewhere
+  // the request waits at the frozen process, and the next heartbeat goes to another controller
   if (world.now < node.frozenUntil) worker.nodeIndex++;
   if (areZonesApart(world, node.zone, worker.record.zone)) {
     worker.nodeIndex++;
@@ -181,7 +181,7 @@
   );
 }
 
-/** Whether the worker takes the commands: not under an old fencing token, nor for another worker epoch. */
+/** Executes commands; refuses them (false) under an older fencing token or for another worker epoch. */
 export function executeCommands(
   world: WorldState,
   worker: Worker,
@@ -204,7 +204,7 @@
   return true;
 }
 
-/** A worker starts an attempt, if it has room; the rules about starts are checked here. */
+/** Starts an attempt if the worker has room, and checks the rules about starts. */
 export function startAttempt(world: WorldState, worker: Worker, command: Command, key: string): void {
   const live = [...worker.tasks.values()].filter((t) => t.state !== "exited");
   const spec = world.allJobs.get(command.job)!;
@@ -227,7 +227,7 @@
   const commit = world.commits.get(command.job);
   if (commit?.outcome === "cancelled") {
     world.count("starts after a confirmed cancellation");
-    // gone within a step perhaps, so the check after each step wouldn't see it
+    // the attempt may end within this step, so that the check after the step would miss it
     if (world.now > commit.at + Duration.toMillis(TIMINGS.cancelDeadline))
       world.violations.push({
         rule: "ran_cancelled",
--- a/test/model/world-state.ts
+++ b/test/model/world-state.ts
@@ -1,5 +1,5 @@
 /**
- * The state of a simulated cluster, shared by the modules of the model: everything drawn comes from its seed.
+ * The state of a simulated cluster, shared by the modules of the model. All random numbers derive from its seed.
  */
 import * as Duration from "effect/Duration";
 import { type Guard, TIMINGS, TEAMS, type Violation } from "./settings.js";
@@ -24,32 +24,32 @@
   jobsCommitted = 0;
   termsWritten = 0;
   leadersElected = 0;
-  /** How often troubles really met, by name. */
+  /** How often each event occurred, by name. */
   readonly eventCounts = new Map<string, number>();
-  /** Share of transactions that get no answer and are carried out 2 to 12 s later, after newer ones. */
+  /** Share of transactions that are not answered and are executed 2 to 12 s later, possibly after newer ones. */
   lateWriteShare = 0;
-  /** Share of transactions that are carried out at once and whose answer is lost. */
+  /** Share of transactions that are executed at once and whose answer is lost. */
   lostAnswerShare = 0;
-  /** New machines are up within two seconds. */
+  /** Whether new machines boot within two seconds. */
   fastBoots = false;
-  /** Jobs that were submitted with a mistake: each of their tasks fails on every machine. */
+  /** Jobs whose tasks fail on every machine, as after a faulty submission. */
   readonly failingJobs = new Set<string>();
-  /** Share of direct orders that are carried out 2 to 16 s late, unanswered. */
+  /** Share of command batches that are executed 2 to 16 s late, after the sender has stopped waiting. */
   lateCommandShare = 0;
   teams: readonly Team[] = TEAMS;
-  /** Share of heartbeats of which a copy arrives again, 2 s to 2.5 leases later. */
+  /** Share of heartbeats of which a copy arrives 2 s to 2.5 worker leases later. */
   lateHeartbeatShare = 0;
-  /** Share of direct orders that are held up on their way, or whose answers are. */
+  /** Share of command batches that are delayed on their way, and share of delayed answers to them. */
   delayedCommandShare = 0;
-  /** Share of jobs that are called off at the very end of their last task. */
+  /** Share of jobs that a user cancels just as their last task completes. */
   cancelAtEndShare = 0;
-  /** Share of commits of jobs that others wait for after which the leader ends, before it joins anything. */
+  /** Share of commits after which the leader crashes before it joins the job to the fan-in sets of its children. */
   crashAfterCommitShare = 0;
-  /** Whether users call off whatever they like, beside what a script cancels. */
+  /** Whether users cancel random jobs besides those that a scenario cancels. */
   randomCancels = true;
-  /** Up to so much longer every message takes. */
+  /** The upper bound of the extra delay of every message. */
   maxLinkDelayMs = 0;
-  /** Up to so much longer the state service takes. */
+  /** The upper bound of the extra delay of the state service. */
   maxStateDelayMs = 0;
   readonly random: () => number;
   readonly messages: { at: number; run: () => void }[] = [];
@@ -58,7 +58,7 @@
   readonly jobs = new Map<string, JobRow>();
   readonly allJobs = new Map<string, JobSpec>();
   readonly commits = new Map<string, { outcome: "done" | "cancelled"; at: number }>();
-  /** The records of finishes, by job and key; a later write of the same key takes the place of the earlier one. */
+  /** The stored records of finished tasks, by job and key; a later write of a key replaces the earlier one. */
   readonly storedFinishes = new Map<string, Map<string, RangeSet>>();
   readonly completedTasks = new Map<string, RangeSet>();
   readonly machineRecords = new Map<string, MachineRecord>();
@@ -67,33 +67,33 @@
   stateDownUntil = 0;
   stateDownFrom: number | null = null;
   cloudDownUntil = 0;
-  /** Until when a zone is cut off from everything outside it. */
+  /** Until when each zone is cut off from everything outside it. */
   readonly zoneCutUntil = new Map<string, number>();
   nextJobNumber = 0;
   machineCount = 0;
   writeCount = 0;
   faultFreeSince: number | null = null;
-  /** Writes whose answer was lost and that no other node has read yet. */
+  /** Writes whose answer was lost and that no other controller has read yet. */
   unreadWrites: { readonly writer: string; readonly write: number }[] = [];
-  /** Draws for the troubles above, so that runs without them stay the same. */
+  /** A second random sequence for the optional faults above, so that runs without them keep their history. */
   readonly extraRandom: () => number;
-  /** Jobs about which users ask at the end of their last task. */
+  /** Jobs whose status users query, and which they resubmit, when the last task completes. */
   readonly queriedAtEnd = new Set<string>();
-  /** How long the tasks of some jobs run. */
+  /** The durations of the tasks of jobs whose durations are not random. */
   readonly taskDurationsMs = new Map<string, readonly number[]>();
-  /** Since when a job waits though a machine has room for it. */
+  /** Since when a job has been waiting although a machine has room for it. */
   readonly waitingWithRoomSince = new Map<string, number>();
-  /** Jobs that wait for others, and the users who ask about them. */
+  /** Jobs that depend on others, and the users who query them. */
   readonly waitingJobs: WaitingJobs<Node>;
-  /** null: machines follow the members. */
+  /** null: a machine's owner depends on the members of the term alone. */
   readonly shardMoves: ShardMoves | null;
 
   constructor(
     seed: number,
     readonly disabledGuard: Guard | null,
-    /** How often troubles come; 0: none. */
+    /** How often random faults occur; 0: never. */
     public faultRate: number,
-    /** Whether machines belong to shards that change hands. */
+    /** Whether machines belong to shards that are handed over between controllers. */
     withShards: boolean,
   ) {
     const generator = xoroshiro128plus(seed);
@@ -144,7 +144,7 @@
     });
   }
 
-  /** Counts how often something was met. */
+  /** Adds to the number of occurrences of an event. */
   count(what: string, n = 1): void {
     this.eventCounts.set(what, (this.eventCounts.get(what) ?? 0) + n);
   }
--- a/test/model/world.ts
+++ b/test/model/world.ts
@@ -1,6 +1,7 @@
 /**
- * A model of workers, state service and cloud round the pure core, in virtual time, with loss, delay, duplication, crashes, cuts
- * and hangs drawn from a seed. Every rule of the protocol that the core answers for is checked after each step.
+ * A simulation of workers, users, state service and cloud around the real core, in virtual time. Message loss, delay,
+ * duplication, crashes, network partitions and hangs are drawn from a seed. After each step the rules of the protocol that
+ * the core is responsible for are checked.
  */
 import * as Duration from "effect/Duration";
 import { type Guard, type MachineFault, TIMINGS, STEP_MS, FAST_BOOT_MS } from "./settings.js";
@@ -25,9 +26,9 @@
 import { type Scheduler } from "../../src/core/scheduler/scheduler.js";
 import { type MixedVersions, type Version } from "./versions.js";
 
-/** A simulated cluster, and what scripts do to it. */
+/** A simulated cluster, and the actions of scenarios on it. */
 export class World extends WorldState {
-  /** Whether worlds have shards that change hands. */
+  /** Whether new worlds have shards that are handed over between controllers. */
   static withShards = false;
 
   constructor(seed: number, without: Guard | null = null, rough = 1) {
@@ -47,14 +48,14 @@
     checkInvariants(this);
   }
 
-  /** Jobs of one kind; `durationsMs`: how long each of the tasks runs. */
+  /** Accepts jobs with these fields at once; returns their ids. */
   submit(count: number, overrides: Partial<JobSpec>, durationsMs?: readonly number[]): string[] {
     return newSpecs(this, count, overrides, durationsMs).map((spec) => {
       acceptJob(this, spec);
       return spec.id;
     });
   }
-  /** Jobs that users send through any node, repeat until they are answered, and ask about. */
+  /** Has users submit jobs through random controllers, with retries, and query their status afterwards. */
   submitByUsers(count: number, overrides: Partial<JobSpec>, durationsMs?: readonly number[]): string[] {
     return newSpecs(this, count, overrides, durationsMs).map((spec) => {
       this.allJobs.set(spec.id, spec);
@@ -62,15 +63,16 @@
       return spec.id;
     });
   }
-  /** The share of answers after which users ask all nodes at once. */
+  /** The share of answers after which users query and resubmit the job at all controllers at once. */
   set probeShare(share: number) {
     this.waitingJobs.statusProbes.share = share;
   }
+  /** Has users query a job that was never submitted. */
   queryUnknownJob(): void {
     this.count("questions about jobs that nobody sent");
     this.waitingJobs.queryUnknownJob(`req-9${String(this.nextJobNumber).padStart(5, "0")}`);
   }
-  /** A job that waits for others, sent by a user through any node as soon as they are accepted. */
+  /** Has a user submit a job that depends on others, through a random controller once those are accepted. */
   submitDependent(
     dependsOn: readonly string[],
     overrides: Partial<JobSpec> = {},
@@ -81,14 +83,15 @@
     this.waitingJobs.submit(spec);
     return spec.id;
   }
-  /** A user calls a job off, or sends it once more, through any node. */
+  /** Has a user cancel a job through random controllers until it is answered. */
   cancelThroughNode(id: string): void {
     this.waitingJobs.cancel(id);
   }
+  /** Has a user submit a job once more through a random controller. */
   resubmit(id: string): void {
     this.waitingJobs.resubmit(id);
   }
-  /** At the end of the job's last task a user asks about it at all nodes and sends it once more. */
+  /** When the job's last task completes, users query its status and resubmit it at all controllers. */
   resubmitWhenDone(id: string): void {
     this.queriedAtEnd.add(id);
   }
@@ -99,7 +102,7 @@
     return this.waitingJobs.waiting.has(id);
   }
 
-  /** A user calls a job off, and is told that it is over; says on how many machines it was. */
+  /** Cancels a job at once and confirms it to the user; returns on how many machines the job had tasks. */
   cancel(id: string): number {
     return cancelJob(this, id);
   }
@@ -107,7 +110,7 @@
   wait(ms: number): this {
     return this.runTo(this.now + ms);
   }
-  /** Goes on until this is so, or so long at the most; says whether it is. */
+  /** Runs until the condition holds or `maxMs` have passed; returns whether it holds. */
   runUntil(condition: () => boolean, maxMs: number): boolean {
     const end = this.now + maxMs;
     while (!condition() && this.now < end && this.violations.length === 0) this.step();
@@ -120,15 +123,15 @@
         node.alive && node.scheduler !== null && node.term?.leader === node.name && mayAct(this, node),
     );
   }
-  /** What users and operators keep to while versions are mixed. */
+  /** The behaviour of users and operators while versions are mixed. */
   get versions(): MixedVersions {
     return this.waitingJobs.versions;
   }
-  /** All processes have this version, from the beginning. */
+  /** Sets the version of all processes before the run. */
   setAllVersions(version: Version): void {
     for (const node of this.nodes) node.version = version;
   }
-  /** A member's process ends and comes back with this version. */
+  /** Restarts a controller's process with this version. */
   restartWithVersion(index: number, version: Version): void {
     const node = this.nodes[index]!;
     if (node.version === "new" && version === "old") this.count("processes that went back");
@@ -142,7 +145,7 @@
   mayDowngrade(): boolean {
     return this.disabledGuard === "back" || this.waitingJobs.hasNoWaitingJobs();
   }
-  /** Leaders end until one of this version leads; says whether one does. */
+  /** Crashes leaders until one of this version leads; returns whether one does. */
   crashUntilLeaderHas(version: Version): boolean {
     for (let tries = 0; tries < 20; tries++) {
       if (!this.runUntil(() => this.hasLeader(), 30_000)) return false;
@@ -151,11 +154,11 @@
     }
     return false;
   }
-  /** Whether somebody leads who can act. */
+  /** Whether there is a leader that may act. */
   hasLeader(): boolean {
     return this.actingLeader() !== undefined;
   }
-  /** The process of the leader ends and is back after `downMs`; says whether there was one. */
+  /** Crashes the leader's process, which restarts after `downMs`; returns whether there was a leader. */
   crashLeader(downMs: number): boolean {
     const node = this.nodes.find((node) => node.alive && node.name === this.leader?.name);
     if (node === undefined) return false;
@@ -164,7 +167,7 @@
     crashProcess(this, node, downMs);
     return true;
   }
-  /** The leader stands still while its clocks run on, with `others` more; says how many do. */
+  /** Freezes the leader and `others` more controllers while their clocks run on; returns how many were frozen. */
   freezeLeader(ms: number, others = 0): number {
     const leader = this.actingLeader();
     if (leader === undefined) return 0;
@@ -174,7 +177,7 @@
     this.count("controllers that stood still", frozen.length);
     return frozen.length;
   }
-  /** The process of a member that doesn't lead ends, so that its part changes hands; says whether there was one. */
+  /** Crashes a controller that does not lead, so that its machines get other owners; returns whether there was one. */
   crashFollower(downMs: number): boolean {
     const node = this.nodes.find((node) => node.alive && node.name !== this.leader?.name);
     if (node === undefined) return false;
@@ -182,7 +185,7 @@
     crashProcess(this, node, downMs);
     return true;
   }
-  /** All processes end; the one with this number is back after `firstDownMs`, the others after `otherDownMs`. */
+  /** Crashes all processes; the one with this index restarts after `firstDownMs`, the others after `otherDownMs`. */
   crashAll(firstIndex: number, firstDownMs: number, otherDownMs: number): void {
     for (const [i, node] of this.nodes.entries())
       crashProcess(this, node, i === firstIndex ? firstDownMs : otherDownMs);
@@ -191,7 +194,7 @@
     beginOutage(this, ms);
     return this;
   }
-  /** The state service refuses the leader alone; `fromPeers`: the other controllers can't be reached by it either. */
+  /** Cuts the leader off from the state service and, with `fromPeers`, from the other controllers; returns its name. */
   isolateLeader(ms: number, fromPeers: boolean): string | null {
     const node = this.actingLeader();
     if (node === undefined) return null;
@@ -200,7 +203,7 @@
     return node.name;
   }
 
-  /** A trouble of machines that hold tasks (of these jobs, if named), at most `maxMs`; says of how many. */
+  /** Puts a fault on at most `max` machines that hold tasks (of these jobs, if given); returns on how many. */
   injectMachineFault(fault: MachineFault, ms: number, max: number, jobs?: readonly string[]): number {
     let n = 0;
     for (const worker of this.workers.values()) {
@@ -211,20 +214,21 @@
     }
     return n;
   }
-  /** Machines with tasks of these jobs die. */
+  /** Kills at most `max` machines that hold tasks of these jobs; returns how many. */
   killMachines(max: number, jobs: readonly string[]): number {
     const machines = new Set(jobs.flatMap((id) => workersRunning(this, id)));
     const dying = [...machines].slice(0, max);
     for (const worker of dying) killWorker(this, worker);
     return dying.length;
   }
-  /** How many tasks of these jobs are on machines; how many of their jobs' tasks have completed. */
+  /** How many tasks of these jobs are on machines. */
   runningTaskCount(jobs: readonly string[] = [...this.jobs.keys()]): number {
     let n = 0;
     for (const worker of this.workers.values())
       for (const t of worker.tasks.values()) if (t.state !== "exited" && jobs.includes(t.job)) n++;
     return n;
   }
+  /** How many tasks of these jobs have completed. */
   completedTaskCount(jobs: readonly string[]): number {
     return jobs.reduce((sum, id) => sum + (this.completedTasks.get(id)?.size ?? 0), 0);
   }
@@ -234,11 +238,11 @@
   unfinishedJobs(): string[] {
     return [...this.jobs.keys()];
   }
-  /** A job's commit, if it has one. */
+  /** The outcome in the job's commit record, if it has one. */
   outcomeOf(id: string): "done" | "cancelled" | null {
     return this.commits.get(id)?.outcome ?? null;
   }
-  /** What this team has on machines, and how many tasks no leader could place. */
+  /** The CPUs that tasks of this team occupy on machines. */
   teamCpus(team: string): number {
     let sum = 0;
     for (const worker of this.workers.values())
@@ -248,12 +252,13 @@
       }
     return sum;
   }
+  /** How many tasks the acting leader has not placed. */
   pendingTaskCount(): number {
     let sum = 0;
     for (const job of this.actingLeader()?.scheduler?.cluster.pendingJobs ?? []) sum += job.pending.size;
     return sum;
   }
-  /** The heartbeats that all machines with tasks send now are held back; they arrive at whoever leads when it is called. */
+  /** Copies the present heartbeats of all machines with tasks; the result delivers them to the acting leader. */
   captureHeartbeats(): () => number {
     const captured: [Worker, Heartbeat][] = [];
     for (const worker of this.workers.values())
@@ -266,7 +271,7 @@
       return captured.length;
     };
   }
-  /** The heartbeats of all machines are held back; they arrive at every controller when it is called. */
+  /** Copies the present heartbeats of all machines; the result delivers them to every controller. */
   captureAllHeartbeats(): () => number {
     const captured: [Worker, Heartbeat][] = [];
     for (const worker of this.workers.values())
@@ -277,7 +282,7 @@
       return captured.length;
     };
   }
-  /** How many machines that were quick to be up have tasks and have been up for at most so long. */
+  /** How many fast-booted machines that have been up for at most `maxAgeMs` have tasks. */
   busyNewMachines(maxAgeMs: number): number {
     return [...this.workers.values()].filter(
       (worker) =>
@@ -287,11 +292,12 @@
         worker.upAt - worker.rentedAt <= FAST_BOOT_MS,
     ).length;
   }
+  /** Adds to the number of occurrences of an event of a scenario. */
   note(event: string, n = 1): void {
     this.count(event, n);
   }
 
-  /** A zone with workers and a controller is cut off, while the cloud releases nothing: only time is proof. */
+  /** Cuts a zone off while the cloud is out too: only the end of a lease proves then that a machine has stopped. */
   cutZone(zone: string, ms: number): this {
     this.zoneCutUntil.set(zone, this.now + ms);
     this.cloudDownUntil = this.now + ms;
@@ -299,9 +305,9 @@
   }
 
   /**
-   * The state service refuses the leader alone; the others confirm that jobs are cancelled; then it is out for all, for
-   * longer than a cancel has, while workers go on reporting to the old leader. Says how many jobs were cancelled that
-   * then had tasks on machines, and that the leader knew nothing of.
+   * Cuts the leader off from the state service while users cancel jobs through the other controllers. Then the state
+   * service is out for all for longer than the cancel deadline, while workers go on sending heartbeats to the old leader.
+   * Returns how many of the cancelled jobs had tasks on machines.
    */
   cancelUnseenByLeader(refusedMs: number, untilOutageMs: number): number {
     const leader = this.nodes.find((node) => node.name === this.leader?.name);
@@ -322,7 +328,7 @@
     return affected;
   }
 
-  /** No more troubles, and no more jobs: what was accepted has to run. */
+  /** Stops all faults and new jobs: all accepted jobs have to be served from now on. */
   stopFaults(): this {
     this.faultRate = 0;
     this.faultFreeSince ??= this.now;
@@ -355,7 +361,7 @@
     return this;
   }
 
-  /** Accepted jobs that are neither over nor, as services are, all running. */
+  /** Submitted jobs that are not accepted, batch jobs without an outcome, and services with tasks that do not run. */
   unserved(): string[] {
     const unserved = this.waitingJobs.unserved();
     for (const { spec } of this.jobs.values()) {
@@ -367,7 +373,7 @@
     return unserved;
   }
 
-  /** The pictures of all leaders that there are. */
+  /** The cluster states of all schedulers that exist, including those of former leaders. */
   leaderClusters(): Scheduler["cluster"][] {
     return this.nodes.flatMap((node) => (node.scheduler === null ? [] : [node.scheduler.cluster]));
   }
--- a/test/scenarios.ts
+++ b/test/scenarios.ts
@@ -1,6 +1,7 @@
 /**
- * Tables of scenarios on the model: that the troubles really met is counted, no rule may be broken, everything accepted
- * is served afterwards, and where a guard is named the checker has to notice that it is missing.
+ * Runs tables of scenarios on the simulated cluster. A scenario fails if a rule is violated, if accepted jobs are not
+ * served once faults have stopped, or if the events that it is about occurred too rarely. Where a scenario names guards,
+ * it is run again with each of them disabled, and the checker has to report a violation.
  */
 import assert from "node:assert/strict";
 import { test } from "node:test";
@@ -8,27 +9,27 @@
 
 export interface Scenario {
   readonly name: string;
-  /** How rough the rest of the run is. */
+  /** How often random faults occur besides those of the scenario; 0: never. */
   readonly faultRate?: number;
-  /** On how many seeds it is played. */
+  /** Overrides the number of seeds of the table. */
   readonly seedCount?: number;
-  /** The same with shards, if more: histories differ there, and the troubles may meet less often in as many. */
+  /** The number of seeds with shards, where the events of the scenario may coincide less often. */
   readonly seedCountWithShards?: number;
   readonly run: (world: World, seed: number) => void;
-  /** How often this has to be reached, summed over all seeds. */
+  /** How often each of these events has to occur at least, summed over all seeds. */
   readonly minimumCounts: Readonly<Record<string, number>>;
-  /** What the checker has to notice when a guard is taken out; one of the rules. */
+  /** Guards to disable, each with the rules of which the checker then has to report one as violated. */
   readonly guards?: readonly (readonly [Guard, readonly string[]])[];
 }
 
 export interface SuiteOptions {
   readonly seedCount: number;
   readonly firstSeed: number;
-  /** How many runs without a guard may pass before the checker notices. */
+  /** On how many seeds a run with a disabled guard is tried until a violation is reported. */
   readonly maxSeedsWithoutGuard: number;
-  /** Once troubles are over, everything is served within so many milliseconds. */
+  /** Once faults have stopped, all accepted jobs have to be served within this time. */
   readonly servedWithinMs: number;
-  /** Whether what is met while all is served counts too. */
+  /** Whether events after the faults have stopped count too. */
   readonly countsWhileServing: boolean;
 }
 
@@ -57,16 +58,19 @@
         if (!options.countsWhileServing) addCounts(world);
         runUntilServed(world);
         if (options.countsWhileServing) addCounts(world);
-        assert.deepEqual(world.violations, [], `seed ${seed}, once all is over`);
+        assert.deepEqual(world.violations, [], `seed ${seed}, after the faults stopped`);
         assert.deepEqual(world.unserved(), [], `seed ${seed}: never served`);
       }
       if (printCounts) console.log(name, Object.fromEntries(totals));
       for (const [what, minimum] of Object.entries(minimumCounts))
-        assert.ok((totals.get(what) ?? 0) >= minimum, `${what}: only ${totals.get(what) ?? 0} of ${minimum}`);
+        assert.ok(
+          (totals.get(what) ?? 0) >= minimum,
+          `${what}: ${totals.get(what) ?? 0} times, expected at least ${minimum}`,
+        );
     });
 
     for (const [guard, rules] of guards)
-      test(`${name}: noticed without the guard "${guard}"`, () => {
+      test(`${name}: the checker reports a violation without the guard "${guard}"`, () => {
         const violatedRules = new Set<string>();
         for (let seed = options.firstSeed; seed < options.firstSeed + options.maxSeedsWithoutGuard; seed++) {
           const world = new World(seed, guard, faultRate);
@@ -79,7 +83,7 @@
           return;
         }
         assert.fail(
-          `no run broke ${rules.join(" or ")}: ${[...violatedRules].join(", ") || "nothing at all"}`,
+          `no run violated ${rules.join(" or ")}; violated: ${[...violatedRules].join(", ") || "no rule"}`,
         );
       });
   }
