--- a/test/concurrent-faults-handover.test.ts
+++ b/test/concurrent-faults-handover.test.ts
@@ -30,7 +30,7 @@
         world.wait(9000);
       }
     },
-    minimumCounts: { "new machines at work": 18, "leaders ended": 24, "new leaders": 24 },
+    minimumCounts: { "new machines at work": 18, "leaders crashed": 24, "new leaders": 24 },
     guards: [["record", ["ran_twice"]]],
   },
   {
@@ -74,7 +74,7 @@
       }
       world.wait(CANCEL_DEADLINE_MS);
     },
-    minimumCounts: { "members ended": 44, "machines with cancelled tasks": 200 },
+    minimumCounts: { "followers crashed": 44, "machines with cancelled tasks": 200 },
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
@@ -98,8 +98,12 @@
         world.wait(9000);
       }
     },
-    minimumCounts: { "reports as a leader begins": 200, "leaders ended": 30, "copies after newer ones": 300 },
-    guards: [["seq", ["ran_twice"]]],
+    minimumCounts: {
+      "reports as a leader begins": 200,
+      "leaders crashed": 30,
+      "heartbeat copies after newer ones": 300,
+    },
+    guards: [["sequence", ["ran_twice"]]],
   },
   {
     name: "a command of a leader that has ended or been deposed arrives after the new leader's",
@@ -118,10 +122,10 @@
       }
     },
     minimumCounts: {
-      "leaders ended": 24,
+      "leaders crashed": 24,
       "leaders deposed": 18,
-      "late orders": 100,
-      "orders of an earlier leader": 30,
+      "late command batches": 100,
+      "command batches of an earlier leader": 30,
     },
     guards: [["confirm", ["ran_twice"]]],
   },
@@ -142,9 +146,9 @@
     minimumCounts: {
       "answers lost": 200,
       "writes read by others whose answer was lost": 200,
-      "leaders ended": 40,
+      "leaders crashed": 40,
     },
-    guards: [["adopt", ["unserved"]]],
+    guards: [["adopt_key", ["unserved"]]],
   },
   {
     name: "every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes",
--- a/test/concurrent-faults-silence.test.ts
+++ b/test/concurrent-faults-silence.test.ts
@@ -42,7 +42,7 @@
       }
     },
     minimumCounts: {
-      "controllers that stood still": 30,
+      "controllers frozen": 30,
       "new leaders": 30,
       "machines with cancelled tasks": 90,
     },
@@ -63,7 +63,7 @@
         world.wait(WORKER_LEASE_MS + CANCEL_DEADLINE_MS + 5000);
       }
     },
-    minimumCounts: { "controllers that stood still": 48, "machines with cancelled tasks": 60 },
+    minimumCounts: { "controllers frozen": 48, "machines with cancelled tasks": 60 },
   },
   {
     name: "a leader stands still for some seconds inside its lease, again and again, while others cancel",
@@ -79,7 +79,7 @@
       }
       world.wait(CANCEL_DEADLINE_MS);
     },
-    minimumCounts: { "controllers that stood still": 60, "machines with cancelled tasks": 150 },
+    minimumCounts: { "controllers frozen": 60, "machines with cancelled tasks": 150 },
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
--- a/test/concurrent-faults-users.test.ts
+++ b/test/concurrent-faults-users.test.ts
@@ -30,13 +30,13 @@
       outwaitForgottenLimit(world);
     },
     minimumCounts: {
-      "close looks after accepted": 300,
-      "close looks after done": 200,
-      "close looks after cancelled": 50,
+      "probes after accepted": 300,
+      "probes after done": 200,
+      "probes after cancelled": 50,
       "cancelled right after they were accepted": 60,
-      "questions about jobs that nobody sent": 90,
+      "queries of jobs never submitted": 90,
     },
-    guards: [["checked", ["went_back"]]],
+    guards: [["check_commits", ["went_back"]]],
   },
   {
     name: "a cancellation, a question and a repeated submission meet the end of a job's last task",
@@ -52,11 +52,11 @@
       }
     },
     minimumCounts: {
-      "called off before it was known": 60,
-      "questions at the end of the last task": 300,
+      "cancelled before the commit": 60,
+      "queries at the end of the last task": 300,
       "submissions repeated": 300,
     },
-    guards: [["checked", ["went_back"]]],
+    guards: [["check_commits", ["went_back"]]],
   },
   {
     name: "users cancel and ask while the state service is slow, or refuses the leader and then everybody for long",
@@ -79,10 +79,10 @@
     },
     minimumCounts: {
       "leaders refused alone": 9,
-      "released jobs called off": 30,
-      "close looks after cancelled": 12,
+      "released jobs cancelled": 30,
+      "probes after cancelled": 12,
     },
-    guards: [["checked", ["went_back"]]],
+    guards: [["check_commits", ["went_back"]]],
   },
 ];
 
--- a/test/concurrent-faults.test.ts
+++ b/test/concurrent-faults.test.ts
@@ -32,7 +32,7 @@
       waitForLeader(world);
       world.note("leaders", world.leadersElected - before.leaders);
     },
-    minimumCounts: { "leaders ended": 100, leaders: 84, "leaders ended inside an outage": 12 },
+    minimumCounts: { "leaders crashed": 100, leaders: 84, "leaders crashed during an outage": 12 },
     guards: [["confirm", ["ran_twice", "quota"]]],
   },
   {
@@ -56,16 +56,16 @@
     minimumCounts: {
       "late writes after newer ones": 300,
       "late writes refused": 100,
-      "leaders ended": 50,
-      "rentals carried out late": 24,
-      "releases carried out late": 12,
+      "leaders crashed": 50,
+      "rentals executed late": 24,
+      "releases executed late": 12,
     },
     guards: [
-      ["absent", ["went_back"]],
+      ["no_commit", ["went_back"]],
       // an earlier leader's term overwrites the present one, and nobody acts any more
-      ["stamp", ["unserved"]],
-      ["adopt", ["unserved"]],
-      ["key", ["lost_finish"]],
+      ["leader_key", ["unserved"]],
+      ["adopt_key", ["unserved"]],
+      ["finish_key", ["lost_finish"]],
     ],
   },
   {
@@ -83,7 +83,7 @@
       world.crashLeader(1000);
       world.wait(25_000);
     },
-    minimumCounts: { "more waiting than room": 36, "leaders ended": 10 },
+    minimumCounts: { "more waiting than room": 36, "leaders crashed": 10 },
     guards: [["quota", ["quota"]]],
   },
   {
@@ -120,12 +120,12 @@
       }
     },
     minimumCounts: {
-      "copies after newer ones": 400,
-      "copies from an earlier session": 80,
-      "copies with an earlier attempt": 15,
+      "heartbeat copies after newer ones": 400,
+      "heartbeat copies from an earlier session": 80,
+      "heartbeat copies with an earlier attempt": 15,
     },
     guards: [
-      ["seq", ["ran_twice"]],
+      ["sequence", ["ran_twice"]],
       ["session", ["ran_twice"]],
     ],
   },
@@ -164,12 +164,12 @@
       }
     },
     minimumCounts: {
-      "orders held up": 300,
-      "answers held up": 200,
-      "orders carried out late": 80,
+      "command batches delayed": 300,
+      "command answers delayed": 200,
+      "command batches executed late": 80,
       "machines that hang": 60,
     },
-    guards: [["doubt", ["ran_twice"]]],
+    guards: [["unknown_outcome", ["ran_twice"]]],
   },
   {
     name: "a report is held back until a new leader has acted, and then arrives there",
@@ -188,8 +188,8 @@
         world.wait(9000);
       }
     },
-    minimumCounts: { "reports held back": 48, "copies after newer ones": 24 },
-    guards: [["seq", ["ran_twice"]]],
+    minimumCounts: { "reports held back": 48, "heartbeat copies after newer ones": 24 },
+    guards: [["sequence", ["ran_twice"]]],
   },
   {
     name: "a cancellation, a question or a repeated submission meets the end of a job's last task",
@@ -209,11 +209,11 @@
       }
     },
     minimumCounts: {
-      "called off before it was known": 60,
-      "called off once done": 60,
+      "cancelled before the commit": 60,
+      "cancelled after the commit": 60,
       "late writes refused": 50,
     },
-    guards: [["absent", ["went_back"]]],
+    guards: [["no_commit", ["went_back"]]],
   },
   {
     name: "a zone with workers and a controller is cut off for longer than a lease",
@@ -264,7 +264,7 @@
       world.note("cancelled behind the leader's back", world.cancelUnseenByLeader(7000, 3000));
     },
     minimumCounts: { "machines with cancelled tasks": 12, "cancelled behind the leader's back": 8 },
-    guards: [["read", ["ran_cancelled"]]],
+    guards: [["fresh_jobs", ["ran_cancelled"]]],
   },
   {
     name: "jobs bound to one zone, arrays too, lose machines",
@@ -301,7 +301,7 @@
       world.note("cancelled jobs that ran", world.cancelUnseenByLeader(7000, 600 + (seed % 5) * 400));
     },
     minimumCounts: { "cancelled jobs that ran": 25 },
-    guards: [["read", ["ran_cancelled"]]],
+    guards: [["fresh_jobs", ["ran_cancelled"]]],
   },
   {
     name: "workers can't open connections to any controller, while direct orders still reach them",
@@ -321,7 +321,7 @@
     },
     minimumCounts: {
       "mute machines": 60,
-      "orders carried out by mute machines": 60,
+      "commands executed while heartbeats are lost": 60,
       "machines with cancelled tasks": 30,
     },
     guards: [["cancel", ["ran_cancelled"]]],
--- a/test/model/commands.ts
+++ b/test/model/commands.ts
@@ -23,7 +23,7 @@
   const batch = leader.pendingCommands.get(batchId);
   if (batch === undefined) return;
   leader.pendingCommands.delete(batchId);
-  const reported = world.disabledGuard === "doubt" && outcome === "unknown" ? "unsent" : outcome;
+  const reported = world.disabledGuard === "unknown_outcome" && outcome === "unknown" ? "unsent" : outcome;
   scheduler.commandsAnswered(
     batch.machine,
     batch.orders,
@@ -79,7 +79,7 @@
           return;
         }
         if (worker.fencingToken > decision.fencingToken && decision.commands.length > 0)
-          world.count("orders of an earlier leader");
+          world.count("command batches of an earlier leader");
         const accepted = executeCommands(
           world,
           worker,
@@ -88,17 +88,18 @@
           decision.commands,
         );
         const heartbeat = newHeartbeat(worker);
-        if (accepted && world.now < worker.muteUntil) world.count("orders carried out by mute machines");
+        if (accepted && world.now < worker.muteUntil)
+          world.count("commands executed while heartbeats are lost");
         if (accepted && world.now - sent > 2000 && decision.commands.length > 0)
-          world.count("orders carried out late");
+          world.count("command batches executed late");
         sendLater(
           world,
           () => settle(accepted ? "done" : "rejected", heartbeat),
           true,
-          drawHoldUpMs(world, "answers held up"),
+          drawHoldUpMs(world, "command answers delayed"),
         );
       };
-      sendLater(world, arrive, true, drawHoldUpMs(world, "orders held up") + drawLateDelayMs(world));
+      sendLater(world, arrive, true, drawHoldUpMs(world, "command batches delayed") + drawLateDelayMs(world));
       world.messages.push({ at: world.now + 2000, run: () => settle("unknown", null) });
     }),
   );
@@ -114,6 +115,6 @@
 /** The extra delay of a command batch beyond the time that the sender waits; 0 for most. */
 export function drawLateDelayMs(world: WorldState): number {
   if (world.lateCommandShare === 0 || world.extraRandom() >= world.lateCommandShare) return 0;
-  world.count("late orders");
+  world.count("late command batches");
   return 2000 + world.extraRandom() * 14_000;
 }
--- a/test/model/controllers.ts
+++ b/test/model/controllers.ts
@@ -206,7 +206,8 @@
         world.storedFinishes.set(write.job, jobFinishes);
         for (const put of write.puts) {
           const ranges = RangeSet.of(put.ranges);
-          const key = world.disabledGuard === "key" ? keys.rangesOf(write.job, writer, put.window) : put.key;
+          const key =
+            world.disabledGuard === "finish_key" ? keys.rangesOf(write.job, writer, put.window) : put.key;
           const losesRanges = (jobFinishes.get(key)?.ranges() ?? []).some(([from, to]) => {
             for (let n = from; n < to; n++) if (!ranges.has(n)) return true;
             return false;
--- a/test/model/decisions.ts
+++ b/test/model/decisions.ts
@@ -31,7 +31,7 @@
     scheduler.commitFailed(decision.job);
     if (written === true && world.crashAfterCommitShare > 0 && world.waitingJobs.hasChildren(decision.job))
       if (world.extraRandom() < world.crashAfterCommitShare) {
-        world.count("leaders ended between commit and join");
+        world.count("leaders crashed between commit and join");
         return crashProcess(world, node, 300 + world.extraRandom() * 6000);
       }
     world.waitingJobs.commitAnswered(node, decision.job, written);
@@ -56,7 +56,7 @@
       return ids;
     };
     // not answered and executed much later: no leader expects these machines
-    if (delayCloudRequest(world, "rentals carried out late", rent)) return;
+    if (delayCloudRequest(world, "rentals executed late", rent)) return;
     const ids = rent();
     const record = {
       type: decision.rent.type.name,
@@ -76,7 +76,7 @@
         if (worker !== undefined) killWorker(world, worker);
       }
     };
-    if (delayCloudRequest(world, "releases carried out late", release)) return;
+    if (delayCloudRequest(world, "releases executed late", release)) return;
     sendLater(world, () => {
       if (isCloudDown)
         return whenAwake(world, node, () => scheduler.releaseAnswered(ids, false, instant(world.now)))();
--- a/test/model/election.ts
+++ b/test/model/election.ts
@@ -32,7 +32,9 @@
 
 /** Whether this process has read the jobs recently enough. */
 export function hasFreshJobs(world: WorldState, node: Node): boolean {
-  return world.disabledGuard === "read" || hasFreshJobView(TIMINGS, node.jobsReadAt, instant(world.now));
+  return (
+    world.disabledGuard === "fresh_jobs" || hasFreshJobView(TIMINGS, node.jobsReadAt, instant(world.now))
+  );
 }
 
 /** Whether this process may answer heartbeats: for that, confirmations by all other controllers suffice as well. */
@@ -129,7 +131,7 @@
   if (leader === null || leader.name !== node.name || leader.incarnation !== incarnation) return;
   if (leader.revision === node.leaderRevision) return;
   // without the guard its process does not adopt a key that was written late
-  if (world.disabledGuard === "adopt" && written !== true) return;
+  if (world.disabledGuard === "adopt_key" && written !== true) return;
   node.leaderRevision = leader.revision;
   node.scheduler = null;
 }
@@ -198,7 +200,7 @@
     world,
     node,
     (late) =>
-      (late && world.disabledGuard === "stamp") ||
+      (late && world.disabledGuard === "leader_key") ||
       (world.leader?.revision === leaderKeyRevision && world.term === previousTerm),
     () => {
       world.termsWritten++;
--- a/test/model/heartbeats.ts
+++ b/test/model/heartbeats.ts
@@ -22,10 +22,12 @@
   const run = whenAwake(world, node, () => {
     if (!node.alive) return;
     const isEarlierSession = heartbeat.workerEpoch < worker.workerEpoch;
-    world.count(isEarlierSession ? "copies from an earlier session" : "copies after newer ones");
-    if (showsOutdatedAttempt(world, heartbeat)) world.count("copies with an earlier attempt");
+    world.count(
+      isEarlierSession ? "heartbeat copies from an earlier session" : "heartbeat copies after newer ones",
+    );
+    if (showsOutdatedAttempt(world, heartbeat)) world.count("heartbeat copies with an earlier attempt");
     // without the guard the copy is taken for a new heartbeat
-    const isAcceptedAsNew = world.disabledGuard === (isEarlierSession ? "session" : "seq");
+    const isAcceptedAsNew = world.disabledGuard === (isEarlierSession ? "session" : "sequence");
     deliverHeartbeat(
       world,
       node,
--- a/test/model/job-releases.ts
+++ b/test/model/job-releases.ts
@@ -26,7 +26,7 @@
     isFullReview = true;
     view.fullReviewAt = host.now();
     deleteObsoleteSets(waitingJobs, node);
-    if (!host.isWithoutGuard("join")) for (const id of view.waiting.keys()) view.toReview.add(id);
+    if (!host.isWithoutGuard("recover_joins")) for (const id of view.waiting.keys()) view.toReview.add(id);
   }
   const toReview = [...view.toReview];
   view.toReview.clear();
@@ -36,10 +36,10 @@
 /** Deletes sets of ended jobs, left by the earlier version or by a process that did not know the set at the commit. */
 export function deleteObsoleteSets<N extends Process>(waitingJobs: WaitingJobs<N>, node: N): void {
   const { host, versions } = waitingJobs;
-  if (!host.reachesState(node) || host.isWithoutGuard("useless")) return;
+  if (!host.reachesState(node) || host.isWithoutGuard("obsolete_sets")) return;
   for (const id of node.view.fanins.keys()) {
     if (node.view.isUnfinished(id) || !waitingJobs.fanins.delete(id)) continue;
-    if (versions.leftoverSets.delete(id)) host.count("sets of the earlier version deleted");
+    if (versions.leftoverSets.delete(id)) host.count("sets left by the earlier version deleted");
   }
 }
 
@@ -153,7 +153,7 @@
   waitingJobs.transact(
     node,
     (late) => {
-      if (host.isWithoutGuard("filling") || isUnchanged()) return true;
+      if (host.isWithoutGuard("join_conditions") || isUnchanged()) return true;
       if (late) host.count("late joins refused");
       isSetChanged = waitingJobs.fanins.get(id)?.revision !== set.revision;
       return false;
@@ -161,7 +161,7 @@
     () => {
       revision = host.nextRevision();
       host.count("joins");
-      if (isFullReview && completesLostJoin) host.count("lost joins found again");
+      if (isFullReview && completesLostJoin) host.count("lost joins recovered");
       waitingJobs.fanins.set(id, { ...next, revision });
       if (!next.released) return;
       host.count("releases");
--- a/test/model/job-status.ts
+++ b/test/model/job-status.ts
@@ -31,7 +31,7 @@
     node,
     () => ({
       exists:
-        (!host.isWithoutGuard("checked") && ids.some((x) => host.commits.has(x))) ||
+        (!host.isWithoutGuard("check_commits") && ids.some((x) => host.commits.has(x))) ||
         (!isKnown && (host.jobs.has(id) || (node.version === "new" && waitingJobs.waiting.has(id)))),
     }),
     (answer) => {
@@ -43,7 +43,7 @@
       // it ended in the meantime, or this process has learned of further ancestors
       if (row === undefined) return readJob(waitingJobs, node, id, then);
       const isUnchecked = (p: string): boolean =>
-        !ids.includes(p) || (!view.isUnfinished(p) && !host.isWithoutGuard("unheard"));
+        !ids.includes(p) || (!view.isUnfinished(p) && !host.isWithoutGuard("unknown_ancestors"));
       if (job === undefined && knownAncestors(waitingJobs, view, id).some(isUnchecked))
         return readJob(waitingJobs, node, id, then);
       then({ kind: "open", revision: row.revision, waiting: job === undefined });
@@ -113,7 +113,7 @@
   // released or ended in the meantime: its ancestors are not known here any more
   if (!view.waiting.has(id)) return readJob(waitingJobs, node, id, then);
   const hasEndedSinceCheck = (p: string): boolean =>
-    !host.isWithoutGuard("overtaken") && view.hasEnded(p) !== checkedAncestors.get(p);
+    !host.isWithoutGuard("recheck_ancestors") && view.hasEnded(p) !== checkedAncestors.get(p);
   const ancestor = knownAncestors(waitingJobs, view, id).find(
     (p) => !checkedAncestors.has(p) || hasEndedSinceCheck(p),
   );
@@ -130,7 +130,7 @@
           then(ok ? { kind: "final", outcome: "cancelled" } : null),
         );
       const checkNext = (): void => readWaitingJob(waitingJobs, node, id, revision, checkedAncestors, then);
-      if (row.commit !== undefined || view.isUnfinished(ancestor) || host.isWithoutGuard("unheard"))
+      if (row.commit !== undefined || view.isUnfinished(ancestor) || host.isWithoutGuard("unknown_ancestors"))
         return checkNext();
       // this process does not know the ancestor yet, nor what it waits for itself
       waitingJobs.request(
@@ -168,7 +168,7 @@
     () => {
       if (!waitingJobs.hasCancelledAncestor(id))
         host.reportViolation("went_back", `${id}: cancelled without need at ${host.now()}`);
-      host.count("cancels passed on");
+      host.count("cancellations propagated");
       waitingJobs.commitCancellation(id, "new");
     },
     (ok) => {
--- a/test/model/job-views.ts
+++ b/test/model/job-views.ts
@@ -113,17 +113,17 @@
   faultFreeSince(): number | null;
   isWithoutGuard(
     guard:
-      | "checked"
+      | "check_commits"
       | "release"
       | "ancestors"
-      | "unheard"
-      | "overtaken"
-      | "before"
-      | "join"
-      | "filling"
-      | "listed"
-      | "useless"
-      | "early",
+      | "unknown_ancestors"
+      | "recheck_ancestors"
+      | "ancestors_of_parents"
+      | "recover_joins"
+      | "join_conditions"
+      | "version_lists"
+      | "obsolete_sets"
+      | "upgrade_first",
   ): boolean;
 }
 export type JobStatus =
--- a/test/model/settings.ts
+++ b/test/model/settings.ts
@@ -12,7 +12,7 @@
   /** A process acts outside its fencing window. */
   | "fence"
   /** Commands with an unknown outcome count as never sent. */
-  | "doubt"
+  | "unknown_outcome"
   /** A leader does not know the limits of teams. */
   | "quota"
   /** A leader does not know the zones and machine types that jobs require. */
@@ -20,21 +20,21 @@
   /** Leaders and members do not learn of cancelled jobs. */
   | "cancel"
   /** A process acts although it hasn't read the jobs recently. */
-  | "read"
+  | "fresh_jobs"
   /** Late transactions of a leader do not check that it still holds the leader's key. */
-  | "stamp"
+  | "leader_key"
   /** A process does not adopt a leader's key of its own that was written late. */
-  | "adopt"
+  | "adopt_key"
   /** Records of finished tasks are written under a key that a write without an answer may already have used. */
-  | "key"
+  | "finish_key"
   /** A machine counts as recorded before its record is written. */
   | "record"
   /** Answers about unfinished jobs do not check the commits in the state service. */
-  | "checked"
+  | "check_commits"
   /** Late transactions do not check that the job has no commit yet. */
-  | "absent"
+  | "no_commit"
   /** Late copies of heartbeats of the present worker session are taken for new ones. */
-  | "seq"
+  | "sequence"
   /** Late copies of heartbeats of earlier worker sessions are taken for new ones. */
   | "session"
   /** A leader starts waiting jobs as if they were released. */
@@ -42,23 +42,23 @@
   /** Answers about a waiting job do not consider its ancestors. */
   | "ancestors"
   /** Only those ancestors of a waiting job are checked that the process already knows. */
-  | "unheard"
+  | "unknown_ancestors"
   /** An ancestor that ends while the ancestors of a waiting job are being checked is not checked again. */
-  | "overtaken"
+  | "recheck_ancestors"
   /** A job is accepted without a check of the ancestors of its parents. */
-  | "before"
+  | "ancestors_of_parents"
   /** A leader does not look for joins that were lost. */
-  | "join"
+  | "recover_joins"
   /** A join does not check that the set and the waiting job are unchanged and that the job has no commit. */
-  | "filling"
+  | "join_conditions"
   /** Processes of the earlier version read waiting jobs as if they were released. */
-  | "listed"
+  | "version_lists"
   /** Sets that the earlier version left behind are not deleted. */
-  | "useless"
+  | "obsolete_sets"
   /** Users submit jobs that depend on others before all processes have the new version. */
-  | "early"
+  | "upgrade_first"
   /** Processes are downgraded to the earlier version while jobs wait. */
-  | "back";
+  | "downgrade_last";
 /** A temporary fault of a machine: it hangs, is cut off, receives nothing, or its heartbeats are lost. */
 export type MachineFault = "hung" | "cut" | "deaf" | "mute";
 export const CONTROLLER_LEASE = Duration.seconds(3);
--- a/test/model/state-service.ts
+++ b/test/model/state-service.ts
@@ -68,12 +68,12 @@
 
 /** A condition of a transaction: the leader's key still has this revision. */
 export function isLeaderKey(world: WorldState, revision: number, late: boolean): boolean {
-  return (late && world.disabledGuard === "stamp") || world.leader?.revision === revision;
+  return (late && world.disabledGuard === "leader_key") || world.leader?.revision === revision;
 }
 
 /** A condition of a transaction: the job has no commit yet. */
 export function hasNoCommit(world: WorldState, job: string, late: boolean): boolean {
-  return (late && world.disabledGuard === "absent") || !world.commits.has(job);
+  return (late && world.disabledGuard === "no_commit") || !world.commits.has(job);
 }
 
 /** After an outage of the state service every lease runs for its full time again. */
--- a/test/model/status-requests.ts
+++ b/test/model/status-requests.ts
@@ -30,7 +30,7 @@
   answered(id: string, kind: AnswerKind): void {
     const { requests } = this;
     if (this.share === 0 || requests.random() >= this.share) return;
-    requests.count(`close looks after ${kind}`);
+    requests.count(`probes after ${kind}`);
     for (const node of requests.nodes) {
       requests.after(requests.random() * PROBE_WINDOW_MS, () => requests.queryStatus(node, id));
       requests.after(requests.random() * PROBE_WINDOW_MS, () => requests.resubmitAt(node, id));
--- a/test/model/submissions.ts
+++ b/test/model/submissions.ts
@@ -59,13 +59,13 @@
       conditions.every(
         (c) => (c.waiting ? waitingJobs.waiting : host.jobs).get(c.id)?.revision === c.revision,
       ) &&
-      (host.isWithoutGuard("before") || !checkedAncestors.some((p) => host.commits.has(p)));
+      (host.isWithoutGuard("ancestors_of_parents") || !checkedAncestors.some((p) => host.commits.has(p)));
     waitingJobs.transact(
       node,
       () => {
         const isWaiting = version === "new" && waitingJobs.waiting.has(spec.id);
         isNew = !host.commits.has(spec.id) && !host.jobs.has(spec.id) && !isWaiting;
-        if (isNew && !isUnchanged()) host.count("children refused as a parent went on");
+        if (isNew && !isUnchanged()) host.count("children refused as a parent changed");
         return isNew && isUnchanged();
       },
       () => {
@@ -145,7 +145,8 @@
   if (attempts >= MAX_CANCEL_ATTEMPTS) return;
   const askedAt = host.now();
   readJob(waitingJobs, node, id, (status) => {
-    if (status?.kind === "final" && status.outcome === "done") host.count("cancels that met the job's end");
+    if (status?.kind === "final" && status.outcome === "done")
+      host.count("cancels refused as the job had ended");
     if (status?.kind !== "open") return waitingJobs.receiveAnswer(id, status, askedAt);
     const { revision, waiting } = status;
     const { version } = node;
@@ -154,12 +155,14 @@
       () =>
         !host.commits.has(id) && (waiting ? waitingJobs.waiting : host.jobs).get(id)?.revision === revision,
       () => {
-        host.count(waiting ? "waiting jobs called off" : "released jobs called off");
+        host.count(waiting ? "waiting jobs cancelled" : "released jobs cancelled");
         waitingJobs.commitCancellation(id, version);
       },
       (ok) => {
         if (ok === false) {
-          host.count(waiting ? "cancels that met the parent's end" : "cancels that met the job's end");
+          host.count(
+            waiting ? "cancels refused as the waiting job changed" : "cancels refused as the job had ended",
+          );
           return cancelAtNode(waitingJobs, node, id, attempts + 1);
         }
         if (ok !== true) return;
--- a/test/model/users.ts
+++ b/test/model/users.ts
@@ -101,7 +101,7 @@
     run: () => {
       if (world.now < world.stateDownUntil) return;
       const outcome = world.commits.get(id)?.outcome;
-      world.count(outcome === "done" ? "called off once done" : "called off before it was known");
+      world.count(outcome === "done" ? "cancelled after the commit" : "cancelled before the commit");
       // cancels the job only if it has not been committed
       cancelJob(world, id);
     },
@@ -114,7 +114,7 @@
     world.messages.push({
       at: world.now + world.extraRandom() * 1500,
       run: () => {
-        world.count("questions at the end of the last task");
+        world.count("queries at the end of the last task");
         world.waitingJobs.queryAndResubmit(node, id);
       },
     });
--- a/test/model/waiting-jobs.ts
+++ b/test/model/waiting-jobs.ts
@@ -56,7 +56,7 @@
     const { host, waiting, fanins } = this;
     if (version === "new")
       return { jobs: new Map(host.jobs), waiting: new Map(waiting), fanins: new Map(fanins), revision };
-    const jobs = new Map(host.isWithoutGuard("listed") ? [...waiting, ...host.jobs] : host.jobs);
+    const jobs = new Map(host.isWithoutGuard("version_lists") ? [...waiting, ...host.jobs] : host.jobs);
     return { jobs, waiting: new Map(), fanins: new Map(), revision };
   }
 
@@ -73,7 +73,7 @@
     host.after(ANSWER_TIMEOUT_MS, () => this.send(spec));
   }
   maySend(spec: JobSpec): boolean {
-    const isOpen = this.versions.usersSendDependents || this.host.isWithoutGuard("early");
+    const isOpen = this.versions.usersSendDependents || this.host.isWithoutGuard("upgrade_first");
     return spec.dependsOn.every((p) => isOpen && (!this.sent.has(p) || this.acceptedAt.has(p)));
   }
   sendOnce(spec: JobSpec): void {
--- a/test/model/world.ts
+++ b/test/model/world.ts
@@ -69,7 +69,7 @@
   }
   /** Has users query a job that was never submitted. */
   queryUnknownJob(): void {
-    this.count("questions about jobs that nobody sent");
+    this.count("queries of jobs never submitted");
     this.waitingJobs.queryUnknownJob(`req-9${String(this.nextJobNumber).padStart(5, "0")}`);
   }
   /** Has a user submit a job that depends on others, through a random controller once those are accepted. */
@@ -134,7 +134,7 @@
   /** Restarts a controller's process with this version. */
   restartWithVersion(index: number, version: Version): void {
     const node = this.nodes[index]!;
-    if (node.version === "new" && version === "old") this.count("processes that went back");
+    if (node.version === "new" && version === "old") this.count("processes downgraded");
     crashProcess(this, node, 200 + this.extraRandom() * 3000);
     node.version = version;
     this.runUntil(() => node.alive && node.term !== null, 20_000);
@@ -143,7 +143,7 @@
     return this.nodes.every((node) => node.version === "new");
   }
   mayDowngrade(): boolean {
-    return this.disabledGuard === "back" || this.waitingJobs.hasNoWaitingJobs();
+    return this.disabledGuard === "downgrade_last" || this.waitingJobs.hasNoWaitingJobs();
   }
   /** Crashes leaders until one of this version leads; returns whether one does. */
   crashUntilLeaderHas(version: Version): boolean {
@@ -162,8 +162,8 @@
   crashLeader(downMs: number): boolean {
     const node = this.nodes.find((node) => node.alive && node.name === this.leader?.name);
     if (node === undefined) return false;
-    if (this.now < this.stateDownUntil) this.count("leaders ended inside an outage");
-    this.count("leaders ended");
+    if (this.now < this.stateDownUntil) this.count("leaders crashed during an outage");
+    this.count("leaders crashed");
     crashProcess(this, node, downMs);
     return true;
   }
@@ -174,14 +174,14 @@
     const rest = this.nodes.filter((node) => node !== leader && node.alive);
     const frozen = [leader, ...rest.slice(0, others)];
     for (const node of frozen) node.frozenUntil = this.now + ms;
-    this.count("controllers that stood still", frozen.length);
+    this.count("controllers frozen", frozen.length);
     return frozen.length;
   }
   /** Crashes a controller that does not lead, so that its machines get other owners; returns whether there was one. */
   crashFollower(downMs: number): boolean {
     const node = this.nodes.find((node) => node.alive && node.name !== this.leader?.name);
     if (node === undefined) return false;
-    this.count("members ended");
+    this.count("followers crashed");
     crashProcess(this, node, downMs);
     return true;
   }
--- a/test/pipeline-rules.test.ts
+++ b/test/pipeline-rules.test.ts
@@ -50,7 +50,7 @@
       joins: 300,
       releases: 250,
       "submissions repeated": 120,
-      "cancels passed on": 12,
+      "cancellations propagated": 12,
     },
     guards: [["release", ["too_early"]]],
   },
@@ -67,11 +67,11 @@
       world.wait(35_000);
     },
     minimumCounts: {
-      "leaders ended between commit and join": 60,
-      "lost joins found again": 36,
+      "leaders crashed between commit and join": 60,
+      "lost joins recovered": 36,
       releases: 120,
     },
-    guards: [["join", ["unserved"]]],
+    guards: [["recover_joins", ["unserved"]]],
   },
   {
     name: "joins, cancels and acceptances come late, or meet those of another leader",
@@ -91,10 +91,10 @@
     minimumCounts: {
       "late joins refused": 60,
       "joins refused": 5,
-      "lost joins found again": 3,
+      "lost joins recovered": 3,
       releases: 240,
     },
-    guards: [["filling", ["went_back", "too_early"]]],
+    guards: [["join_conditions", ["went_back", "too_early"]]],
   },
   {
     name: "users call off a waiting job as its last parent ends",
@@ -118,9 +118,9 @@
       }
     },
     minimumCounts: {
-      "cancels that met the parent's end": 30,
+      "cancels refused as the waiting job changed": 30,
       "joins refused": 18,
-      "waiting jobs called off": 40,
+      "waiting jobs cancelled": 40,
       releases: 240,
     },
   },
@@ -138,7 +138,11 @@
         world.wait(6000);
       }
     },
-    minimumCounts: { "cancels that met the job's end": 120, "cancels passed on": 180, releases: 200 },
+    minimumCounts: {
+      "cancels refused as the job had ended": 120,
+      "cancellations propagated": 180,
+      releases: 200,
+    },
   },
   {
     name: "a last job comes late: its parents are done, running, waiting, cancelled or just about to end",
@@ -169,7 +173,7 @@
       world.wait(10_000);
     },
     minimumCounts: {
-      "children refused as a parent went on": 120,
+      "children refused as a parent changed": 120,
       "children of finished jobs accepted": 180,
       "children of cancelled jobs accepted": 120,
       "waiting jobs accepted": 500,
@@ -215,11 +219,11 @@
         waitForLeader(world);
       }
     },
-    minimumCounts: { "outages before a cancel was passed on": 36, "cancels passed on": 150 },
+    minimumCounts: { "outages before a cancel was passed on": 36, "cancellations propagated": 150 },
     guards: [
       ["ancestors", ["orphaned"]],
-      ["unheard", ["orphaned"]],
-      ["overtaken", ["orphaned"]],
+      ["unknown_ancestors", ["orphaned"]],
+      ["recheck_ancestors", ["orphaned"]],
     ],
   },
   {
@@ -243,7 +247,7 @@
       }
     },
     minimumCounts: { "jobs sent inside an outage": 150, "children of cancelled jobs accepted": 100 },
-    guards: [["before", ["orphaned"]]],
+    guards: [["ancestors_of_parents", ["orphaned"]]],
   },
   {
     name: "leaders change one after the other while pipelines run and are called off anywhere",
@@ -262,10 +266,10 @@
       }
     },
     minimumCounts: {
-      "leaders ended": 40,
-      "leaders ended between commit and join": 24,
-      "cancels passed on": 80,
-      "lost joins found again": 24,
+      "leaders crashed": 40,
+      "leaders crashed between commit and join": 24,
+      "cancellations propagated": 80,
+      "lost joins recovered": 24,
       releases: 300,
     },
     guards: [["release", ["too_early"]]],
--- a/test/rules.test.ts
+++ b/test/rules.test.ts
@@ -29,7 +29,7 @@
 
 const GUARDS: [Guard, string][] = [
   ["confirm", "ran_twice"],
-  ["doubt", "ran_twice"],
+  ["unknown_outcome", "ran_twice"],
   ["quota", "quota"],
   ["zone", "wrong_place"],
   ["cancel", "ran_cancelled"],
