--- a/test/concurrent-faults-handover.test.ts
+++ b/test/concurrent-faults-handover.test.ts
@@ -31,7 +31,7 @@
         world.wait(9000);
       }
     },
-    minimumCounts: { "new machines at work": 18, "leaders ended": 24, "new leaders": 24 },
+    minimumCounts: { "new machines at work": 18, "leaders crashed": 24, "new leaders": 24 },
     guards: [["record", ["ran_twice"]]],
   },
   {
@@ -75,7 +75,7 @@
       }
       world.wait(CANCEL_DEADLINE_MS);
     },
-    minimumCounts: { "members ended": 44, "machines with cancelled tasks": 200 },
+    minimumCounts: { "followers crashed": 44, "machines with cancelled tasks": 200 },
     guards: [["cancel", ["ran_cancelled"]]],
   },
   {
@@ -101,10 +101,10 @@
     },
     minimumCounts: {
       "heartbeats delivered as a leader begins": 200,
-      "leaders ended": 30,
-      "copies after newer ones": 300,
+      "leaders crashed": 30,
+      "heartbeat copies after newer ones": 300,
     },
-    guards: [["seq", ["ran_twice"]]],
+    guards: [["sequence", ["ran_twice"]]],
   },
   {
     name: "a command of a leader that ended or lost its lease arrives after commands of the new leader",
@@ -123,10 +123,10 @@
       }
     },
     minimumCounts: {
-      "leaders ended": 24,
+      "leaders crashed": 24,
       "leaders cut off": 18,
-      "late orders": 100,
-      "orders of an earlier leader": 30,
+      "late command batches": 100,
+      "command batches of an earlier leader": 30,
     },
     guards: [["confirm", ["ran_twice"]]],
   },
@@ -147,9 +147,9 @@
     minimumCounts: {
       "answers lost": 200,
       "writes read by others whose answer was lost": 200,
-      "leaders ended": 40,
+      "leaders crashed": 40,
     },
-    guards: [["adopt", ["unserved"]]],
+    guards: [["adopt_key", ["unserved"]]],
   },
   {
     name: "every team is at its limit as jobs on machines that are cut off or hang are cancelled, and the leader changes",
--- a/test/model/submissions.ts
+++ b/test/model/submissions.ts
@@ -1,5 +1,5 @@
 /**
- * Submissions and cancellations at one process, as transactions on what it read.
+ * Submissions and cancellations at one controller, as transactions conditional on what it has read.
  */
 import {
   type Process,
@@ -13,7 +13,10 @@
 import { type WaitingJobs } from "./waiting-jobs.js";
 import { type JobSpec } from "../../src/core/records.js";
 
-/** Its record and set, or the released job, or its end: written if its parents are still what they were. */
+/**
+ * Writes a submitted job as waiting, released or cancelled, depending on its parents, on condition that these are
+ * unchanged.
+ */
 export function acceptSubmission<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -31,7 +34,7 @@
     if (parents.some((p) => p.kind === "absent"))
       return host.reportViolation(
         "went_back",
-        `${spec.id}: awaits an accepted job, refused at ${host.now()}`,
+        `${spec.id}: refused though its parents are accepted, at ${host.now()}`,
       );
     const isDone = (p: JobStatus): boolean => p.kind === "final" && p.outcome === "done";
     const joined = parentIds.filter((_, i) => isDone(parents[i]!));
@@ -42,7 +45,7 @@
     });
     const conditions = unfinishedParents.slice(0, MAX_CONDITIONS - OWN_RECORD_CONDITIONS);
     const { view } = node;
-    // a cancel before a parent counts although it hasn't been passed on to the parent yet
+    // a cancelled ancestor counts although its parents' cancellation may not be written yet
     const ancestors = new Set(
       unfinishedParents.flatMap((p) => (p.waiting ? knownAncestors(waitingJobs, view, p.id) : [])),
     );
@@ -56,27 +59,27 @@
       conditions.every(
         (c) => (c.waiting ? waitingJobs.waiting : host.jobs).get(c.id)?.revision === c.revision,
       ) &&
-      (host.isWithoutGuard("before") || !checkedAncestors.some((p) => host.commits.has(p)));
+      (host.isWithoutGuard("ancestors_of_parents") || !checkedAncestors.some((p) => host.commits.has(p)));
     waitingJobs.transact(
       node,
       () => {
         const isWaiting = version === "new" && waitingJobs.waiting.has(spec.id);
         isNew = !host.commits.has(spec.id) && !host.jobs.has(spec.id) && !isWaiting;
-        if (isNew && !isUnchanged()) host.count("children refused as a parent went on");
+        if (isNew && !isUnchanged()) host.count("children refused as a parent changed");
         return isNew && isUnchanged();
       },
       () => {
-        const stamp = host.nextRevision();
-        row.revision = stamp;
+        const revision = host.nextRevision();
+        row.revision = revision;
         if (hasCancelledParent) return host.commit(spec.id, "cancelled");
         if (unfinishedParents.length === 0) return waitingJobs.release(spec.id, row);
         if (unfinishedParents.some((p) => host.commits.has(p.id)))
           host.count("children accepted while a parent committed");
         waitingJobs.waiting.set(spec.id, row);
-        waitingJobs.fanins.set(spec.id, { joined, released: false, revision: stamp });
+        waitingJobs.fanins.set(spec.id, { joined, released: false, revision });
       },
       (ok) => {
-        // without an answer it may have been accepted all the same
+        // without an answer it may still have been accepted
         if (ok === null || !isNew) return waitingJobs.queryStatus(node, spec.id);
         if (!ok) return acceptSubmission(waitingJobs, node, spec, true, attempts + 1);
         if (hasCancelledParent) {
@@ -103,7 +106,7 @@
   });
 }
 
-/** The status of all parents; null: no answer about one of them. */
+/** Reads the status of all parents; `then` gets null if an answer is missing. */
 export function readParents<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -131,7 +134,7 @@
   }
 }
 
-/** One process cancels a job, on condition that its record is still what it read. */
+/** Cancels a job, on condition that its record is unchanged since it was read. */
 export function cancelAtNode<N extends Process>(
   waitingJobs: WaitingJobs<N>,
   node: N,
@@ -142,7 +145,8 @@
   if (attempts >= MAX_CANCEL_ATTEMPTS) return;
   const askedAt = host.now();
   readJob(waitingJobs, node, id, (status) => {
-    if (status?.kind === "final" && status.outcome === "done") host.count("cancels that met the job's end");
+    if (status?.kind === "final" && status.outcome === "done")
+      host.count("cancels refused as the job had ended");
     if (status?.kind !== "open") return waitingJobs.receiveAnswer(id, status, askedAt);
     const { revision, waiting } = status;
     const { version } = node;
@@ -151,12 +155,14 @@
       () =>
         !host.commits.has(id) && (waiting ? waitingJobs.waiting : host.jobs).get(id)?.revision === revision,
       () => {
-        host.count(waiting ? "waiting jobs called off" : "released jobs called off");
+        host.count(waiting ? "waiting jobs cancelled" : "released jobs cancelled");
         waitingJobs.commitCancellation(id, version);
       },
       (ok) => {
         if (ok === false) {
-          host.count(waiting ? "cancels that met the parent's end" : "cancels that met the job's end");
+          host.count(
+            waiting ? "cancels refused as the waiting job changed" : "cancels refused as the job had ended",
+          );
           return cancelAtNode(waitingJobs, node, id, attempts + 1);
         }
         if (ok !== true) return;
--- a/test/pipeline-rules.test.ts
+++ b/test/pipeline-rules.test.ts
@@ -51,7 +51,7 @@
       joins: 300,
       releases: 250,
       "submissions repeated": 120,
-      "cancels passed on": 12,
+      "cancellations propagated": 12,
     },
     guards: [["release", ["too_early"]]],
   },
@@ -68,11 +68,11 @@
       world.wait(35_000);
     },
     minimumCounts: {
-      "leaders ended between commit and join": 60,
-      "lost joins found again": 36,
+      "leaders crashed between commit and join": 60,
+      "lost joins recovered": 36,
       releases: 120,
     },
-    guards: [["join", ["unserved"]]],
+    guards: [["recover_joins", ["unserved"]]],
   },
   {
     name: "writes of joins, cancels and acceptances are delayed, or conflict with another leader's",
@@ -92,10 +92,10 @@
     minimumCounts: {
       "late joins refused": 60,
       "joins refused": 5,
-      "lost joins found again": 3,
+      "lost joins recovered": 3,
       releases: 240,
     },
-    guards: [["filling", ["went_back", "too_early"]]],
+    guards: [["join_conditions", ["went_back", "too_early"]]],
   },
   {
     name: "users cancel a waiting job as its last parent ends",
@@ -119,9 +119,9 @@
       }
     },
     minimumCounts: {
-      "cancels that met the parent's end": 30,
+      "cancels refused as the waiting job changed": 30,
       "joins refused": 18,
-      "waiting jobs called off": 40,
+      "waiting jobs cancelled": 40,
       releases: 240,
     },
   },
@@ -139,7 +139,11 @@
         world.wait(6000);
       }
     },
-    minimumCounts: { "cancels that met the job's end": 120, "cancels passed on": 180, releases: 200 },
+    minimumCounts: {
+      "cancels refused as the job had ended": 120,
+      "cancellations propagated": 180,
+      releases: 200,
+    },
   },
   {
     name: "a last job is submitted late: its parents are done, running, waiting, cancelled or about to end",
@@ -170,7 +174,7 @@
       world.wait(10_000);
     },
     minimumCounts: {
-      "children refused as a parent went on": 120,
+      "children refused as a parent changed": 120,
       "children of finished jobs accepted": 180,
       "children of cancelled jobs accepted": 120,
       "waiting jobs accepted": 500,
@@ -216,11 +220,11 @@
         waitForLeader(world);
       }
     },
-    minimumCounts: { "outages before a cancel was passed on": 36, "cancels passed on": 150 },
+    minimumCounts: { "outages before a cancel was passed on": 36, "cancellations propagated": 150 },
     guards: [
       ["ancestors", ["orphaned"]],
-      ["unheard", ["orphaned"]],
-      ["overtaken", ["orphaned"]],
+      ["unknown_ancestors", ["orphaned"]],
+      ["recheck_ancestors", ["orphaned"]],
     ],
   },
   {
@@ -244,7 +248,7 @@
       }
     },
     minimumCounts: { "jobs sent inside an outage": 150, "children of cancelled jobs accepted": 100 },
-    guards: [["before", ["orphaned"]]],
+    guards: [["ancestors_of_parents", ["orphaned"]]],
   },
   {
     name: "leaders change again and again while pipelines run and jobs anywhere in them are cancelled",
@@ -263,10 +267,10 @@
       }
     },
     minimumCounts: {
-      "leaders ended": 40,
-      "leaders ended between commit and join": 24,
-      "cancels passed on": 80,
-      "lost joins found again": 24,
+      "leaders crashed": 40,
+      "leaders crashed between commit and join": 24,
+      "cancellations propagated": 80,
+      "lost joins recovered": 24,
       releases: 300,
     },
     guards: [["release", ["too_early"]]],
