--- a/src/io/peer-codec.ts
+++ b/src/io/peer-codec.ts
@@ -127,7 +127,7 @@
   decode(buffer: Buffer): T;
 }
 
-/** The schema with each field named by `machineName`: by its Avro name or by its property. */
+/** The schema with each field named by `nameOf`: by its Avro name or by its property. */
 const schemaNamedBy = (schema: unknown, nameOf: (field: AvroField) => string): unknown => {
   if (Array.isArray(schema)) return schema.map((branch) => schemaNamedBy(branch, nameOf));
   if (typeof schema !== "object" || schema === null) return schema;
